--- a/crates/burdockroad-gateway/src/attempt.rs
+++ b/crates/burdockroad-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One call's attempts at endpoints, from the first to the one that answers.
+//! Attempts of one call at endpoints, until one of them responds.
 
 use std::{
     io,
@@ -19,33 +19,33 @@
 use tokio::time::{sleep, timeout};
 
 use crate::{
-    AnswerHead, CallHead, ForwardHead,
-    budgets::{Hold, release},
+    CallHead, ForwardHead, ResponseHead,
+    budgets::{Reservation, release},
     call::CallRecord,
     pool::{Connection, connect},
     refusal::Refusal,
     shared::Shared,
 };
 
-/// Time that an answer takes to the caller, and by which the gateway is to be done before a deadline.
-const ANSWER_WAY: Duration = Duration::from_millis(15);
+/// Time reserved for sending the response to the caller before the caller's deadline.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
 
-/// Time without a byte of the answer's head after which a call that may be repeated is sent again.
-const SILENCE_MAX: Duration = Duration::from_millis(1500);
+/// Timeout for the response head of a call that may be repeated; the call is then sent again.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Pause before endpoints that were all full are asked again.
-const FULL_PAUSE: Duration = Duration::from_millis(15);
+/// Backoff before the next attempt when all endpoints were full.
+const FULL_BACKOFF: Duration = Duration::from_millis(15);
 
-/// When a caller may come back to endpoints that are all full.
-const FULL_RETRY: Duration = Duration::from_millis(250);
+/// `Retry-After` when all endpoints are full.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// When a caller may come back to a service that has no endpoint.
-const NO_ENDPOINT_RETRY: Duration = Duration::from_millis(500);
+/// `Retry-After` when the service has no endpoint.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Connections to one endpoint that each host may keep whatever the service allows.
+/// Connections to one endpoint that each host may open, even if its share of the service's limit is lower.
 const CONNECTIONS_MIN: usize = 2;
 
-/// A call on its way; dropping it ends it.
+/// A call in progress. Dropping it settles its reservation and writes its log line.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) shared: Arc<Shared>,
@@ -55,24 +55,24 @@
     pub(crate) service: String,
     pub(crate) request: CallerRequest,
     pub(crate) started_at: Instant,
-    /// When the call's time is over.
-    pub(crate) ends_at: Instant,
+    pub(crate) deadline: Instant,
     pub(crate) record: CallRecord,
     pub(crate) retries: RetryState,
-    tried: Vec<EndpointId>,
+    /// Endpoints at which an attempt has failed since the last wait for capacity.
+    attempted: Vec<EndpointId>,
     /// Endpoints on which the call may have run.
-    run_at: Vec<EndpointId>,
-    /// Endpoint that works on the call, as far as known.
+    possibly_ran_on: Vec<EndpointId>,
+    /// Endpoint of the attempt in progress.
     current: Option<Endpoint>,
-    /// Tokens of the program's budget that the call may generate.
-    pub(crate) hold: Option<Hold>,
-    /// Endpoint that the next attempt has to go to.
-    again_at: Option<Endpoint>,
+    /// Tokens of the program's budget reserved for the call.
+    pub(crate) reservation: Option<Reservation>,
+    /// Endpoint that the next attempt must use.
+    next_endpoint: Option<Endpoint>,
 }
 
-/// A call that was admitted and read whole.
+/// A call that was admitted and whose body was read completely.
 #[derive(Debug)]
-pub(crate) struct Arrived {
+pub(crate) struct AdmittedCall {
     pub(crate) head: CallHead,
     pub(crate) route: Arc<Route>,
     pub(crate) account: Option<Arc<Account>>,
@@ -82,7 +82,7 @@
     pub(crate) record: CallRecord,
 }
 
-/// What the caller sent.
+/// The caller's request.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) method: Method,
@@ -91,48 +91,48 @@
     pub(crate) body: Bytes,
 }
 
-/// An answer whose head has come.
+/// A response whose head has arrived.
 #[derive(Debug)]
-pub(crate) struct Opened {
+pub(crate) struct OpenedResponse {
     pub(crate) response: Response<Incoming>,
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) connection: Connection,
 }
 
 impl Call {
-    pub(crate) fn new(shared: Arc<Shared>, arrived: Arrived) -> Self {
-        let ends_at = arrived.started_at + call_time(&arrived.head, &arrived.route);
+    pub(crate) fn new(shared: Arc<Shared>, admitted: AdmittedCall) -> Self {
+        let deadline = admitted.started_at + call_timeout(&admitted.head, &admitted.route);
         Self {
             shared,
-            head: arrived.head,
-            route: arrived.route,
-            account: arrived.account,
-            service: arrived.service,
-            request: arrived.request,
-            started_at: arrived.started_at,
-            ends_at,
-            record: arrived.record,
+            head: admitted.head,
+            route: admitted.route,
+            account: admitted.account,
+            service: admitted.service,
+            request: admitted.request,
+            started_at: admitted.started_at,
+            deadline,
+            record: admitted.record,
             retries: RetryState::default(),
-            tried: Vec::new(),
-            run_at: Vec::new(),
+            attempted: Vec::new(),
+            possibly_ran_on: Vec::new(),
             current: None,
-            hold: None,
-            again_at: None,
+            reservation: None,
+            next_endpoint: None,
         }
     }
 
     pub(crate) fn time_left(&self) -> Duration {
-        self.ends_at.saturating_duration_since(Instant::now())
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Tries endpoints until one answers; `last_event` is where a stream is to go on.
-    pub(crate) async fn open(&mut self, last_event: Option<u64>) -> Result<Opened, Refusal> {
+    /// Sends the call to endpoints until one responds. A stream resumes after event `last_event`.
+    pub(crate) async fn open(&mut self, last_event: Option<u64>) -> Result<OpenedResponse, Refusal> {
         loop {
             if self.time_left().is_zero() {
-                return Err(self.time_over());
+                return Err(self.timeout_refusal());
             }
-            let Some(placement) = self.place() else {
-                self.wait_for_room().await?;
+            let Some(placement) = self.choose_endpoint() else {
+                self.wait_for_capacity().await?;
                 continue;
             };
             let failure = match self.attempt(&placement, last_event).await {
@@ -142,23 +142,24 @@
             self.count(failure, &placement.endpoint);
             match next_step(self.route.kind, self.route.endpoints_max, failure, self.retries) {
                 NextStep::Elsewhere => {}
-                NextStep::Again => self.again_at = Some(placement.endpoint),
-                NextStep::Refuse => return Err(Refusal::NoEndpoint(FULL_RETRY)),
-                NextStep::GiveUp => return Err(self.given_up()),
+                NextStep::Again => self.next_endpoint = Some(placement.endpoint),
+                NextStep::Refuse => return Err(Refusal::NoEndpoint(FULL_RETRY_AFTER)),
+                NextStep::GiveUp => return Err(self.give_up_refusal()),
             }
         }
     }
 
-    /// Notes that the answer of the current endpoint broke, and says whether the call may go on.
-    pub(crate) fn note_broken(&mut self) -> bool {
-        let Some(endpoint) = self.leave(Outcome::Failed) else {
+    /// Records that the current endpoint's response broke off. Returns whether the call may be attempted
+    /// again.
+    pub(crate) fn record_broken_response(&mut self) -> bool {
+        let Some(endpoint) = self.end_attempt(Outcome::Failed) else {
             return false;
         };
         self.count(Failure::Unknown, &endpoint);
         let kind = self.route.kind;
         match next_step(kind, self.route.endpoints_max, Failure::Unknown, self.retries) {
             NextStep::Again => {
-                self.again_at = Some(endpoint);
+                self.next_endpoint = Some(endpoint);
                 true
             }
             NextStep::Elsewhere => true,
@@ -166,18 +167,18 @@
         }
     }
 
-    /// Notes that the current endpoint's answer has ended as it should, and keeps the connection.
+    /// Ends the current attempt after a complete response, and returns the connection to the pool.
     pub(crate) fn finish(&mut self, connection: Connection, keep_alive: Option<Duration>) {
-        if let Some(endpoint) = self.leave(Outcome::Abandoned) {
-            let most = self.connections_max();
+        if let Some(endpoint) = self.end_attempt(Outcome::Abandoned) {
+            let max_idle = self.connections_max();
             self.shared
                 .pool
-                .put(&endpoint.id, connection, keep_alive, most, Instant::now());
+                .put(&endpoint.id, connection, keep_alive, max_idle, Instant::now());
         }
     }
 
-    /// Ends the call's stay at its endpoint.
-    fn leave(&mut self, outcome: Outcome) -> Option<Endpoint> {
+    /// Ends the current attempt and records its outcome for the endpoint. Returns the endpoint.
+    fn end_attempt(&mut self, outcome: Outcome) -> Option<Endpoint> {
         let endpoint = self.current.take()?;
         let mut tables = self.shared.tables();
         tables.endpoints.end(&endpoint.id);
@@ -187,8 +188,9 @@
         Some(endpoint)
     }
 
-    fn place(&mut self) -> Option<Placement> {
-        if let Some(endpoint) = self.again_at.take() {
+    /// Returns the endpoint of the next attempt; `None` when no endpoint can take the call.
+    fn choose_endpoint(&mut self) -> Option<Placement> {
+        if let Some(endpoint) = self.next_endpoint.take() {
             return Some(Placement {
                 endpoint,
                 expected_ms: 0.0,
@@ -198,70 +200,82 @@
         let query = Query {
             service: &self.service,
             failure_domain: &self.shared.failure_domain,
-            parts: &self.head.parts,
-            tried: &self.tried,
+            parts: &self.head.prompt_parts,
+            tried: &self.attempted,
             in_flight_max: u32::try_from(self.connections_max()).unwrap_or(u32::MAX),
         };
         let tables = self.shared.tables();
         tables.endpoints.choose(query, rand::random(), Instant::now())
     }
 
-    /// Waits a moment when all endpoints were full; fails when waiting is of no use.
-    async fn wait_for_room(&mut self) -> Result<(), Refusal> {
+    /// Waits for [`FULL_BACKOFF`] when all endpoints were full. Fails when the service has no endpoint or the
+    /// call has waited too long.
+    async fn wait_for_capacity(&mut self) -> Result<(), Refusal> {
         if self.retries.unknown > 0 {
-            return Err(self.given_up());
+            return Err(self.give_up_refusal());
         }
         let usable = self.shared.tables().endpoints.usable(&self.service);
         if usable == 0 {
-            return Err(Refusal::NoEndpoint(NO_ENDPOINT_RETRY));
+            return Err(Refusal::NoEndpoint(NO_ENDPOINT_RETRY_AFTER));
         }
-        let patience = (self.route.objective / 4).min(self.time_left() / 2);
-        if self.started_at.elapsed() + FULL_PAUSE > patience {
-            return Err(Refusal::NoEndpoint(FULL_RETRY));
+        let max_wait = (self.route.objective / 4).min(self.time_left() / 2);
+        if self.started_at.elapsed() + FULL_BACKOFF > max_wait {
+            return Err(Refusal::NoEndpoint(FULL_RETRY_AFTER));
         }
-        self.tried.clear();
-        sleep(FULL_PAUSE).await;
+        self.attempted.clear();
+        sleep(FULL_BACKOFF).await;
         Ok(())
     }
 
-    async fn attempt(&mut self, placement: &Placement, last_event: Option<u64>) -> Result<Opened, Failure> {
+    /// Makes one attempt at an endpoint and records its outcome.
+    async fn attempt(
+        &mut self,
+        placement: &Placement,
+        last_event: Option<u64>,
+    ) -> Result<OpenedResponse, Failure> {
         let endpoint = &placement.endpoint;
-        self.record.note_attempt(placement);
+        self.record.record_attempt(placement);
         self.shared
             .tables()
             .endpoints
-            .begin(&endpoint.id, &self.head.parts);
+            .begin(&endpoint.id, &self.head.prompt_parts);
         self.current = Some(endpoint.clone());
         let sent_at = Instant::now();
-        let exchanged = self.exchange(endpoint, last_event).await;
+        let result = self.exchange(endpoint, last_event).await;
         let now = Instant::now();
-        let outcome = match &exchanged {
+        let outcome = match &result {
             Ok(_) => Outcome::Answered {
                 first_byte: now.saturating_duration_since(sent_at),
             },
             Err(Failure::Full) => Outcome::Full,
-            Err(_) if now >= self.ends_at => Outcome::Abandoned,
+            Err(_) if now >= self.deadline => Outcome::Abandoned,
             Err(_) => Outcome::Failed,
         };
-        if let Ok(opened) = &exchanged {
+        if let Ok(opened) = &result {
             let mut tables = self.shared.tables();
             tables.endpoints.note_outcome(&endpoint.id, outcome, now);
             if let Some(load) = opened.head.load {
                 tables.endpoints.note_load(&endpoint.id, load, now);
             }
         } else {
-            self.leave(outcome);
+            self.end_attempt(outcome);
         }
-        exchanged
+        result
     }
 
-    async fn exchange(&self, endpoint: &Endpoint, last_event: Option<u64>) -> Result<Opened, Failure> {
+    /// Sends the request and waits for the response head. A pooled connection that was closed before any
+    /// byte was written is replaced by a new one.
+    async fn exchange(
+        &self,
+        endpoint: &Endpoint,
+        last_event: Option<u64>,
+    ) -> Result<OpenedResponse, Failure> {
         let mut request = self.forward_request(endpoint, last_event);
         let pooled = self.shared.pool.take(&endpoint.id, Instant::now());
         if let Some(connection) = pooled {
             match self.send(connection, request).await? {
-                Sent::Answered(opened) => return self.judge(opened),
-                Sent::Unsent(unsent) => request = unsent,
+                SendOutcome::Responded(opened) => return self.classify(opened),
+                SendOutcome::Unsent(unsent) => request = unsent,
             }
         }
         metrics::counter!("burdockroad_endpoint_connections_total").increment(1);
@@ -271,37 +285,45 @@
             _ => Failure::Unreachable,
         })?;
         match self.send(connection, request).await? {
-            Sent::Answered(opened) => self.judge(opened),
-            Sent::Unsent(_) => Err(Failure::Unreachable),
+            SendOutcome::Responded(opened) => self.classify(opened),
+            SendOutcome::Unsent(_) => Err(Failure::Unreachable),
         }
     }
 
-    async fn send(&self, mut connection: Connection, request: Request<Full<Bytes>>) -> Result<Sent, Failure> {
-        let patience = if self.route.kind.may_repeat() {
-            SILENCE_MAX.min(self.time_left())
+    async fn send(
+        &self,
+        mut connection: Connection,
+        request: Request<Full<Bytes>>,
+    ) -> Result<SendOutcome, Failure> {
+        let head_timeout = if self.route.kind.may_repeat() {
+            HEAD_TIMEOUT.min(self.time_left())
         } else {
             self.time_left()
         };
-        let answered = timeout(patience, connection.try_send_request(request)).await;
-        match answered {
+        let result = timeout(head_timeout, connection.try_send_request(request)).await;
+        match result {
             Err(_elapsed) => Err(Failure::Unknown),
             Ok(Ok(response)) => {
                 let head = self
                     .shared
                     .dialect
-                    .read_answer(response.status(), response.headers());
-                Ok(Sent::Answered(Opened {
+                    .read_response(response.status(), response.headers());
+                Ok(SendOutcome::Responded(OpenedResponse {
                     response,
                     head,
                     connection,
                 }))
             }
-            Ok(Err(mut unsent)) => unsent.take_message().map(Sent::Unsent).ok_or(Failure::Unknown),
+            Ok(Err(mut unsent)) => unsent
+                .take_message()
+                .map(SendOutcome::Unsent)
+                .ok_or(Failure::Unknown),
         }
     }
 
-    /// Tells a usable answer from one that says nothing, or that the call did not run.
-    fn judge(&self, opened: Opened) -> Result<Opened, Failure> {
+    /// Returns a usable response, or the failure that a response stands for: that the call did not run, or
+    /// that its outcome is unknown.
+    fn classify(&self, opened: OpenedResponse) -> Result<OpenedResponse, Failure> {
         let head = &opened.head;
         if head.call_id.as_deref() != Some(&*self.head.call_id) && !head.wrong_endpoint && !head.not_run {
             return Err(Failure::Unknown);
@@ -313,11 +335,12 @@
             return Err(Failure::Full);
         }
         let status = opened.response.status();
-        let promises_not_run = matches!(
+        // These statuses promise the caller that the call has not run, which the endpoint has not confirmed.
+        let claims_not_run = matches!(
             status,
             StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
         );
-        if promises_not_run || (status.is_success() && !head.signed) {
+        if claims_not_run || (status.is_success() && !head.attested) {
             return Err(Failure::Unknown);
         }
         Ok(opened)
@@ -340,18 +363,19 @@
         request
     }
 
-    /// Calls for each slot of the call's service.
+    /// Returns the calls per slot of the call's service.
     pub(crate) fn load_per_slot(&self) -> f64 {
         let tables = self.shared.tables();
         tables.endpoints.load_per_slot(&self.service, Instant::now())
     }
 
+    /// Returns the account's priority, or the route's if the account has none.
     pub(crate) fn priority(&self) -> u8 {
-        let of_account = self.account.as_ref().and_then(|account| account.priority);
-        of_account.unwrap_or(self.route.priority).min(9)
+        let account_priority = self.account.as_ref().and_then(|account| account.priority);
+        account_priority.unwrap_or(self.route.priority).min(9)
     }
 
-    /// Connections to one endpoint: this host's part of what the service allows.
+    /// Returns this host's share of the connections that the service allows to one endpoint.
     fn connections_max(&self) -> usize {
         let tables = self.shared.tables();
         let service = tables
@@ -359,50 +383,53 @@
             .as_ref()
             .and_then(|directory| directory.service(&self.service));
         let allowed = service.map_or(CONNECTIONS_MIN, |service| service.connections_max);
-        (allowed / tables.hosts.max(1)).max(CONNECTIONS_MIN)
+        (allowed / tables.host_count.max(1)).max(CONNECTIONS_MIN)
     }
 
+    /// Counts a failed attempt in the retry state, closes idle connections unless the endpoint was full, and logs it.
     fn count(&mut self, failure: Failure, endpoint: &Endpoint) {
-        let ran_here = self.run_at.contains(&endpoint.id);
+        let may_have_run_here = self.possibly_ran_on.contains(&endpoint.id);
         match failure {
             Failure::Unknown => {
                 self.retries.unknown += 1;
                 self.retries.last_is_gone = false;
                 self.retries.unreached = 0;
-                if !ran_here {
-                    self.run_at.push(endpoint.id.clone());
+                if !may_have_run_here {
+                    self.possibly_ran_on.push(endpoint.id.clone());
                     self.retries.endpoints_run += 1;
                 }
             }
             Failure::Gone | Failure::WrongEndpoint | Failure::Unreachable | Failure::Full => {
                 self.retries.unstarted += 1;
-                if ran_here && failure == Failure::Unreachable {
+                if may_have_run_here && failure == Failure::Unreachable {
                     self.retries.unreached += 1;
                 }
-                if ran_here && matches!(failure, Failure::Gone | Failure::WrongEndpoint) {
+                if may_have_run_here && matches!(failure, Failure::Gone | Failure::WrongEndpoint) {
                     self.retries.last_is_gone = true;
                     self.retries.endpoints_run = self.retries.endpoints_run.saturating_sub(1);
                 }
             }
         }
         if failure != Failure::Full {
-            self.shared.pool.forget(&endpoint.id);
+            self.shared.pool.close_idle(&endpoint.id);
         }
-        if !self.tried.contains(&endpoint.id) {
-            self.tried.push(endpoint.id.clone());
+        if !self.attempted.contains(&endpoint.id) {
+            self.attempted.push(endpoint.id.clone());
         }
         self.record
-            .note_failure(&self.shared, &self.head, endpoint, failure);
+            .record_failure(&self.shared, &self.head, endpoint, failure);
     }
 
-    fn given_up(&self) -> Refusal {
+    /// Returns the refusal of a call that may have run.
+    fn give_up_refusal(&self) -> Refusal {
         if self.time_left().is_zero() {
-            return self.time_over();
+            return self.timeout_refusal();
         }
         Refusal::UnknownOutcome
     }
 
-    fn time_over(&self) -> Refusal {
+    /// Returns the refusal of a call whose deadline has passed.
+    fn timeout_refusal(&self) -> Refusal {
         if self.retries.unknown == 0 {
             Refusal::TimeOverUnsent
         } else {
@@ -413,24 +440,25 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        self.leave(Outcome::Abandoned);
-        if let Some(hold) = self.hold.take() {
-            release(&self.shared, hold, self.record.tokens_used());
+        self.end_attempt(Outcome::Abandoned);
+        if let Some(reservation) = self.reservation.take() {
+            release(&self.shared, reservation, self.record.tokens_used());
         }
         self.record
             .close(&self.shared, &self.head, &self.route, self.account.as_deref());
     }
 }
 
-/// What became of a request on a connection.
-enum Sent {
-    Answered(Opened),
-    /// Nothing of it was written.
+/// Result of sending a request on a connection.
+enum SendOutcome {
+    /// The head of a response arrived.
+    Responded(OpenedResponse),
+    /// No byte of the request was written.
     Unsent(Request<Full<Bytes>>),
 }
 
-/// Time that a call may take in all.
-pub(crate) fn call_time(head: &CallHead, route: &Route) -> Duration {
+/// Returns the time that a call may take in total.
+pub(crate) fn call_timeout(head: &CallHead, route: &Route) -> Duration {
     let deadline = head.deadline.unwrap_or(route.timeout);
-    deadline.saturating_sub(ANSWER_WAY).min(route.timeout)
+    deadline.saturating_sub(RESPONSE_MARGIN).min(route.timeout)
 }
--- a/crates/burdockroad-gateway/src/budgets.rs
+++ b/crates/burdockroad-gateway/src/budgets.rs
@@ -1,8 +1,9 @@
-//! Holding tokens of a program's budget, at the host that keeps the program's account.
+//! Reserves tokens of a program's budget at the budget owner.
 //!
-//! All hosts rank each other in the same order for a program, and the first keeps its account: what calls
-//! give back there is at hand for the next call without a write to the store. When that host does not
-//! answer, the host that serves the call holds tokens itself; the store keeps the two apart.
+//! All hosts compute the same rendezvous order for a program, and the first host in that order owns its
+//! budget. Tokens that calls release at the owner are available to the next call without a write to the
+//! store. When the owner does not respond, the host that serves the call reserves the tokens itself. The
+//! store records the reservations of each host separately, so the two hosts never reserve the same tokens.
 
 use std::{
     net::SocketAddr,
@@ -20,179 +21,212 @@
 use tokio::time::timeout;
 
 use crate::{
-    peer::{PeerCall, PeerReply},
-    reservations::look_again,
+    peer::{PeerCall, PeerResponse},
+    reservations::refresh_budget,
     shared::Shared,
 };
 
-/// Longest time that a call waits for its tokens.
-const HOLD_WAIT_MAX: Duration = Duration::from_millis(900);
+/// Longest time that a call waits for its reservation.
+const RESERVATION_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Longest time that another host's call waits here before it is told to ask again.
+/// Longest time that a call of another host waits at this budget owner before the owner responds that the
+/// host has to repeat the request.
 const REMOTE_WAIT_MAX: Duration = Duration::from_millis(200);
 
-/// Time beyond that within which the other host has to answer.
-const REMOTE_MARGIN: Duration = Duration::from_millis(100);
+/// Time added to [`REMOTE_WAIT_MAX`] to obtain the timeout of a request to the budget owner.
+const REMOTE_RESPONSE_MARGIN: Duration = Duration::from_millis(100);
 
-/// Pause before the budget of a program that has no room is looked at again.
-const ROOM_PAUSE: Duration = Duration::from_millis(80);
+/// Interval at which a waiting call rechecks a budget whose tokens are all reserved.
+const BUDGET_RECHECK_INTERVAL: Duration = Duration::from_millis(80);
 
-/// When a caller may come back after the store did not answer.
-const NO_STORE_RETRY: Duration = Duration::from_millis(1200);
+/// `Retry-After` of a call that is refused because the store did not respond.
+const STORE_RETRY_AFTER: Duration = Duration::from_millis(1200);
 
-/// Time without an answer of the store from which calls that need it are refused at arrival.
-const STORE_LOST_MIN: Duration = Duration::from_millis(400);
+/// Time for which store writes have to fail before calls that need a write are refused without waiting.
+const STORE_FAILING_MIN: Duration = Duration::from_millis(400);
 
-/// Time after the process's start from which programs that it does not know have not begun.
-const PROGRAMS_KNOWN_AFTER: Duration = Duration::from_secs(3);
+/// Time after the process start in which programs missing from the ledger may already be running.
+const PROGRAM_DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// Time beyond a call's own after which tokens held for another host count as used.
-const HOLD_MARGIN: Duration = Duration::from_secs(2);
+/// Time after a remote call's deadline at which its reserved tokens are counted as used.
+const RESERVATION_EXPIRY_MARGIN: Duration = Duration::from_secs(2);
 
-/// What a call wants held.
+/// Request to reserve tokens for a call.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub(crate) struct HoldAsk {
-    /// Id of the call, which names the hold.
+pub(crate) struct ReservationRequest {
+    /// Id of the call, which identifies the reservation.
     pub(crate) call_id: String,
-    /// Program whose budget it is.
+    /// Program whose budget the tokens are reserved from.
     pub(crate) program: ProgramId,
-    /// The whole budget.
+    /// Total budget of the program.
     pub(crate) budget_tokens: u64,
-    /// Tokens that the call may generate.
-    pub(crate) most_tokens: u64,
-    /// Calls for each slot of the service that the call goes to.
+    /// Upper bound of the tokens that the call may generate.
+    #[serde(rename = "most_tokens")]
+    pub(crate) max_tokens: u64,
+    /// Calls per slot of the service that the call is sent to.
     pub(crate) load_per_slot: f64,
-    /// Rank of the call; 0 is the most urgent.
+    /// Priority of the call; 0 is the most urgent.
     pub(crate) priority: u8,
-    /// When the account's rate has room for a program to begin; none when one may begin now.
-    pub(crate) begins_after: Option<Duration>,
-    /// Time that the call has left.
+    /// Time until the account's rate limit allows another program to start; `None` when one may start now.
+    #[serde(rename = "begins_after")]
+    pub(crate) start_after: Option<Duration>,
+    /// Time left until the call's deadline.
     pub(crate) time_left: Duration,
 }
 
-/// Answer to a [`HoldAsk`].
+/// Response to a [`ReservationRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub(crate) enum HoldReply {
-    /// The tokens are held.
-    Held {
-        /// Whether the program begins with this call, as far as its keeper knows.
-        begins: bool,
+pub(crate) enum ReservationResponse {
+    /// The tokens are reserved.
+    #[serde(rename = "Held")]
+    Reserved {
+        /// Whether the call starts the program, which is the case when the ledger of the responding host
+        /// did not contain the program.
+        #[serde(rename = "begins")]
+        starts_program: bool,
     },
-    /// The program is to begin later, since the service is full.
-    Later(Duration),
-    /// The program is to begin later, since its account's rate is used up.
+    /// The program must not start yet because the service is overloaded.
+    #[serde(rename = "Later")]
+    Deferred(Duration),
+    /// The program must not start yet because its account's rate limit is used up.
     OverRate(Duration),
-    /// The budget cannot hold the call.
-    Spent,
-    /// Running calls take all that is left.
-    NoRoom,
-    /// The store did not answer in time.
-    NoStore,
-    /// The store has not answered for a while, so waiting is of no use.
-    StoreLost,
+    /// The budget has too few tokens left for the call.
+    #[serde(rename = "Spent")]
+    BudgetExhausted,
+    /// Reservations of running calls take all remaining tokens.
+    #[serde(rename = "NoRoom")]
+    FullyReserved,
+    /// The store did not respond in time.
+    #[serde(rename = "NoStore")]
+    StoreTimeout,
+    /// Store writes have failed for at least [`STORE_FAILING_MIN`], so waiting is futile.
+    #[serde(rename = "StoreLost")]
+    StoreUnavailable,
 }
 
-/// Why tokens could not be held.
+/// Reason why tokens could not be reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NotHeld {
-    /// The budget has no room for the call.
-    Spent,
-    /// The program is to begin later, since the service is full.
-    Later {
-        /// When the caller may come back.
+pub(crate) enum ReservationError {
+    /// The budget has too few unreserved tokens for the call.
+    BudgetExhausted,
+    /// The program must not start yet because the service is overloaded.
+    Deferred {
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// The program is to begin later, since its account's rate is used up.
+    /// The program must not start yet because its account's rate limit is used up.
     OverRate {
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// The store did not answer in time.
-    NoStore {
-        /// When the caller may come back.
+    /// The store did not respond in time.
+    StoreUnavailable {
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// Tokens held for a call; it ends with [`release`].
+/// Tokens reserved for a call until [`release`] is called.
 #[derive(Debug)]
-pub(crate) struct Hold {
+pub(crate) struct Reservation {
     call_id: String,
     program: ProgramId,
-    most_tokens: u64,
-    /// Whether the program begins with this call.
-    pub(crate) begins: bool,
-    /// Host that holds them; none when this one does.
-    keeper: Option<SocketAddr>,
+    max_tokens: u64,
+    /// Whether the call starts the program.
+    pub(crate) starts_program: bool,
+    /// Address of the host that made the reservation; `None` when it is this host.
+    owner: Option<SocketAddr>,
 }
 
-/// Tokens that this host holds for a call of another.
+/// Tokens that this host has reserved for a call of another host.
 #[derive(Debug)]
-pub(crate) struct RemoteHold {
+pub(crate) struct RemoteReservation {
     program: ProgramId,
-    most_tokens: u64,
+    max_tokens: u64,
     expires_at: Instant,
 }
 
-/// Holds tokens of a program's budget for a call.
-pub(crate) async fn hold(shared: &Shared, ask: HoldAsk) -> Result<Hold, NotHeld> {
-    let wait_ends_at = Instant::now() + HOLD_WAIT_MAX.min(ask.time_left);
-    let keeper = keeper_of(shared, &ask.program);
-    let mut reply = HoldReply::NoStore;
-    if let Some(address) = keeper {
-        let answered = hold_at(shared, address, &ask, wait_ends_at).await;
-        match answered {
-            Some(HoldReply::Held { begins }) => return Ok(ask.into_hold(begins, keeper)),
-            Some(HoldReply::Later(retry_after)) => return Err(NotHeld::Later { retry_after }),
-            Some(HoldReply::OverRate(retry_after)) => return Err(NotHeld::OverRate { retry_after }),
-            Some(HoldReply::Spent | HoldReply::NoRoom) => return Err(NotHeld::Spent),
-            Some(HoldReply::StoreLost) => {
-                return Err(NotHeld::NoStore {
-                    retry_after: NO_STORE_RETRY,
+/// Reserves tokens of a program's budget for a call, at the budget owner if it responds.
+pub(crate) async fn reserve(
+    shared: &Shared,
+    request: ReservationRequest,
+) -> Result<Reservation, ReservationError> {
+    let deadline = Instant::now() + RESERVATION_TIMEOUT.min(request.time_left);
+    let owner = remote_budget_owner(shared, &request.program);
+    let mut response = ReservationResponse::StoreTimeout;
+    if let Some(address) = owner {
+        let owner_response = reserve_at_owner(shared, address, &request, deadline).await;
+        match owner_response {
+            Some(ReservationResponse::Reserved { starts_program }) => {
+                return Ok(request.into_reservation(starts_program, owner));
+            }
+            Some(ReservationResponse::Deferred(retry_after)) => {
+                return Err(ReservationError::Deferred { retry_after });
+            }
+            Some(ReservationResponse::OverRate(retry_after)) => {
+                return Err(ReservationError::OverRate { retry_after });
+            }
+            Some(ReservationResponse::BudgetExhausted | ReservationResponse::FullyReserved) => {
+                return Err(ReservationError::BudgetExhausted);
+            }
+            Some(ReservationResponse::StoreUnavailable) => {
+                return Err(ReservationError::StoreUnavailable {
+                    retry_after: STORE_RETRY_AFTER,
                 });
             }
-            Some(HoldReply::NoStore) | None => {}
+            Some(ReservationResponse::StoreTimeout) | None => {}
         }
     }
-    let waits = Instant::now() < wait_ends_at;
-    if keeper.is_none() || waits {
-        reply = hold_here(shared, &ask, keeper.is_none(), wait_ends_at).await;
+    let has_time_left = Instant::now() < deadline;
+    if owner.is_none() || has_time_left {
+        response = reserve_locally(shared, &request, owner.is_none(), deadline).await;
     }
-    match reply {
-        HoldReply::Held { begins } => Ok(ask.into_hold(begins, None)),
-        HoldReply::Later(retry_after) => Err(NotHeld::Later { retry_after }),
-        HoldReply::OverRate(retry_after) => Err(NotHeld::OverRate { retry_after }),
-        HoldReply::Spent | HoldReply::NoRoom => Err(NotHeld::Spent),
-        HoldReply::NoStore | HoldReply::StoreLost => Err(NotHeld::NoStore {
-            retry_after: NO_STORE_RETRY,
-        }),
+    match response {
+        ReservationResponse::Reserved { starts_program } => {
+            Ok(request.into_reservation(starts_program, None))
+        }
+        ReservationResponse::Deferred(retry_after) => Err(ReservationError::Deferred { retry_after }),
+        ReservationResponse::OverRate(retry_after) => Err(ReservationError::OverRate { retry_after }),
+        ReservationResponse::BudgetExhausted | ReservationResponse::FullyReserved => {
+            Err(ReservationError::BudgetExhausted)
+        }
+        ReservationResponse::StoreTimeout | ReservationResponse::StoreUnavailable => {
+            Err(ReservationError::StoreUnavailable {
+                retry_after: STORE_RETRY_AFTER,
+            })
+        }
     }
 }
 
-/// Gives back what a call did not use.
-pub(crate) fn release(shared: &Arc<Shared>, hold: Hold, used_tokens: u64) {
-    match hold.keeper {
+/// Settles a reservation: counts the used tokens as spent and returns the rest to the budget.
+pub(crate) fn release(shared: &Arc<Shared>, reservation: Reservation, used_tokens: u64) {
+    match reservation.owner {
         None => {
             let now = Instant::now();
             let mut tables = shared.tables();
             tables
                 .ledger
-                .settle(&hold.program, hold.most_tokens, used_tokens, now);
+                .settle(&reservation.program, reservation.max_tokens, used_tokens, now);
             drop(tables);
             shared.reservations_changed.notify_waiters();
         }
         Some(address) => {
             let shared = Arc::clone(shared);
             let call = PeerCall::Release {
-                call_id: hold.call_id,
+                call_id: reservation.call_id,
                 used_tokens,
             };
             tokio::spawn(async move {
-                // A keeper that does not hear of the release counts all of the hold as used.
-                let patience = REMOTE_WAIT_MAX + REMOTE_MARGIN;
-                if shared.peer_client.call(address, &call, patience).await.is_err() {
+                // Without the release, the owner counts the whole reservation as used when it expires.
+                let response_timeout = REMOTE_WAIT_MAX + REMOTE_RESPONSE_MARGIN;
+                if shared
+                    .peer_client
+                    .call(address, &call, response_timeout)
+                    .await
+                    .is_err()
+                {
                     metrics::counter!("burdockroad_holds_unreleased_total").increment(1);
                 }
             });
@@ -200,62 +234,72 @@
     }
 }
 
-/// Holds tokens for a call of another host.
-pub(crate) async fn answer_hold(shared: &Shared, ask: HoldAsk) -> HoldReply {
-    if shared.tables().remote_holds.contains_key(&ask.call_id) {
-        return HoldReply::Held { begins: false };
+/// Handles a reservation request of another host.
+pub(crate) async fn handle_reserve(shared: &Shared, request: ReservationRequest) -> ReservationResponse {
+    if shared.tables().remote_reservations.contains_key(&request.call_id) {
+        return ReservationResponse::Reserved {
+            starts_program: false,
+        };
     }
-    let reply = hold_here(shared, &ask, true, Instant::now() + REMOTE_WAIT_MAX).await;
-    if matches!(reply, HoldReply::Held { .. }) {
-        let hold = RemoteHold {
-            program: ask.program,
-            most_tokens: ask.most_tokens,
-            expires_at: Instant::now() + ask.time_left + HOLD_MARGIN,
+    let response = reserve_locally(shared, &request, true, Instant::now() + REMOTE_WAIT_MAX).await;
+    if matches!(response, ReservationResponse::Reserved { .. }) {
+        let reservation = RemoteReservation {
+            program: request.program,
+            max_tokens: request.max_tokens,
+            expires_at: Instant::now() + request.time_left + RESERVATION_EXPIRY_MARGIN,
         };
-        shared.tables().remote_holds.insert(ask.call_id, hold);
+        shared
+            .tables()
+            .remote_reservations
+            .insert(request.call_id, reservation);
     }
-    reply
+    response
 }
 
-/// Ends a hold of another host's call.
-pub(crate) fn answer_release(shared: &Shared, call_id: &str, used_tokens: u64) {
+/// Settles the reservation of another host's call.
+pub(crate) fn handle_release(shared: &Shared, call_id: &str, used_tokens: u64) {
     let mut tables = shared.tables();
-    if let Some(hold) = tables.remote_holds.remove(call_id) {
+    if let Some(reservation) = tables.remote_reservations.remove(call_id) {
         let now = Instant::now();
         tables
             .ledger
-            .settle(&hold.program, hold.most_tokens, used_tokens, now);
+            .settle(&reservation.program, reservation.max_tokens, used_tokens, now);
         drop(tables);
         shared.reservations_changed.notify_waiters();
     }
 }
 
-/// Counts holds whose hosts were not heard of again as used.
-pub(crate) fn expire_holds(shared: &Shared, now: Instant) {
+/// Counts remote reservations that were not released before their expiry as used.
+pub(crate) fn expire_remote_reservations(shared: &Shared, now: Instant) {
     let mut tables = shared.tables();
-    let expired = tables.remote_holds.extract_if(|_, hold| hold.expires_at <= now);
-    let expired: Vec<RemoteHold> = expired.map(|(_, hold)| hold).collect();
-    for hold in expired {
-        tables
-            .ledger
-            .settle(&hold.program, hold.most_tokens, hold.most_tokens, now);
+    let expired = tables
+        .remote_reservations
+        .extract_if(|_, reservation| reservation.expires_at <= now);
+    let expired: Vec<RemoteReservation> = expired.map(|(_, reservation)| reservation).collect();
+    for reservation in expired {
+        tables.ledger.settle(
+            &reservation.program,
+            reservation.max_tokens,
+            reservation.max_tokens,
+            now,
+        );
     }
 }
 
-impl HoldAsk {
-    fn into_hold(self, begins: bool, keeper: Option<SocketAddr>) -> Hold {
-        Hold {
+impl ReservationRequest {
+    fn into_reservation(self, starts_program: bool, owner: Option<SocketAddr>) -> Reservation {
+        Reservation {
             call_id: self.call_id,
             program: self.program,
-            most_tokens: self.most_tokens,
-            begins,
-            keeper,
+            max_tokens: self.max_tokens,
+            starts_program,
+            owner,
         }
     }
 }
 
-/// The host that keeps a program's account; none when it is this one, or is not heard of.
-fn keeper_of(shared: &Shared, program: &str) -> Option<SocketAddr> {
+/// Returns the address of a program's budget owner, or `None` when it is this host or has no recent report.
+fn remote_budget_owner(shared: &Shared, program: &str) -> Option<SocketAddr> {
     let peers = shared.peers.borrow();
     let this = (!shared.is_stopping()).then(|| shared.host.clone());
     let hosts = peers.keys().cloned().chain(this);
@@ -263,113 +307,134 @@
     if first == shared.host {
         return None;
     }
-    let heard = shared.tables().allowances.is_heard(&first, Instant::now());
-    heard
+    let is_live = shared.tables().allowances.is_heard(&first, Instant::now());
+    is_live
         .then(|| peers.get(&first).map(|peer| peer.address))
         .flatten()
 }
 
-/// Asks the keeper until it holds the tokens or the wait is over; none when it does not answer.
-async fn hold_at(
+/// Repeats the request to the owner until it reserves the tokens, refuses, or `deadline` passes. Returns
+/// `None` when the owner does not respond.
+async fn reserve_at_owner(
     shared: &Shared,
-    keeper: SocketAddr,
-    ask: &HoldAsk,
-    wait_ends_at: Instant,
-) -> Option<HoldReply> {
+    owner: SocketAddr,
+    request: &ReservationRequest,
+    deadline: Instant,
+) -> Option<ReservationResponse> {
     loop {
-        let call = PeerCall::Hold(ask.clone());
-        let patience = REMOTE_WAIT_MAX + REMOTE_MARGIN;
-        let replied = shared.peer_client.call(keeper, &call, patience).await;
-        match replied {
-            Ok(PeerReply::Hold(reply @ (HoldReply::NoRoom | HoldReply::NoStore))) => {
-                if Instant::now() >= wait_ends_at {
-                    return Some(reply);
+        let call = PeerCall::Reserve(request.clone());
+        let response_timeout = REMOTE_WAIT_MAX + REMOTE_RESPONSE_MARGIN;
+        let result = shared.peer_client.call(owner, &call, response_timeout).await;
+        match result {
+            Ok(PeerResponse::Reservation(
+                response @ (ReservationResponse::FullyReserved | ReservationResponse::StoreTimeout),
+            )) => {
+                if Instant::now() >= deadline {
+                    return Some(response);
                 }
             }
-            Ok(PeerReply::Hold(reply)) => return Some(reply),
+            Ok(PeerResponse::Reservation(response)) => return Some(response),
             Ok(_) | Err(_) => return None,
         }
     }
 }
 
-/// Whether writes are known to fail, so that waiting for one is of no use; the writer tries on.
-fn store_is_lost(shared: &Shared) -> bool {
-    let lost_at = shared.tables().writes_lost_at;
-    lost_at.is_some_and(|at| at.elapsed() >= STORE_LOST_MIN)
+/// Returns whether store writes have failed for at least [`STORE_FAILING_MIN`], so that waiting for a write
+/// is futile. The writer keeps retrying.
+fn store_writes_are_failing(shared: &Shared) -> bool {
+    let failing_since = shared.tables().writes_failing_since;
+    failing_since.is_some_and(|at| at.elapsed() >= STORE_FAILING_MIN)
 }
 
-/// Why a program that has not begun may not begin now, if so.
-fn kept_from_beginning(shared: &Shared, ask: &HoldAsk) -> Option<HoldReply> {
+/// Returns the refusal for a program that has not started and must not start now.
+fn check_program_start(shared: &Shared, request: &ReservationRequest) -> Option<ReservationResponse> {
     let mut tables = shared.tables();
-    if tables.ledger.knows(&ask.program) {
+    if tables.ledger.knows(&request.program) {
         return None;
     }
     let now = Instant::now();
-    let knows_programs = now >= shared.started_at + PROGRAMS_KNOWN_AFTER;
-    if let Some(retry_after) = ask.begins_after.filter(|_| knows_programs) {
-        return Some(HoldReply::OverRate(retry_after));
+    let programs_discovered = now >= shared.started_at + PROGRAM_DISCOVERY_TIME;
+    if let Some(retry_after) = request.start_after.filter(|_| programs_discovered) {
+        return Some(ReservationResponse::OverRate(retry_after));
     }
-    let beginning = tables
-        .gate
-        .decide(&ask.program, ask.load_per_slot, ask.priority, rand::random(), now);
-    match beginning {
+    let start_decision = tables.start_gate.decide(
+        &request.program,
+        request.load_per_slot,
+        request.priority,
+        rand::random(),
+        now,
+    );
+    match start_decision {
         Beginning::Admitted => None,
-        Beginning::Refused { retry_after } => Some(HoldReply::Later(retry_after)),
+        Beginning::Refused { retry_after } => Some(ReservationResponse::Deferred(retry_after)),
     }
 }
 
-/// A call that waits for tokens of its program's budget.
+/// Guard that removes a waiting call from the ledger when dropped.
 #[derive(Debug)]
-struct Waiting<'a> {
+struct WaitingCall<'a> {
     shared: &'a Shared,
-    ask: &'a HoldAsk,
+    request: &'a ReservationRequest,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingCall<'_> {
     fn drop(&mut self) {
-        let ask = self.ask;
-        self.shared.tables().ledger.leave(&ask.program, ask.most_tokens);
+        let request = self.request;
+        self.shared
+            .tables()
+            .ledger
+            .leave(&request.program, request.max_tokens);
     }
 }
 
-/// Holds tokens at this host; `keeps` says whether it keeps the program's account.
-async fn hold_here(shared: &Shared, ask: &HoldAsk, keeps: bool, wait_ends_at: Instant) -> HoldReply {
-    let program = &ask.program;
-    if let Some(reply) = kept_from_beginning(shared, ask) {
-        return reply;
+/// Reserves tokens in the ledger of this host.
+async fn reserve_locally(
+    shared: &Shared,
+    request: &ReservationRequest,
+    owns_budget: bool,
+    deadline: Instant,
+) -> ReservationResponse {
+    let program = &request.program;
+    if let Some(response) = check_program_start(shared, request) {
+        return response;
     }
-    let begins = {
+    let starts_program = {
         let mut tables = shared.tables();
-        let begins = !tables.ledger.knows(program);
-        tables
-            .ledger
-            .enter(program, ask.budget_tokens, ask.most_tokens, keeps, Instant::now());
-        begins
+        let starts_program = !tables.ledger.knows(program);
+        tables.ledger.enter(
+            program,
+            request.budget_tokens,
+            request.max_tokens,
+            owns_budget,
+            Instant::now(),
+        );
+        starts_program
     };
-    let _waiting = Waiting { shared, ask };
+    let _waiting_call = WaitingCall { shared, request };
     loop {
         let mut changed = pin!(shared.reservations_changed.notified());
         changed.as_mut().enable();
-        let need = shared.tables().ledger.take(program, ask.most_tokens);
-        let patience = wait_ends_at.saturating_duration_since(Instant::now());
+        let need = shared.tables().ledger.take(program, request.max_tokens);
+        let time_left = deadline.saturating_duration_since(Instant::now());
         match need {
-            Need::Ready => return HoldReply::Held { begins },
-            Need::Spent => return HoldReply::Spent,
-            Need::Room if patience.is_zero() => return HoldReply::NoRoom,
-            Need::Write if store_is_lost(shared) => return HoldReply::StoreLost,
-            Need::Write if patience.is_zero() => return HoldReply::NoStore,
+            Need::Ready => return ReservationResponse::Reserved { starts_program },
+            Need::Spent => return ReservationResponse::BudgetExhausted,
+            Need::Room if time_left.is_zero() => return ReservationResponse::FullyReserved,
+            Need::Write if store_writes_are_failing(shared) => return ReservationResponse::StoreUnavailable,
+            Need::Write if time_left.is_zero() => return ReservationResponse::StoreTimeout,
             Need::Room => {
-                // Other hosts give back in the store, calls of this host by the notice.
-                let _ended = timeout(patience.min(ROOM_PAUSE), changed).await;
-                let wants_look = shared.tables().ledger.wants_look(program, Instant::now());
-                if wants_look {
-                    look_again(shared, program).await;
+                // Calls of this host trigger the notification when they release tokens. Tokens released by
+                // other hosts are only visible in the store.
+                let _ended = timeout(time_left.min(BUDGET_RECHECK_INTERVAL), changed).await;
+                let is_recheck_due = shared.tables().ledger.wants_look(program, Instant::now());
+                if is_recheck_due {
+                    refresh_budget(shared, program).await;
                 }
             }
             Need::Write => {
-                shared.reservation_wanted.notify_one();
-                // A wait that ends without a change is seen to by the next round.
-                let _ended = timeout(patience, changed).await;
+                shared.reservation_requested.notify_one();
+                // On a timeout, the next iteration returns the error.
+                let _ended = timeout(time_left, changed).await;
             }
         }
     }
--- a/crates/burdockroad-gateway/src/call.rs
+++ b/crates/burdockroad-gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! A call from its head to its answer.
+//! Serves one call, from its request head to the end of its response.
 
 mod record;
 
@@ -21,29 +21,29 @@
 use self::record::as_ms;
 use crate::{
     CallHead,
-    attempt::{Arrived, Call, CallerRequest, Opened, call_time},
-    budgets::{HoldAsk, NotHeld, hold},
+    attempt::{AdmittedCall, Call, CallerRequest, OpenedResponse, call_timeout},
+    budgets::{ReservationError, ReservationRequest, reserve},
     refusal::Refusal,
     shared::{Shared, Tables},
-    stream::{AnswerBody, read_whole, relay_events},
+    stream::{ResponseBody, read_whole, relay_events},
 };
 
 /// Serves one call.
-pub(crate) async fn serve(shared: Arc<Shared>, request: Request<Incoming>) -> Response<AnswerBody> {
+pub(crate) async fn serve(shared: Arc<Shared>, request: Request<Incoming>) -> Response<ResponseBody> {
     let started_at = Instant::now();
     let (parts, body) = request.into_parts();
     let head = match shared.dialect.read_call(&parts.headers) {
         Ok(head) => head,
-        Err(bad) => return refuse_early(&shared, None, Refusal::BadHead(bad.field), started_at),
+        Err(bad) => return refuse_before_sending(&shared, None, Refusal::BadHead(bad.field), started_at),
     };
-    let admitted = match admit(&shared, &head, &parts) {
-        Ok(admitted) => admitted,
-        Err(refusal) => return refuse_early(&shared, Some(&head), refusal, started_at),
+    let context = match admit(&shared, &head, &parts) {
+        Ok(context) => context,
+        Err(refusal) => return refuse_before_sending(&shared, Some(&head), refusal, started_at),
     };
-    let patience = call_time(&head, &admitted.route);
-    let body = match read_body(body, &admitted.limits, patience).await {
+    let body_timeout = call_timeout(&head, &context.route);
+    let body = match read_body(body, &context.limits, body_timeout).await {
         Ok(body) => body,
-        Err(refusal) => return refuse_early(&shared, Some(&head), refusal, started_at),
+        Err(refusal) => return refuse_before_sending(&shared, Some(&head), refusal, started_at),
     };
     let request = CallerRequest {
         method: parts.method,
@@ -53,65 +53,68 @@
     };
     let record = CallRecord::new(
         started_at,
-        admitted.directory_version,
-        admitted.directory_age,
-        admitted.event_tokens,
+        context.directory_version,
+        context.directory_age,
+        context.event_tokens,
     );
-    let arrived = Arrived {
+    let admitted_call = AdmittedCall {
         head,
-        route: admitted.route,
-        account: admitted.account,
-        service: admitted.service,
+        route: context.route,
+        account: context.account,
+        service: context.service,
         request,
         started_at,
         record,
     };
-    let mut call = Call::new(Arc::clone(&shared), arrived);
-    match run(&mut call, admitted.standing).await {
-        Ok(Opening::Whole(response)) => response,
-        Ok(Opening::Events(opened)) => pass_on(call, opened),
+    let mut call = Call::new(Arc::clone(&shared), admitted_call);
+    match run(&mut call, context.rate_status).await {
+        Ok(ServedResponse::Full(response)) => response,
+        Ok(ServedResponse::Events(opened)) => relay_stream(call, opened),
         Err(refusal) => {
             call.record.refused = Some(refusal);
-            refusal.answer(&*shared.dialect, Some(&call.head.call_id))
+            refusal.response(&*shared.dialect, Some(&call.head.call_id))
         }
     }
 }
 
-/// What the configuration and the account's rate allow a call.
-struct Admitted {
+/// Route, account and limits that apply to a call.
+struct CallContext {
     route: Arc<Route>,
     account: Option<Arc<Account>>,
     service: String,
-    standing: Standing,
+    rate_status: RateStatus,
     limits: CallerLimits,
     directory_version: u64,
     directory_age: Duration,
     event_tokens: u64,
 }
 
-/// How a call stands with its account's rate.
+/// Whether a call is already counted against its account's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
-    /// It is counted.
+enum RateStatus {
+    /// The call is counted.
     Counted,
-    /// Whether its program has begun is for the keeper of the program's account to say.
-    Open {
-        /// When a program may begin; none when one may begin now.
-        begins_after: Option<Duration>,
+    /// The call is counted after its reservation, because only the budget owner can tell whether the call
+    /// starts its program.
+    Undecided {
+        /// Time until the rate limit allows another program to start; `None` when one may start now.
+        start_after: Option<Duration>,
     },
 }
 
-/// An answer that has begun.
-enum Opening {
-    Whole(Response<AnswerBody>),
-    Events(Opened),
+/// A response that is ready to be sent to the caller.
+enum ServedResponse {
+    /// A response that was read completely.
+    Full(Response<ResponseBody>),
+    /// An event stream whose head has arrived.
+    Events(OpenedResponse),
 }
 
-/// Decides on what is known at arrival.
-fn admit(shared: &Shared, head: &CallHead, parts: &Parts) -> Result<Admitted, Refusal> {
+/// Admits or refuses a call by its head, before its body is read.
+fn admit(shared: &Shared, head: &CallHead, parts: &Parts) -> Result<CallContext, Refusal> {
     let mut tables = shared.tables();
     let directory = tables.directory.clone().ok_or(Refusal::NotReady)?;
-    if tables.hosts == 0 {
+    if tables.host_count == 0 {
         return Err(Refusal::NotReady);
     }
     let host = parts
@@ -122,67 +125,78 @@
         .or_else(|| parts.uri.host())
         .ok_or(Refusal::BadHead("host"))?;
     let route = directory.route(host, parts.uri.path()).ok_or(Refusal::NoRoute)?;
-    let account = match directory.account(route, head.key.as_deref()) {
+    let account = match directory.account(route, head.api_key.as_deref()) {
         Lookup::Account(account) => Some(account),
         Lookup::Anonymous => None,
         Lookup::Unknown => return Err(Refusal::UnknownKey),
     };
-    let standing = match &account {
-        Some(account) => count_in(&mut tables, head, route, account)?,
-        None => Standing::Counted,
+    let rate_status = match &account {
+        Some(account) => count_against_rate(&mut tables, head, route, account)?,
+        None => RateStatus::Counted,
     };
     let service = choose_target(&route.targets).ok_or(Refusal::NoRoute)?;
-    Ok(Admitted {
+    Ok(CallContext {
         route: Arc::clone(route),
         account,
-        standing,
+        rate_status,
         limits: directory.document().limits,
         directory_version: directory.version(),
-        directory_age: tables.directory_at.map_or(Duration::ZERO, |at| at.elapsed()),
+        directory_age: tables
+            .directory_applied_at
+            .map_or(Duration::ZERO, |at| at.elapsed()),
         event_tokens: event_tokens(&directory, &service),
         service,
     })
 }
 
-/// Counts a call against its account's rate, unless it may begin a program: a program begins with a
-/// generation, and one that this host does not know may have begun through another.
-fn count_in(
+/// Counts a call against its account's rate limit, unless the call may start a program.
+///
+/// A program starts with a generation. A program that has no recent call at this host may have started
+/// through another host.
+fn count_against_rate(
     tables: &mut Tables,
     head: &CallHead,
     route: &Route,
     account: &Account,
-) -> Result<Standing, Refusal> {
+) -> Result<RateStatus, Refusal> {
     let now = Instant::now();
     let program = head.program.as_ref();
-    let unknown = program.filter(|program| !tables.programs.is_known(&program.id, now));
-    if route.kind.is_stream() && unknown.is_some_and(|program| program.budget_tokens.is_some()) {
-        let begins_after = match tables.allowances.may_begin(&account.name, now) {
+    let new_program = program.filter(|program| !tables.recent_programs.is_known(&program.id, now));
+    if route.kind.is_stream() && new_program.is_some_and(|program| program.budget_tokens.is_some()) {
+        let start_after = match tables.allowances.may_begin(&account.name, now) {
             Admission::Admitted => None,
             Admission::Refused { retry_after } => Some(retry_after),
         };
-        return Ok(Standing::Open { begins_after });
+        return Ok(RateStatus::Undecided { start_after });
     }
     count(tables, head, account, false)?;
-    Ok(Standing::Counted)
+    Ok(RateStatus::Counted)
 }
 
-fn count(tables: &mut Tables, head: &CallHead, account: &Account, begins: bool) -> Result<(), Refusal> {
+/// Counts a call against its account's rate limit, or refuses it.
+fn count(
+    tables: &mut Tables,
+    head: &CallHead,
+    account: &Account,
+    starts_program: bool,
+) -> Result<(), Refusal> {
     let now = Instant::now();
-    if let Admission::Refused { retry_after } = tables.allowances.admit(&account.name, begins, now) {
+    if let Admission::Refused { retry_after } = tables.allowances.admit(&account.name, starts_program, now) {
         return Err(Refusal::OverRate(retry_after));
     }
     if let Some(program) = &head.program {
-        tables.programs.note(&program.id, now);
+        tables.recent_programs.note(&program.id, now);
     }
     Ok(())
 }
 
+/// Returns the tokens that one event of the service counts as.
 fn event_tokens(directory: &Directory, service: &str) -> u64 {
     let engine = directory.service(service).and_then(|service| service.engine);
     engine.map_or(1, |engine| engine.event_tokens.max(1))
 }
 
-/// Picks one of a route's services by weight.
+/// Chooses one of a route's services at random, in proportion to their weights.
 fn choose_target(targets: &[Target]) -> Option<String> {
     if let [only] = targets {
         return Some(only.service.clone());
@@ -198,39 +212,42 @@
     None
 }
 
-async fn read_body(body: Incoming, limits: &CallerLimits, patience: Duration) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, limits: &CallerLimits, body_timeout: Duration) -> Result<Bytes, Refusal> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     let limited = Limited::new(body, limits.body_max_bytes);
-    match timeout(patience, limited.collect()).await {
+    match timeout(body_timeout, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLong),
         Ok(Err(_)) | Err(_) => Err(Refusal::BodyIncomplete),
     }
 }
 
-/// Reserves what the call may generate, and finds an endpoint that answers it.
-async fn run(call: &mut Call, standing: Standing) -> Result<Opening, Refusal> {
-    set_aside_tokens(call, standing).await?;
-    if let (Standing::Open { .. }, Some(account)) = (standing, &call.account) {
-        let begins = call.hold.as_ref().is_some_and(|hold| hold.begins);
-        count(&mut call.shared.tables(), &call.head, account, begins)?;
+/// Reserves the tokens that the call may generate, and sends the call to endpoints until one responds.
+async fn run(call: &mut Call, rate_status: RateStatus) -> Result<ServedResponse, Refusal> {
+    reserve_tokens(call, rate_status).await?;
+    if let (RateStatus::Undecided { .. }, Some(account)) = (rate_status, &call.account) {
+        let starts_program = call
+            .reservation
+            .as_ref()
+            .is_some_and(|reservation| reservation.starts_program);
+        count(&mut call.shared.tables(), &call.head, account, starts_program)?;
     }
     loop {
         let opened = call.open(call.head.last_event).await?;
-        call.record.note_first_byte();
+        call.record.record_first_byte();
         call.record.status = opened.response.status().as_u16();
         if call.route.kind.is_stream() && opened.response.status().is_success() {
-            return Ok(Opening::Events(opened));
+            return Ok(ServedResponse::Events(opened));
         }
         let (mut parts, body) = opened.response.into_parts();
         let Some(body) = read_whole(call, body).await else {
-            if call.note_broken() && !call.time_left().is_zero() {
+            if call.record_broken_response() && !call.time_left().is_zero() {
                 continue;
             }
-            let over = call.time_left().is_zero();
-            return Err(if over {
+            let timed_out = call.time_left().is_zero();
+            return Err(if timed_out {
                 Refusal::TimeOver
             } else {
                 Refusal::UnknownOutcome
@@ -238,16 +255,16 @@
         };
         call.finish(opened.connection, opened.head.keep_alive);
         call.record.complete = true;
-        call.shared.dialect.write_answer(&mut parts.headers);
-        return Ok(Opening::Whole(Response::from_parts(
+        call.shared.dialect.write_response(&mut parts.headers);
+        return Ok(ServedResponse::Full(Response::from_parts(
             parts,
-            AnswerBody::full(body),
+            ResponseBody::full(body),
         )));
     }
 }
 
-/// Sets a generation's tokens aside from its program's budget.
-async fn set_aside_tokens(call: &mut Call, standing: Standing) -> Result<(), Refusal> {
+/// Reserves the tokens of a generation in its program's budget.
+async fn reserve_tokens(call: &mut Call, rate_status: RateStatus) -> Result<(), Refusal> {
     let Some(program) = &call.head.program else {
         return Ok(());
     };
@@ -257,41 +274,42 @@
     if !call.route.kind.is_stream() {
         return Ok(());
     }
-    let most_tokens = tokens.answer_max.next_multiple_of(call.record.event_tokens);
-    let waited_from = Instant::now();
+    let max_tokens = tokens.max_output.next_multiple_of(call.record.event_tokens);
+    let requested_at = Instant::now();
     let load_per_slot = call.load_per_slot();
     call.record.load_per_slot = Some(load_per_slot);
-    let ask = HoldAsk {
+    let request = ReservationRequest {
         call_id: call.head.call_id.clone(),
         program: program.id.clone(),
         budget_tokens,
-        most_tokens,
+        max_tokens,
         load_per_slot,
         priority: call.priority(),
-        begins_after: match standing {
-            Standing::Counted => None,
-            Standing::Open { begins_after } => begins_after,
+        start_after: match rate_status {
+            RateStatus::Counted => None,
+            RateStatus::Undecided { start_after } => start_after,
         },
         time_left: call.time_left(),
     };
-    let answered = hold(&call.shared, ask).await;
-    call.record.reserve_wait = waited_from.elapsed();
-    match answered {
-        Ok(hold) => {
-            call.hold = Some(hold);
+    let result = reserve(&call.shared, request).await;
+    call.record.reserve_wait = requested_at.elapsed();
+    match result {
+        Ok(reservation) => {
+            call.reservation = Some(reservation);
             Ok(())
         }
-        Err(NotHeld::Later { retry_after }) => Err(Refusal::NoEndpoint(retry_after)),
-        Err(NotHeld::OverRate { retry_after }) => Err(Refusal::OverRate(retry_after)),
-        Err(NotHeld::Spent) => Err(Refusal::BudgetSpent),
-        Err(NotHeld::NoStore { retry_after }) => Err(Refusal::NoReservation(retry_after)),
+        Err(ReservationError::Deferred { retry_after }) => Err(Refusal::NoEndpoint(retry_after)),
+        Err(ReservationError::OverRate { retry_after }) => Err(Refusal::OverRate(retry_after)),
+        Err(ReservationError::BudgetExhausted) => Err(Refusal::BudgetSpent),
+        Err(ReservationError::StoreUnavailable { retry_after }) => Err(Refusal::NoReservation(retry_after)),
     }
 }
 
-fn pass_on(mut call: Call, mut opened: Opened) -> Response<AnswerBody> {
+/// Builds the caller's response around an endpoint's event stream.
+fn relay_stream(mut call: Call, mut opened: OpenedResponse) -> Response<ResponseBody> {
     let status = opened.response.status();
     let mut headers = std::mem::take(opened.response.headers_mut());
-    call.shared.dialect.write_answer(&mut headers);
+    call.shared.dialect.write_response(&mut headers);
     call.record.status = status.as_u16();
     let mut response = Response::new(relay_events(call, opened));
     *response.status_mut() = status;
@@ -299,13 +317,13 @@
     response
 }
 
-/// Answers a call of which nothing was sent anywhere.
-fn refuse_early(
+/// Refuses a call that was not sent to any endpoint.
+fn refuse_before_sending(
     shared: &Shared,
     head: Option<&CallHead>,
     refusal: Refusal,
     started_at: Instant,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let call_id = head.map(|head| head.call_id.as_str());
     metrics::counter!("burdockroad_calls_total", "outcome" => refusal.name()).increment(1);
     shared.log.line(
@@ -318,17 +336,17 @@
                 _ => None,
             },
             program: head.and_then(|head| Some(head.program.as_ref()?.id.as_str())),
-            key: head.and_then(|head| head.key.as_deref()).map(key_mark),
+            key: head.and_then(|head| head.api_key.as_deref()).map(key_hash),
             status: refusal.status().as_u16(),
             retry_after_ms: refusal.retry_after().map(as_ms),
             total_ms: as_ms(started_at.elapsed()),
         },
     );
-    refusal.answer(&*shared.dialect, call_id)
+    refusal.response(&*shared.dialect, call_id)
 }
 
-/// A mark that tells keys apart in the log.
-fn key_mark(key: &str) -> u64 {
+/// Returns a hash that distinguishes keys in the log.
+fn key_hash(key: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
     hasher.finish()
@@ -340,7 +358,7 @@
     reason: &'static str,
     detail: Option<&'static str>,
     program: Option<&'a str>,
-    /// Hash of the key, which tells callers apart and opens nothing.
+    /// Hash of the key. It distinguishes callers in the log without revealing the key.
     key: Option<u64>,
     status: u16,
     retry_after_ms: Option<u64>,
--- a/crates/burdockroad-gateway/src/call/record.rs
+++ b/crates/burdockroad-gateway/src/call/record.rs
@@ -1,4 +1,4 @@
-//! What a call did, and its lines in the log.
+//! Records the course of a call and writes its log lines.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 
 use crate::{CallHead, refusal::Refusal, shared::Shared};
 
-/// What a call did, for its log line.
+/// Course of a call, as written to its log line.
 #[derive(Debug, Default)]
 pub(crate) struct CallRecord {
     pub(crate) directory_version: u64,
@@ -18,9 +18,11 @@
     pub(crate) complete: bool,
     pub(crate) refused: Option<Refusal>,
     pub(crate) reserve_wait: Duration,
-    /// Calls for each slot of the service when the call asked for its tokens.
+    /// Calls per slot of the service when the call requested its reservation.
     pub(crate) load_per_slot: Option<f64>,
+    /// Events sent to the caller.
     pub(crate) events: u64,
+    /// Number of times that the stream was resumed at an endpoint.
     pub(crate) resumed: u32,
     attempts: u32,
     endpoint: String,
@@ -45,23 +47,23 @@
         }
     }
 
-    /// Tokens that the caller was handed.
+    /// Returns the tokens that were sent to the caller.
     pub(crate) fn tokens_used(&self) -> u64 {
         self.events * self.event_tokens
     }
 
-    pub(crate) fn note_attempt(&mut self, placement: &Placement) {
+    pub(crate) fn record_attempt(&mut self, placement: &Placement) {
         self.attempts += 1;
         self.endpoint.clone_from(&placement.endpoint.id);
         self.endpoint_load = placement.load;
         self.expected_ms = placement.expected_ms;
     }
 
-    pub(crate) fn note_first_byte(&mut self) {
+    pub(crate) fn record_first_byte(&mut self) {
         self.first_byte = self.started_at.map(|at| at.elapsed());
     }
 
-    pub(crate) fn note_failure(
+    pub(crate) fn record_failure(
         &self,
         shared: &Shared,
         head: &CallHead,
@@ -78,7 +80,7 @@
         metrics::counter!("burdockroad_attempts_failed_total", "failure" => name).increment(1);
         shared.log.line(
             "attempt_failed",
-            &FailureLine {
+            &AttemptFailedLine {
                 id: &head.call_id,
                 endpoint: &endpoint.id,
                 failure: name,
@@ -87,7 +89,7 @@
         );
     }
 
-    /// Writes the call's line and counts it.
+    /// Writes the call's log line and updates the metrics.
     pub(crate) fn close(&self, shared: &Shared, head: &CallHead, route: &Route, account: Option<&Account>) {
         let outcome = match (self.refused, self.complete) {
             (Some(refusal), _) => refusal.name(),
@@ -111,7 +113,7 @@
                 account,
                 program: head.program.as_ref().map(|program| program.id.as_str()),
                 budget_tokens: head.program.as_ref().and_then(|program| program.budget_tokens),
-                answer_max_tokens: head.tokens.map(|tokens| tokens.answer_max),
+                answer_max_tokens: head.tokens.map(|tokens| tokens.max_output),
                 config_version: self.directory_version,
                 config_age_ms: as_ms(self.directory_age),
                 endpoint: &self.endpoint,
@@ -121,7 +123,7 @@
                 resumed: self.resumed,
                 events: self.events,
                 reserve_ms: as_ms(self.reserve_wait),
-                load_per_slot: self.load_per_slot.map(two_digits),
+                load_per_slot: self.load_per_slot.map(round_to_hundredths),
                 retry_after_ms: self.refused.and_then(Refusal::retry_after).map(as_ms),
                 first_byte_ms: self.first_byte.map(as_ms),
                 total_ms: as_ms(total),
@@ -156,18 +158,18 @@
 }
 
 #[derive(Serialize)]
-struct FailureLine<'a> {
+struct AttemptFailedLine<'a> {
     id: &'a str,
     endpoint: &'a str,
     failure: &'static str,
     attempt: u32,
 }
 
-fn two_digits(number: f64) -> f64 {
+fn round_to_hundredths(number: f64) -> f64 {
     (number * 100.0).round() / 100.0
 }
 
-/// A time in whole milliseconds, as log lines have it.
-pub(super) fn as_ms(time: Duration) -> u64 {
-    u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
+/// Converts a duration to whole milliseconds for log lines.
+pub(super) fn as_ms(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/burdockroad-gateway/src/decision_log.rs
+++ b/crates/burdockroad-gateway/src/decision_log.rs
@@ -1,7 +1,8 @@
-//! One structured line for each decision, on standard output.
+//! Log with one structured line per decision, written to standard output.
 //!
-//! Lines go to a bounded buffer that a thread of its own empties, so that a reader which stops reading
-//! costs lines and never time. Writing at once was refused: a full pipe would hold up the calls.
+//! Lines are added to a bounded buffer, which a separate thread writes out. If the reader stops reading, lines
+//! are dropped, but calls are never delayed. Lines are not written directly because a full pipe would block
+//! the calls.
 
 use std::{
     io::{self, Write},
@@ -12,13 +13,13 @@
 
 use serde::Serialize;
 
-/// Bytes that wait for the reader at the most.
+/// Size of the buffer at which further lines are dropped.
 const BUFFER_MAX_BYTES: usize = 512 << 10;
 
-/// Time in which lines are collected for one write.
-const COLLECT_TIME: Duration = Duration::from_millis(100);
+/// Time for which lines are collected before each write.
+const COLLECTION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Writes structured lines without ever waiting for their reader; clones share one buffer.
+/// Structured log that never blocks on its reader. Clones share one buffer.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     inner: Arc<Inner>,
@@ -27,7 +28,7 @@
 #[derive(Debug)]
 struct Inner {
     buffer: Mutex<Buffer>,
-    filled: Condvar,
+    line_added: Condvar,
 }
 
 #[derive(Debug, Default)]
@@ -43,18 +44,18 @@
         Self::to_writer(io::stdout())
     }
 
-    /// Starts a log that writes to `writer`, on a thread of its own.
+    /// Starts a log that writes to `writer` on a separate thread.
     pub fn to_writer(writer: impl Write + Send + 'static) -> Self {
         let inner = Arc::new(Inner {
             buffer: Mutex::default(),
-            filled: Condvar::new(),
+            line_added: Condvar::new(),
         });
-        let for_thread = Arc::clone(&inner);
-        thread::spawn(move || write_lines(&for_thread, writer));
+        let thread_inner = Arc::clone(&inner);
+        thread::spawn(move || write_lines(&thread_inner, writer));
         Self { inner }
     }
 
-    /// Adds a line: the time, the name of the event, and its fields, which must be an object.
+    /// Adds a line with the time, the name of the event and its fields. `fields` must serialize to an object.
     pub fn line(&self, event: &'static str, fields: &impl Serialize) {
         let mut buffer = self.lock();
         if buffer.bytes.len() > BUFFER_MAX_BYTES {
@@ -66,21 +67,21 @@
         push_line(&mut buffer.bytes, event, fields);
         drop(buffer);
         if was_empty {
-            self.inner.filled.notify_one();
+            self.inner.line_added.notify_one();
         }
     }
 
-    /// Lines that were dropped so far since nobody read them.
+    /// Returns the number of lines dropped so far because the buffer was full.
     pub fn dropped_lines(&self) -> u64 {
         self.lock().dropped_lines
     }
 
-    /// Writes out what is waiting, for `patience` at the most.
-    pub fn close(self, patience: Duration) {
+    /// Closes the log and waits at most `flush_timeout` until the buffered lines are written.
+    pub fn close(self, flush_timeout: Duration) {
         self.lock().closed = true;
-        self.inner.filled.notify_one();
-        let steps = (patience.as_millis() / 10).max(1);
-        for _ in 0..steps {
+        self.inner.line_added.notify_one();
+        let polls = (flush_timeout.as_millis() / 10).max(1);
+        for _ in 0..polls {
             if self.lock().bytes.is_empty() {
                 return;
             }
@@ -93,16 +94,17 @@
     }
 }
 
+/// Appends one line to the buffer. Fields that do not serialize to an object are discarded with their line.
 fn push_line(bytes: &mut Vec<u8>, event: &'static str, fields: &impl Serialize) {
     let start = bytes.len();
     let unix_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis());
-    let head = write!(bytes, "{{\"unix_ms\":{unix_ms},\"event\":\"{event}\",");
+    let prefix_result = write!(bytes, "{{\"unix_ms\":{unix_ms},\"event\":\"{event}\",");
     let brace_at = bytes.len();
-    let body = serde_json::to_writer(&mut *bytes, fields);
+    let fields_result = serde_json::to_writer(&mut *bytes, fields);
     let is_object = bytes.get(brace_at) == Some(&b'{');
-    if head.is_err() || body.is_err() || !is_object {
+    if prefix_result.is_err() || fields_result.is_err() || !is_object {
         bytes.truncate(start);
         return;
     }
@@ -110,17 +112,20 @@
     bytes.push(b'\n');
 }
 
-/// Empties the buffer again and again; ends when the log is closed or nobody reads any more.
+/// Writes out the buffer until the log is closed or a write fails.
 fn write_lines(inner: &Inner, mut writer: impl Write) {
     loop {
         let mut buffer = inner.buffer.lock().unwrap_or_else(PoisonError::into_inner);
         while buffer.bytes.is_empty() && !buffer.closed {
-            buffer = inner.filled.wait(buffer).unwrap_or_else(PoisonError::into_inner);
+            buffer = inner
+                .line_added
+                .wait(buffer)
+                .unwrap_or_else(PoisonError::into_inner);
         }
         let closed = buffer.closed;
         drop(buffer);
         if !closed {
-            thread::sleep(COLLECT_TIME);
+            thread::sleep(COLLECTION_INTERVAL);
         }
         let mut buffer = inner.buffer.lock().unwrap_or_else(PoisonError::into_inner);
         let lines = std::mem::take(&mut buffer.bytes);
--- a/crates/burdockroad-gateway/src/dialect.rs
+++ b/crates/burdockroad-gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers, endpoints and stored values are spelled.
+//! Translation between the gateway's types and a platform's headers and stored values.
 
 use std::{fmt, time::Duration};
 
@@ -8,52 +8,52 @@
 };
 use http::{HeaderMap, StatusCode};
 
-/// Translates between the gateway's types and those of the platform that it runs on.
+/// Translates between the gateway's types and the headers and stored values of the platform it runs on.
 ///
-/// An implementation translates and decides nothing.
+/// Implementations only translate; they make no decisions.
 pub trait Dialect: fmt::Debug + Send + Sync {
     /// Reads the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Fails when a field that is needed is missing or malformed.
+    /// Fails when a required header is missing or a header is malformed.
     fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, BadHead>;
 
-    /// Turns a caller's headers into those for an endpoint.
+    /// Converts a caller's headers to the headers of the forwarded request.
     fn write_forward(&self, headers: &mut HeaderMap, forward: &ForwardHead<'_>);
 
-    /// Reads the head of an endpoint's answer.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
+    /// Reads the head of an endpoint's response.
+    fn read_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
 
-    /// Turns an endpoint's headers into those for a caller.
-    fn write_answer(&self, headers: &mut HeaderMap);
+    /// Converts the headers of an endpoint's response to those of the response to the caller.
+    fn write_response(&self, headers: &mut HeaderMap);
 
-    /// Adds to an answer of the gateway's own which call it belongs to.
-    fn write_own_answer(&self, headers: &mut HeaderMap, call_id: &str);
+    /// Adds the call id to a response that the gateway generates itself.
+    fn write_gateway_response(&self, headers: &mut HeaderMap, call_id: &str);
 
-    /// Key under which the configuration is stored.
+    /// Returns the key of the configuration document.
     fn document_key(&self) -> &str;
 
-    /// Prefix of the keys under which endpoints register themselves.
+    /// Returns the prefix of the keys under which endpoints register themselves.
     fn endpoints_prefix(&self) -> &str;
 
-    /// Key under which the operator orders a host to be emptied.
+    /// Returns the key under which the operator orders the removal of a host.
     fn removal_order_key(&self, host: &str) -> String;
 
-    /// Key under which a host says how far it is emptied.
+    /// Returns the key under which a host reports the progress of its removal.
     fn removal_status_key(&self, host: &str) -> String;
 
-    /// What a host that holds nothing says there.
+    /// Returns the progress value of a host that stores no data and can be removed.
     fn removal_done(&self) -> Vec<u8>;
 
-    /// Reads a stored configuration.
+    /// Decodes a configuration document.
     ///
     /// # Errors
     ///
     /// Fails when the value is malformed.
     fn read_document(&self, value: &[u8]) -> Result<Document, DecodeError>;
 
-    /// Reads the entry of the endpoint `id`.
+    /// Decodes the entry of the endpoint `id`.
     ///
     /// # Errors
     ///
@@ -61,88 +61,88 @@
     fn read_endpoint(&self, id: &str, value: &[u8]) -> Result<Endpoint, DecodeError>;
 }
 
-/// What a call's head says.
+/// Information from the head of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallHead {
-    /// Id of this attempt of the caller.
+    /// Id of the caller's attempt.
     pub call_id: String,
-    /// The caller's key.
-    pub key: Option<String>,
-    /// Time that the caller waits.
+    /// The caller's API key.
+    pub api_key: Option<String>,
+    /// Time that the caller waits for the response.
     pub deadline: Option<Duration>,
     /// Program that the call belongs to.
     pub program: Option<ProgramHead>,
-    /// Tokens of the prompt and of the answer.
+    /// Tokens of the prompt and of the output.
     pub tokens: Option<TokenCount>,
-    /// Parts of the prompt.
-    pub parts: Vec<PromptPart>,
-    /// Last event that the caller has, for a stream that goes on.
+    /// Parts of the prompt, for choosing an endpoint that has them cached.
+    pub prompt_parts: Vec<PromptPart>,
+    /// Last event that the caller has received, when it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// Program that a call belongs to.
+/// Information on the program that a call belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProgramHead {
     /// Id of the program.
     pub id: ProgramId,
-    /// Tokens that the program may generate in all.
+    /// Total number of tokens that the program may generate.
     pub budget_tokens: Option<u64>,
-    /// Time until the program should have ended.
+    /// Time until the program's deadline.
     pub time_left: Option<Duration>,
 }
 
-/// Size of a generation.
+/// Token counts of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenCount {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Tokens generated at the most.
-    pub answer_max: u64,
+    /// Upper bound of the generated tokens.
+    pub max_output: u64,
 }
 
-/// What an endpoint is told beside the caller's own headers.
+/// Information that the gateway adds to a forwarded request.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardHead<'a> {
-    /// Endpoint that the call is meant for.
+    /// Endpoint that the request is sent to.
     pub endpoint: &'a str,
     /// Account that the call belongs to.
     pub account: Option<&'a str>,
-    /// Time left.
+    /// Time left until the call's deadline.
     pub time_left: Duration,
-    /// Event after which a stream is to go on.
+    /// Event after which a stream resumes.
     pub last_event: Option<u64>,
-    /// Rank from 0, the most urgent, to 9.
+    /// Priority from 0, the most urgent, to 9.
     pub priority: u8,
 }
 
-/// What the head of an endpoint's answer says.
+/// Information from the head of an endpoint's response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
-    /// Call that the endpoint answers.
+pub struct ResponseHead {
+    /// Id of the call that the endpoint responds to.
     pub call_id: Option<String>,
-    /// Whether the endpoint vouches for the answer.
-    pub signed: bool,
-    /// Whether the endpoint says that it did not run the call.
+    /// Whether the endpoint attests that the response is its own.
+    pub attested: bool,
+    /// Whether the endpoint states that it did not run the call.
     pub not_run: bool,
-    /// Whether another endpoint has the address.
+    /// Whether the address now belongs to another endpoint.
     pub wrong_endpoint: bool,
-    /// The endpoint's load.
+    /// Load of the endpoint.
     pub load: Option<LoadReading>,
-    /// Time for which the endpoint keeps the connection.
+    /// Time for which the endpoint keeps an idle connection open.
     pub keep_alive: Option<Duration>,
 }
 
-/// Why a call's head cannot be used.
+/// Error of a request head that cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadHead {
-    /// Which field is missing or malformed.
+    /// Name of the missing or malformed field.
     pub field: &'static str,
 }
 
-/// Why a stored value cannot be used.
+/// Error of a stored value that cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecodeError {
-    /// What is wrong with it.
+    /// Description of the error.
     pub reason: String,
 }
 
--- a/crates/burdockroad-gateway/src/disk_host.rs
+++ b/crates/burdockroad-gateway/src/disk_host.rs
@@ -1,7 +1,7 @@
-//! A host with a disk, which the platform asks for and the gateway has no use for.
+//! Host with a disk, which the platform requires but the gateway does not use.
 //!
-//! All that has to last lies in the shared store, so such a host holds nothing. It only answers orders to
-//! be emptied, at once and truly: it is empty.
+//! All persistent state is in the shared store, so such a host stores no data. It only responds to removal
+//! orders, and reports immediately that its removal is complete.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,18 +11,18 @@
 use serde::Serialize;
 use tokio::{sync::mpsc, time::sleep};
 
-use crate::{Change, Changes, ConditionalWrite, DecisionLog, Dialect, SharedStore, Signals, Written};
+use crate::{Change, Changes, ConditionalWrite, DecisionLog, Dialect, SharedStore, Signals, WriteOutcome};
 
-/// Time for which a watch waits before it is asked anew.
-const WATCH_WAIT: Duration = Duration::from_secs(5);
+/// Longest time of one watch request.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after a call that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(500);
+/// Interval before a failed call is retried.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest time for the last lines of the log.
-const LOG_PATIENCE: Duration = Duration::from_millis(200);
+/// Timeout for writing the last log lines.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Runs a host that holds nothing, until it is told to stop.
+/// Runs a host that stores no data, until it receives the stop signal.
 pub async fn run_disk_host(
     host: HostId,
     dialect: Arc<dyn Dialect>,
@@ -31,7 +31,7 @@
     mut signals: Signals,
 ) {
     log.line("started", &HostLine { host: &host });
-    let orders = Orders {
+    let orders = RemovalOrders {
         key: dialect.removal_order_key(&host),
         status_key: dialect.removal_status_key(&host),
         done: Bytes::from(dialect.removal_done()),
@@ -39,61 +39,66 @@
         log: log.clone(),
     };
     tokio::select! {
-        () = orders.answer_all() => {}
-        () = stopped(&mut signals.stop) => {}
+        () = orders.respond_to_all() => {}
+        () = wait_for_stop(&mut signals.stop) => {}
     }
     log.line("stopped", &HostLine { host: &host });
-    log.close(LOG_PATIENCE);
+    log.close(LOG_FLUSH_TIMEOUT);
 }
 
-async fn stopped(stop: &mut mpsc::Receiver<()>) {
+async fn wait_for_stop(stop: &mut mpsc::Receiver<()>) {
     if stop.recv().await.is_none() {
         std::future::pending::<()>().await;
     }
 }
 
-struct Orders {
+/// Follows and responds to the removal orders of one host.
+struct RemovalOrders {
+    /// Key of the orders.
     key: String,
+    /// Key of the progress that the host reports.
     status_key: String,
     done: Bytes,
     store: Arc<dyn SharedStore>,
     log: DecisionLog,
 }
 
-impl Orders {
-    async fn answer_all(&self) {
+impl RemovalOrders {
+    /// Responds to orders, and starts again after a failed call.
+    async fn respond_to_all(&self) {
         loop {
             if let Err(error) = self.follow().await {
                 let reason = error.to_string();
-                self.log.line("store_lost", &ReasonLine { reason });
-                sleep(FAILED_PAUSE).await;
+                self.log.line("store_lost", &StoreErrorLine { reason });
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
 
-    /// Follows the orders until a call fails or the history is gone.
+    /// Follows the orders until a call fails or the store has truncated the history.
     async fn follow(&self) -> Result<(), StoreError> {
         let snapshot = self.store.read_range(&self.key).await?;
         for entry in &snapshot.entries {
-            self.answer(entry).await?;
+            self.respond(entry).await?;
         }
         let mut after = snapshot.as_of;
         loop {
-            match self.store.changes(&self.key, after, WATCH_WAIT).await? {
-                Changes::Known { changes, as_of } => {
+            match self.store.changes(&self.key, after, WATCH_TIMEOUT).await? {
+                Changes::Complete { changes, as_of } => {
                     for change in &changes {
                         if let Change::Put(entry) = change {
-                            self.answer(entry).await?;
+                            self.respond(entry).await?;
                         }
                     }
                     after = as_of.max(after);
                 }
-                Changes::HistoryGone => return Ok(()),
+                Changes::HistoryTruncated => return Ok(()),
             }
         }
     }
 
-    async fn answer(&self, order: &Entry) -> Result<(), StoreError> {
+    /// Reports the completed removal.
+    async fn respond(&self, order: &Entry) -> Result<(), StoreError> {
         if order.key != self.key {
             return Ok(());
         }
@@ -104,12 +109,12 @@
             unconditional: true,
             lease: None,
         };
-        let written = self.store.write_all(&[write]).await?;
+        let outcome = self.store.write_all(&[write]).await?;
         self.log.line(
             "removal_answered",
-            &OrderLine {
+            &RemovalLine {
                 order_revision: order.revision,
-                written: matches!(written, Written::Done(_)),
+                written: matches!(outcome, WriteOutcome::Done(_)),
             },
         );
         Ok(())
@@ -122,12 +127,12 @@
 }
 
 #[derive(Serialize)]
-struct ReasonLine {
+struct StoreErrorLine {
     reason: String,
 }
 
 #[derive(Serialize)]
-struct OrderLine {
+struct RemovalLine {
     order_revision: i64,
     written: bool,
 }
--- a/crates/burdockroad-gateway/src/feed.rs
+++ b/crates/burdockroad-gateway/src/feed.rs
@@ -1,4 +1,4 @@
-//! The configuration and the endpoints, as the store holds them.
+//! Applies the configuration and the endpoints from the store to the tables.
 
 use std::{
     collections::HashMap,
@@ -11,24 +11,25 @@
 use serde::Serialize;
 use tokio::time::sleep;
 
-use crate::{Change, budgets::expire_holds, follow::RangeReader, shared::Shared};
+use crate::{Change, budgets::expire_remote_reservations, follow::RangeSubscriber, shared::Shared};
 
-/// Time in which endpoints whose entries lapsed while the store was away register again.
-pub(crate) const REGISTER_AGAIN: Duration = Duration::from_millis(2200);
+/// Time after an outage of the store in which endpoints whose entries expired during it register again.
+pub(crate) const REREGISTRATION_TIME: Duration = Duration::from_millis(2200);
 
-/// Time between two looks at endpoints whose entries are missing.
+/// Interval between two checks for missing endpoints and other expired state.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Reads the configuration.
-pub(crate) struct DocumentReader {
+/// Subscriber of the configuration document.
+pub(crate) struct DocumentSubscriber {
     shared: Arc<Shared>,
 }
 
-impl DocumentReader {
+impl DocumentSubscriber {
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 
+    /// Puts a document into force unless its version is not newer than the current one.
     fn apply(&self, entry: &Entry) {
         if entry.key != self.shared.dialect.document_key() {
             return;
@@ -37,35 +38,37 @@
             Ok(document) => document,
             Err(error) => {
                 let reason = error.to_string();
-                self.shared.log.line("config_unreadable", &ReasonLine { reason });
+                self.shared
+                    .log
+                    .line("config_unreadable", &ConfigUnreadableLine { reason });
                 return;
             }
         };
         let version = document.version;
         let directory = Arc::new(Directory::new(document));
         let mut tables = self.shared.tables();
-        let before = tables.directory.as_ref().map(|directory| directory.version());
-        if before.is_some_and(|before| before >= version) {
+        let previous_version = tables.directory.as_ref().map(|directory| directory.version());
+        if previous_version.is_some_and(|previous| previous >= version) {
             return;
         }
         let accounts = directory.document().accounts.iter().flatten();
         let rates = accounts.map(|account| (&account.name, account.rate_per_s, account.burst));
         tables.allowances.set_accounts(rates);
         tables.directory = Some(directory);
-        tables.directory_at = Some(Instant::now());
+        tables.directory_applied_at = Some(Instant::now());
         drop(tables);
         self.shared.log.line(
             "config_applied",
-            &ConfigLine {
+            &ConfigAppliedLine {
                 version,
-                before,
+                previous_version,
                 revision: entry.revision,
             },
         );
     }
 }
 
-impl RangeReader for DocumentReader {
+impl RangeSubscriber for DocumentSubscriber {
     fn prefix(&self) -> &str {
         self.shared.dialect.document_key()
     }
@@ -76,30 +79,30 @@
         }
     }
 
-    fn change(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         match change {
             Change::Put(entry) => self.apply(entry),
-            Change::Removed { key, .. } => self.shared.log.line("config_removed", &KeyLine { key }),
+            Change::Removed { key, .. } => self.shared.log.line("config_removed", &ConfigRemovedLine { key }),
         }
     }
 }
 
-/// Reads the endpoints.
-pub(crate) struct EndpointReader {
+/// Subscriber of the endpoints' entries.
+pub(crate) struct EndpointSubscriber {
     shared: Arc<Shared>,
 }
 
-impl EndpointReader {
+impl EndpointSubscriber {
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 
-    fn id_of<'a>(&self, key: &'a str) -> Option<&'a str> {
+    fn endpoint_id<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix(self.shared.dialect.endpoints_prefix())
     }
 
     fn put(&self, entry: &Entry) {
-        let Some(id) = self.id_of(&entry.key) else {
+        let Some(id) = self.endpoint_id(&entry.key) else {
             return;
         };
         let endpoint = match self.shared.dialect.read_endpoint(id, &entry.value) {
@@ -108,7 +111,7 @@
                 metrics::counter!("burdockroad_endpoint_entries_dropped_total").increment(1);
                 self.shared.log.line(
                     "endpoint_unreadable",
-                    &UnreadableLine {
+                    &EndpointUnreadableLine {
                         endpoint: id,
                         reason: error.to_string(),
                     },
@@ -118,64 +121,71 @@
         };
         let mut tables = self.shared.tables();
         tables.missing_endpoints.remove(id);
-        let known = tables.endpoints.get(id) == Some(&endpoint);
-        let line = EndpointLine {
+        let is_unchanged = tables.endpoints.get(id) == Some(&endpoint);
+        let line = EndpointChangedLine {
             endpoint: id,
             service: &endpoint.service,
             address: endpoint.address.to_string(),
-            leaving: endpoint.leaving,
+            draining: endpoint.leaving,
             revision: entry.revision,
         };
         tables.endpoints.insert(endpoint.clone());
         drop(tables);
-        if !known {
+        if !is_unchanged {
             self.shared.log.line("endpoint_changed", &line);
         }
     }
 
-    /// Drops an endpoint at once, or later when its entry may only have lapsed with the store away.
+    /// Removes an endpoint. If its entry may have expired because the store was unavailable, the endpoint is
+    /// removed only if it does not register again within [`REREGISTRATION_TIME`].
     fn remove(&self, id: &str) {
         let now = Instant::now();
         let mut tables = self.shared.tables();
-        let lapsed = tables.store_lost_at.is_some()
-            || tables.store_back_at.is_some_and(|at| now < at + REGISTER_AGAIN);
-        if lapsed {
+        let may_reregister = tables.store_unreachable_since.is_some()
+            || tables
+                .store_recovered_at
+                .is_some_and(|at| now < at + REREGISTRATION_TIME);
+        if may_reregister {
             let since = tables
-                .store_back_at
-                .filter(|at| now < *at + REGISTER_AGAIN)
+                .store_recovered_at
+                .filter(|at| now < *at + REREGISTRATION_TIME)
                 .unwrap_or(now);
             tables
                 .missing_endpoints
                 .entry(id.to_owned())
-                .or_insert(since + REGISTER_AGAIN);
+                .or_insert(since + REREGISTRATION_TIME);
             return;
         }
         drop(tables);
-        drop_endpoint(&self.shared, id);
+        remove_endpoint(&self.shared, id);
     }
 }
 
-impl RangeReader for EndpointReader {
+impl RangeSubscriber for EndpointSubscriber {
     fn prefix(&self) -> &str {
         self.shared.dialect.endpoints_prefix()
     }
 
     fn replace(&mut self, entries: &[Entry]) {
-        let mut gone: Vec<EndpointId> = self.shared.tables().endpoints.ids().cloned().collect();
-        gone.retain(|id| !entries.iter().any(|entry| self.id_of(&entry.key) == Some(id)));
+        let mut removed: Vec<EndpointId> = self.shared.tables().endpoints.ids().cloned().collect();
+        removed.retain(|id| {
+            !entries
+                .iter()
+                .any(|entry| self.endpoint_id(&entry.key) == Some(id))
+        });
         for entry in entries {
             self.put(entry);
         }
-        for id in gone {
+        for id in removed {
             self.remove(&id);
         }
     }
 
-    fn change(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         match change {
             Change::Put(entry) => self.put(entry),
             Change::Removed { key, .. } => {
-                if let Some(id) = self.id_of(key) {
+                if let Some(id) = self.endpoint_id(key) {
                     self.remove(id);
                 }
             }
@@ -183,66 +193,71 @@
     }
 }
 
-/// Drops endpoints whose entries did not come back, and connections that are long idle.
+/// Removes endpoints that did not register again, expired reservations and programs, and connections that
+/// are idle for too long.
 pub(crate) async fn sweep(shared: Arc<Shared>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
         let now = Instant::now();
-        let gone = shared.tables().take_gone(now);
-        for id in gone {
-            drop_endpoint(&shared, &id);
+        let expired = shared.tables().take_expired_endpoints(now);
+        for id in expired {
+            remove_endpoint(&shared, &id);
         }
-        expire_holds(&shared, now);
+        expire_remote_reservations(&shared, now);
         let mut tables = shared.tables();
-        tables.programs.forget_old(now);
-        tables.gate.forget_old(now);
+        tables.recent_programs.forget_old(now);
+        tables.start_gate.forget_old(now);
         drop(tables);
-        shared.pool.retire(now);
+        shared.pool.remove_expired(now);
     }
 }
 
-fn drop_endpoint(shared: &Shared, id: &str) {
+fn remove_endpoint(shared: &Shared, id: &str) {
     shared.tables().endpoints.remove(id);
-    shared.pool.forget(id);
-    shared.log.line("endpoint_removed", &RemovedLine { endpoint: id });
+    shared.pool.close_idle(id);
+    shared
+        .log
+        .line("endpoint_removed", &EndpointRemovedLine { endpoint: id });
 }
 
-/// Endpoints that are missing, with the time at which they count as gone.
+/// Endpoints whose entries are missing, with the time at which they are removed.
 pub(crate) type MissingEndpoints = HashMap<EndpointId, Instant>;
 
 #[derive(Serialize)]
-struct ReasonLine {
+struct ConfigUnreadableLine {
     reason: String,
 }
 
 #[derive(Serialize)]
-struct KeyLine<'a> {
+struct ConfigRemovedLine<'a> {
     key: &'a str,
 }
 
 #[derive(Serialize)]
-struct ConfigLine {
+struct ConfigAppliedLine {
     version: u64,
-    before: Option<u64>,
+    #[serde(rename = "before")]
+    previous_version: Option<u64>,
     revision: Revision,
 }
 
 #[derive(Serialize)]
-struct UnreadableLine<'a> {
+struct EndpointUnreadableLine<'a> {
     endpoint: &'a str,
     reason: String,
 }
 
 #[derive(Serialize)]
-struct EndpointLine<'a> {
+struct EndpointChangedLine<'a> {
     endpoint: &'a str,
     service: &'a str,
     address: String,
-    leaving: bool,
+    #[serde(rename = "leaving")]
+    draining: bool,
     revision: Revision,
 }
 
 #[derive(Serialize)]
-struct RemovedLine<'a> {
+struct EndpointRemovedLine<'a> {
     endpoint: &'a str,
 }
--- a/crates/burdockroad-gateway/src/follow.rs
+++ b/crates/burdockroad-gateway/src/follow.rs
@@ -1,7 +1,9 @@
-//! Following ranges of the store: some hosts watch them, and the others take what changes from these.
+//! Follows ranges of the store. A few hosts, the watchers, watch the store; the other hosts fetch updates
+//! from them.
 //!
-//! Reports tell which host knows a range up to which change. A host that is behind asks it, and the store
-//! itself when that host does not answer. A host that hears of nobody watches for itself.
+//! A watcher's reports announce the revision of the last change that it has seen in each range. A host that
+//! is behind this revision fetches the changes from the watcher, or reads the store when the watcher does
+//! not respond. A host that receives no announcement watches the store itself.
 
 use std::{
     net::SocketAddr,
@@ -16,105 +18,109 @@
 use tokio::time::{sleep, timeout};
 
 use crate::{
-    Change, Changes, RangeNews, RangeSnapshot, SharedStore,
-    feed::REGISTER_AGAIN,
-    peer::{PeerCall, PeerReply},
+    Change, Changes, RangeSnapshot, RangeUpdate, SharedStore,
+    feed::REREGISTRATION_TIME,
+    peer::{PeerCall, PeerResponse},
     shared::{Shared, Tables},
 };
 
-/// Longest time for which a watch waits before it is asked anew: one whose history is dropped while it
-/// waits may say so only at its end.
-const WATCH_WAIT: Duration = Duration::from_secs(1);
+/// Longest time of one watch request. The store may report only at the end of a watch that the history was
+/// truncated during it, so watches are short.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Part of that by which waits differ, so that hosts which watch do not all ask at the same time.
-const WATCH_WAIT_SPREAD: f64 = 0.3;
+/// Fraction of [`WATCH_TIMEOUT`] by which timeouts vary, so that watchers do not send requests in lockstep.
+const WATCH_TIMEOUT_JITTER: f64 = 0.3;
 
-/// Age of the store's last answer from which a host no longer says that it watches.
-const ANSWER_AGE_MAX: Duration = Duration::from_millis(1250);
+/// Age of the store's last response at which a watcher stops announcing the range.
+const RESPONSE_AGE_MAX: Duration = Duration::from_millis(1250);
 
-/// First pause after a call that failed; it doubles up to the longest.
-const FAILED_PAUSE_FIRST: Duration = Duration::from_millis(50);
+/// Backoff after the first failed call; it doubles with each further failure up to [`BACKOFF_MAX`].
+const BACKOFF_INITIAL: Duration = Duration::from_millis(50);
 
-/// Longest pause after a call that failed.
-const FAILED_PAUSE_MAX: Duration = Duration::from_millis(400);
+/// Longest backoff after a failed call.
+const BACKOFF_MAX: Duration = Duration::from_millis(400);
 
-/// Time after a start in which other hosts are heard of for the first time.
-const FIRST_REPORTS: Duration = Duration::from_millis(350);
+/// Time after the process start in which the first reports of the other hosts arrive. A host does not become
+/// a watcher before.
+const FIRST_REPORTS_TIME: Duration = Duration::from_millis(350);
 
-/// Time between two looks at whether this host has to watch.
-const ROLE_LOOK: Duration = Duration::from_millis(200);
+/// Interval at which a host checks whether it should become a watcher.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time within which another host has to answer with what it knows.
-const NEWS_PATIENCE: Duration = Duration::from_millis(400);
+/// Timeout of a request for updates to a watcher.
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Takes in what a range of the store holds.
-pub(crate) trait RangeReader: Send {
-    /// The range's prefix.
+/// Receives the entries and changes of a range of the store.
+pub(crate) trait RangeSubscriber: Send {
+    /// Returns the key prefix of the range.
     fn prefix(&self) -> &str;
 
-    /// Takes all entries; whatever else was known is gone.
+    /// Replaces all previous entries of the range with `entries`.
     fn replace(&mut self, entries: &[Entry]);
 
-    /// Takes one change.
-    fn change(&mut self, change: &Change);
+    /// Applies one change.
+    fn apply_change(&mut self, change: &Change);
 }
 
-/// How far a host that watches knows a range, by its reports.
+/// State of a range as announced in a watcher's reports.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ToldRange {
-    /// The host.
+pub(crate) struct AnnouncedRange {
+    /// Address of the watcher.
     pub(crate) address: SocketAddr,
-    /// Revision of the last change that it knows.
-    pub(crate) changed_at: Revision,
-    /// When a host last told that it watches the range.
-    pub(crate) heard_at: Instant,
+    /// Revision of the last change that the watcher has seen.
+    pub(crate) last_change: Revision,
+    /// Time of the last announcement of the range by any watcher.
+    pub(crate) announced_at: Instant,
 }
 
-/// What a host that watches knows of a range, for one that does not.
+/// Response of a watcher to a request for updates.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-pub(crate) struct RangeAnswer {
-    /// What is new.
-    news: RangeNews,
-    /// Time for which entries that are missing may come back, since they lapsed with the store away.
-    lapse_time: Duration,
+pub(crate) struct RangeUpdateResponse {
+    /// Changes or snapshot that bring the requester up to date.
+    #[serde(rename = "news")]
+    update: RangeUpdate,
+    /// Time left in which endpoints whose entries expired while the store was unavailable may register
+    /// again.
+    #[serde(rename = "lapse_time")]
+    reregistration_time: Duration,
 }
 
-/// Follows a range as long as the host runs.
-pub(crate) async fn follow(shared: Arc<Shared>, mut reader: Box<dyn RangeReader>) {
-    let mut pause = FAILED_PAUSE_FIRST;
+/// Follows a range until the host stops.
+pub(crate) async fn follow(shared: Arc<Shared>, mut subscriber: Box<dyn RangeSubscriber>) {
+    let mut backoff = BACKOFF_INITIAL;
     let mut position = None;
     loop {
         if let Some(after) = position
-            && !watches(&shared, reader.prefix())
+            && !is_watcher(&shared, subscriber.prefix())
         {
-            position = Some(follow_others(&shared, reader.as_mut(), after).await);
+            position = Some(follow_watcher(&shared, subscriber.as_mut(), after).await);
             continue;
         }
-        let stepped = step(&shared, reader.as_mut(), position).await;
-        match stepped {
+        let outcome = poll_store(&shared, subscriber.as_mut(), position).await;
+        match outcome {
             Ok(next) => {
-                note_store(&shared, None);
-                note_answer(&shared, reader.prefix());
+                record_store_result(&shared, None);
+                record_range_response(&shared, subscriber.prefix());
                 position = next;
-                pause = FAILED_PAUSE_FIRST;
+                backoff = BACKOFF_INITIAL;
             }
             Err(error) => {
-                note_store(&shared, Some(&error));
-                sleep(pause).await;
-                pause = (pause * 2).min(FAILED_PAUSE_MAX);
+                record_store_result(&shared, Some(&error));
+                sleep(backoff).await;
+                backoff = (backoff * 2).min(BACKOFF_MAX);
             }
         }
     }
 }
 
-/// Whether this host watches a range of the store.
-fn watches(shared: &Shared, prefix: &str) -> bool {
+/// Returns whether this host is a watcher of the range.
+fn is_watcher(shared: &Shared, prefix: &str) -> bool {
     let now = Instant::now();
-    if now < shared.started_at + FIRST_REPORTS {
+    if now < shared.started_at + FIRST_REPORTS_TIME {
         return false;
     }
-    let mut heard = vec![HostPlace {
+    let mut live_hosts = vec![HostPlace {
         host: shared.host.clone(),
         failure_domain: shared.failure_domain.clone(),
     }];
@@ -123,177 +129,190 @@
     let others = peers
         .iter()
         .filter(|(host, _)| tables.allowances.is_heard(host, now));
-    heard.extend(others.map(|(host, peer)| HostPlace {
+    live_hosts.extend(others.map(|(host, peer)| HostPlace {
         host: host.clone(),
         failure_domain: peer.failure_domain.clone(),
     }));
-    let told = tables.told_ranges.get(prefix);
-    let told_age = told.map(|told| now.saturating_duration_since(told.heard_at));
+    let announced = tables.announced_ranges.get(prefix);
+    let announcement_age = announced.map(|announced| now.saturating_duration_since(announced.announced_at));
     drop(tables);
-    has_to_watch(&shared.host, &heard, told_age)
+    has_to_watch(&shared.host, &live_hosts, announcement_age)
 }
 
-/// How far this host knows the ranges that it watches, and of which the store has answered of late.
+/// Returns the ranges that this host watches and announces, each with the revision of its last change.
+/// A range is announced if the last response of the store for it is younger than [`RESPONSE_AGE_MAX`].
 pub(crate) fn watched_ranges(shared: &Shared) -> Vec<(String, Revision)> {
     let now = Instant::now();
-    let answered: Vec<(String, Revision)> = {
+    let current: Vec<(String, Revision)> = {
         let tables = shared.tables();
-        let ranges = tables.ranges.iter().filter(|(prefix, _)| {
-            let answered_at = tables.range_answered_at.get(*prefix);
-            answered_at.is_some_and(|at| now < *at + ANSWER_AGE_MAX)
+        let ranges = tables.range_logs.iter().filter(|(prefix, _)| {
+            let responded_at = tables.range_responded_at.get(*prefix);
+            responded_at.is_some_and(|at| now < *at + RESPONSE_AGE_MAX)
         });
         ranges
-            .map(|(prefix, log)| (prefix.clone(), log.changed_at()))
+            .map(|(prefix, log)| (prefix.clone(), log.last_change()))
             .collect()
     };
-    let mut watched = answered;
-    watched.retain(|(prefix, _)| watches(shared, prefix));
+    let mut watched = current;
+    watched.retain(|(prefix, _)| is_watcher(shared, prefix));
     watched
 }
 
-/// Waits until a host that watches knows more than this one, and takes it; returns how far the range is
-/// known then.
-async fn follow_others(shared: &Shared, reader: &mut dyn RangeReader, after: Revision) -> Revision {
-    let mut told = pin!(shared.range_told.notified());
-    told.as_mut().enable();
-    let source = shared.tables().told_ranges.get(reader.prefix()).copied();
-    let Some(source) = source.filter(|source| source.changed_at > after) else {
-        // Whether this host has to watch is looked at after any wait.
-        let _ended = timeout(ROLE_LOOK, told).await;
+/// Waits until a watcher announces a newer change than `after` and applies its updates. Returns the revision
+/// up to which the range is then known.
+async fn follow_watcher(shared: &Shared, subscriber: &mut dyn RangeSubscriber, after: Revision) -> Revision {
+    let mut announced = pin!(shared.range_announced.notified());
+    announced.as_mut().enable();
+    let source = shared.tables().announced_ranges.get(subscriber.prefix()).copied();
+    let Some(source) = source.filter(|source| source.last_change > after) else {
+        // The caller checks after each wait whether this host should watch.
+        let _ended = timeout(ROLE_CHECK_INTERVAL, announced).await;
         return after;
     };
-    if let Some(as_of) = take_news(shared, reader, source.address, after).await {
+    if let Some(as_of) = fetch_updates(shared, subscriber, source.address, after).await {
         return as_of;
     }
     metrics::counter!("burdockroad_range_news_failed_total").increment(1);
-    match step(shared, reader, None).await {
+    match poll_store(shared, subscriber, None).await {
         Ok(as_of) => as_of.unwrap_or(after),
         Err(error) => {
             let reason = error.to_string();
-            let prefix = reader.prefix();
+            let prefix = subscriber.prefix();
             shared
                 .log
-                .line("range_read_failed", &PrefixLine { prefix, reason });
-            sleep(FAILED_PAUSE_MAX).await;
+                .line("range_read_failed", &ReadFailedLine { prefix, reason });
+            sleep(BACKOFF_MAX).await;
             after
         }
     }
 }
 
-/// Asks another host for what is new in a range, and takes it.
-async fn take_news(
+/// Fetches the updates of a range from a watcher and applies them.
+async fn fetch_updates(
     shared: &Shared,
-    reader: &mut dyn RangeReader,
+    subscriber: &mut dyn RangeSubscriber,
     address: SocketAddr,
     after: Revision,
 ) -> Option<Revision> {
-    let call = PeerCall::RangeNews {
-        prefix: reader.prefix().to_owned(),
+    let call = PeerCall::RangeUpdate {
+        prefix: subscriber.prefix().to_owned(),
         after,
     };
-    let replied = shared.peer_client.call(address, &call, NEWS_PATIENCE).await;
-    let Ok(PeerReply::RangeNews(Some(answer))) = replied else {
+    let result = shared.peer_client.call(address, &call, UPDATE_TIMEOUT).await;
+    let Ok(PeerResponse::RangeUpdate(Some(response))) = result else {
         return None;
     };
-    shared.tables().allow_lapse(answer.lapse_time, Instant::now());
-    match answer.news {
-        RangeNews::Changes { changes, as_of } => {
-            take_changes(shared, reader, &changes, as_of);
+    shared
+        .tables()
+        .extend_reregistration(response.reregistration_time, Instant::now());
+    match response.update {
+        RangeUpdate::Changes { changes, as_of } => {
+            apply_changes(shared, subscriber, &changes, as_of);
             Some(as_of)
         }
-        RangeNews::Whole(snapshot) if snapshot.as_of > after => {
-            take_whole(shared, reader, &snapshot);
+        RangeUpdate::Snapshot(snapshot) if snapshot.as_of > after => {
+            apply_snapshot(shared, subscriber, &snapshot);
             Some(snapshot.as_of)
         }
-        RangeNews::Whole(_) => None,
+        RangeUpdate::Snapshot(_) => None,
     }
 }
 
-/// Tells another host what is new in a range; none when this one has not read it.
-pub(crate) fn answer_news(shared: &Shared, prefix: &str, after: Revision) -> Option<RangeAnswer> {
+/// Returns the updates of a range after a revision, for another host; `None` before this host has read the
+/// range.
+pub(crate) fn range_update(shared: &Shared, prefix: &str, after: Revision) -> Option<RangeUpdateResponse> {
     let tables = shared.tables();
-    let news = tables.ranges.get(prefix)?.news_after(after)?;
-    Some(RangeAnswer {
-        news,
-        lapse_time: tables.lapse_time(Instant::now()),
+    let update = tables.range_logs.get(prefix)?.changes_since(after)?;
+    Some(RangeUpdateResponse {
+        update,
+        reregistration_time: tables.reregistration_time(Instant::now()),
     })
 }
 
-fn note_answer(shared: &Shared, prefix: &str) {
+fn record_range_response(shared: &Shared, prefix: &str) {
     let now = Instant::now();
-    shared.tables().range_answered_at.insert(prefix.to_owned(), now);
+    shared.tables().range_responded_at.insert(prefix.to_owned(), now);
 }
 
-fn take_whole(shared: &Shared, reader: &mut dyn RangeReader, snapshot: &RangeSnapshot) {
-    reader.replace(&snapshot.entries);
+fn apply_snapshot(shared: &Shared, subscriber: &mut dyn RangeSubscriber, snapshot: &RangeSnapshot) {
+    subscriber.replace(&snapshot.entries);
     let mut tables = shared.tables();
-    let log = tables.ranges.entry(reader.prefix().to_owned()).or_default();
+    let log = tables
+        .range_logs
+        .entry(subscriber.prefix().to_owned())
+        .or_default();
     log.replace(snapshot);
 }
 
-fn take_changes(shared: &Shared, reader: &mut dyn RangeReader, changes: &[Change], as_of: Revision) {
+fn apply_changes(shared: &Shared, subscriber: &mut dyn RangeSubscriber, changes: &[Change], as_of: Revision) {
     for change in changes {
-        reader.change(change);
+        subscriber.apply_change(change);
     }
     let mut tables = shared.tables();
-    let log = tables.ranges.entry(reader.prefix().to_owned()).or_default();
+    let log = tables
+        .range_logs
+        .entry(subscriber.prefix().to_owned())
+        .or_default();
     log.extend(changes, as_of);
 }
 
-/// Reads the range, or waits for what changes behind `position`.
-async fn step(
+/// Waits for changes after `position`, or reads the whole range when `position` is `None`. Returns the new
+/// position.
+async fn poll_store(
     shared: &Shared,
-    reader: &mut dyn RangeReader,
+    subscriber: &mut dyn RangeSubscriber,
     position: Option<Revision>,
 ) -> Result<Option<Revision>, StoreError> {
     let Some(after) = position else {
-        let snapshot = shared.store.read_range(reader.prefix()).await?;
-        take_whole(shared, reader, &snapshot);
+        let snapshot = shared.store.read_range(subscriber.prefix()).await?;
+        apply_snapshot(shared, subscriber, &snapshot);
         shared.report_now.notify_one();
         return Ok(Some(snapshot.as_of));
     };
-    let wait = WATCH_WAIT.mul_f64(1.0 - WATCH_WAIT_SPREAD * rand::random::<f64>());
-    match shared.store.changes(reader.prefix(), after, wait).await? {
-        Changes::Known { changes, as_of } => {
+    let wait = WATCH_TIMEOUT.mul_f64(1.0 - WATCH_TIMEOUT_JITTER * rand::random::<f64>());
+    match shared.store.changes(subscriber.prefix(), after, wait).await? {
+        Changes::Complete { changes, as_of } => {
             let as_of = as_of.max(after);
-            take_changes(shared, reader, &changes, as_of);
+            apply_changes(shared, subscriber, &changes, as_of);
             if !changes.is_empty() {
                 shared.report_now.notify_one();
             }
             Ok(Some(as_of))
         }
-        Changes::HistoryGone => {
-            let prefix = reader.prefix();
-            shared.log.line("history_gone", &HistoryLine { prefix, after });
+        Changes::HistoryTruncated => {
+            let prefix = subscriber.prefix();
+            shared
+                .log
+                .line("history_gone", &HistoryTruncatedLine { prefix, after });
             Ok(None)
         }
     }
 }
 
-/// Notes whether the store answers.
-pub(crate) fn note_store(shared: &Shared, error: Option<&StoreError>) {
+/// Records whether the store is reachable, and logs when that changes.
+pub(crate) fn record_store_result(shared: &Shared, error: Option<&StoreError>) {
     let now = Instant::now();
     let mut tables = shared.tables();
-    match (error, tables.store_lost_at) {
+    match (error, tables.store_unreachable_since) {
         (Some(error), None) => {
-            tables.store_lost_at = Some(now);
+            tables.store_unreachable_since = Some(now);
             drop(tables);
             shared.log.line(
                 "store_lost",
-                &ReasonLine {
+                &StoreErrorLine {
                     reason: error.to_string(),
                 },
             );
         }
-        (None, Some(lost_at)) => {
-            tables.store_lost_at = None;
-            tables.store_back_at = Some(now);
+        (None, Some(unreachable_since)) => {
+            tables.store_unreachable_since = None;
+            tables.store_recovered_at = Some(now);
             drop(tables);
-            let lost_for = now.saturating_duration_since(lost_at);
+            let outage = now.saturating_duration_since(unreachable_since);
             shared.log.line(
                 "store_back",
-                &BackLine {
-                    lost_ms: lost_for.as_millis(),
+                &RecoveryLine {
+                    lost_ms: outage.as_millis(),
                 },
             );
         }
@@ -302,43 +321,44 @@
 }
 
 impl Tables {
-    /// Time for which entries that are missing may come back.
-    fn lapse_time(&self, now: Instant) -> Duration {
-        if self.store_lost_at.is_some() {
-            return REGISTER_AGAIN;
+    /// Returns the time left in which missing endpoints may register again.
+    fn reregistration_time(&self, now: Instant) -> Duration {
+        if self.store_unreachable_since.is_some() {
+            return REREGISTRATION_TIME;
         }
-        let back_at = self.store_back_at;
-        back_at.map_or(Duration::ZERO, |at| {
-            (at + REGISTER_AGAIN).saturating_duration_since(now)
+        let recovered_at = self.store_recovered_at;
+        recovered_at.map_or(Duration::ZERO, |at| {
+            (at + REREGISTRATION_TIME).saturating_duration_since(now)
         })
     }
 
-    /// Takes over from a host that watches for how long missing entries may come back.
-    fn allow_lapse(&mut self, lapse_time: Duration, now: Instant) {
-        if lapse_time > self.lapse_time(now) {
-            self.store_back_at = now.checked_sub(REGISTER_AGAIN.saturating_sub(lapse_time));
+    /// Extends the time in which missing endpoints may register again to the time that a watcher reports.
+    fn extend_reregistration(&mut self, reregistration_time: Duration, now: Instant) {
+        if reregistration_time > self.reregistration_time(now) {
+            self.store_recovered_at =
+                now.checked_sub(REREGISTRATION_TIME.saturating_sub(reregistration_time));
         }
     }
 }
 
 #[derive(Serialize)]
-struct ReasonLine {
+struct StoreErrorLine {
     reason: String,
 }
 
 #[derive(Serialize)]
-struct PrefixLine<'a> {
+struct ReadFailedLine<'a> {
     prefix: &'a str,
     reason: String,
 }
 
 #[derive(Serialize)]
-struct BackLine {
+struct RecoveryLine {
     lost_ms: u128,
 }
 
 #[derive(Serialize)]
-struct HistoryLine<'a> {
+struct HistoryTruncatedLine<'a> {
     prefix: &'a str,
     after: Revision,
 }
--- a/crates/burdockroad-gateway/src/hosts.rs
+++ b/crates/burdockroad-gateway/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Which hosts serve, and where they are told what this one admits.
+//! Registration of this host and the list of the other hosts.
 
 use std::{
     collections::BTreeMap,
@@ -13,21 +13,23 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use crate::{Change, ConditionalWrite, LeaseId, SharedStore, Written, follow::RangeReader, shared::Shared};
+use crate::{
+    Change, ConditionalWrite, LeaseId, SharedStore, WriteOutcome, follow::RangeSubscriber, shared::Shared,
+};
 
-/// Prefix of the keys under which hosts register themselves.
+/// Key prefix under which hosts register themselves.
 const HOSTS_PREFIX: &str = "burdockroad/hosts/";
 
-/// Life of a host's entry after its last renewal.
-const ENTRY_LIFE: Duration = Duration::from_secs(12);
+/// Lifetime of a host's entry after its last renewal.
+const ENTRY_LIFETIME: Duration = Duration::from_secs(12);
 
-/// Time between two renewals.
+/// Interval between two renewals.
 const RENEW_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Pause after a registration that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(500);
+/// Interval before a failed registration is retried.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One registered host.
+/// Entry of a registered host in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 struct HostEntry {
@@ -39,21 +41,21 @@
 /// Another host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Peer {
-    /// Where it takes reports and calls.
+    /// Address for reports and calls.
     pub(crate) address: SocketAddr,
-    /// Failure domain that it stands in.
+    /// Failure domain of the host.
     pub(crate) failure_domain: String,
 }
 
-/// The other hosts.
+/// The other registered hosts, by id.
 pub(crate) type Peers = BTreeMap<HostId, Peer>;
 
-/// Reads the hosts.
-pub(crate) struct HostReader {
+/// Subscriber of the hosts' entries.
+pub(crate) struct HostSubscriber {
     shared: Arc<Shared>,
 }
 
-impl HostReader {
+impl HostSubscriber {
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
@@ -65,44 +67,44 @@
         if host == self.shared.host {
             return;
         }
-        let parsed: HostEntry = match serde_json::from_slice(&entry.value) {
-            Ok(parsed) => parsed,
+        let host_entry: HostEntry = match serde_json::from_slice(&entry.value) {
+            Ok(host_entry) => host_entry,
             Err(error) => {
                 let reason = error.to_string();
                 self.shared
                     .log
-                    .line("host_unreadable", &UnreadableLine { host, reason });
+                    .line("host_unreadable", &HostUnreadableLine { host, reason });
                 return;
             }
         };
         self.shared.peers.send_modify(|peers| {
             let peer = Peer {
-                address: parsed.address,
-                failure_domain: parsed.failure_domain,
+                address: host_entry.address,
+                failure_domain: host_entry.failure_domain,
             };
             peers.insert(host.to_owned(), peer);
         });
     }
 
-    /// Lets the tables know how many hosts share the rates.
+    /// Updates the tables after a change of the hosts. All registered hosts share the accounts' rate limits.
     fn publish(&self) {
         let peers: Vec<HostId> = self.shared.peers.borrow().keys().cloned().collect();
         let mut tables = self.shared.tables();
         let hosts = peers.len() + 1;
-        let changed = tables.hosts != hosts;
-        tables.hosts = hosts;
+        let changed = tables.host_count != hosts;
+        tables.host_count = hosts;
         tables.allowances.set_peers(peers);
         if changed {
             tables.ledger.release_idle(Instant::now());
         }
         drop(tables);
         if changed {
-            self.shared.log.line("hosts_changed", &HostsLine { hosts });
+            self.shared.log.line("hosts_changed", &HostsChangedLine { hosts });
         }
     }
 }
 
-impl RangeReader for HostReader {
+impl RangeSubscriber for HostSubscriber {
     fn prefix(&self) -> &str {
         HOSTS_PREFIX
     }
@@ -115,7 +117,7 @@
         self.publish();
     }
 
-    fn change(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         match change {
             Change::Put(entry) => self.put(entry),
             Change::Removed { key, .. } => {
@@ -130,7 +132,7 @@
     }
 }
 
-/// Keeps this host registered as long as it runs.
+/// Keeps this host registered until it stops.
 pub(crate) async fn keep_registered(shared: Arc<Shared>, address: SocketAddr) {
     let mut lease = None;
     loop {
@@ -139,38 +141,40 @@
                 lease = Some(renewed);
                 tokio::select! {
                     () = sleep(RENEW_INTERVAL) => {}
-                    () = shared.stop_begun.notified() => {
-                        leave(&shared, renewed).await;
+                    () = shared.stop_started.notified() => {
+                        deregister(&shared, renewed).await;
                         return;
                     }
                 }
             }
             Err(error) => {
                 let reason = error.to_string();
-                shared.log.line("registration_failed", &ReasonLine { reason });
-                sleep(FAILED_PAUSE).await;
+                shared
+                    .log
+                    .line("registration_failed", &RegistrationErrorLine { reason });
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Takes this host out of the list, so that the others serve its part.
-async fn leave(shared: &Shared, lease: LeaseId) {
+/// Deregisters this host, so that the other hosts take over its share.
+async fn deregister(shared: &Shared, lease: LeaseId) {
     if let Err(error) = shared.store.end_lease(lease).await {
         let reason = error.to_string();
-        shared.log.line("leave_failed", &ReasonLine { reason });
+        shared.log.line("leave_failed", &RegistrationErrorLine { reason });
     }
     shared.tables().ledger.release_idle(Instant::now());
 }
 
-/// Renews the entry's lease, or registers anew when it has ended.
+/// Renews the lease of this host's entry, or registers again when the lease has ended.
 async fn renew(shared: &Shared, lease: Option<LeaseId>, address: SocketAddr) -> Result<LeaseId, StoreError> {
     if let Some(lease) = lease
-        && shared.store.keep_lease(lease).await?
+        && shared.store.renew_lease(lease).await?
     {
         return Ok(lease);
     }
-    let lease = shared.store.open_lease(ENTRY_LIFE).await?;
+    let lease = shared.store.open_lease(ENTRY_LIFETIME).await?;
     let entry = HostEntry {
         address,
         failure_domain: shared.failure_domain.clone(),
@@ -187,25 +191,25 @@
         lease: Some(lease),
     };
     match shared.store.write_all(&[write]).await? {
-        Written::Done(_) => Ok(lease),
-        Written::Conflict(_) | Written::LeaseEnded => Err(StoreError::Ambiguous {
+        WriteOutcome::Done(_) => Ok(lease),
+        WriteOutcome::Conflict(_) | WriteOutcome::LeaseEnded => Err(StoreError::Ambiguous {
             reason: "the lease ended before the entry was written".to_owned(),
         }),
     }
 }
 
 #[derive(Serialize)]
-struct UnreadableLine<'a> {
+struct HostUnreadableLine<'a> {
     host: &'a str,
     reason: String,
 }
 
 #[derive(Serialize)]
-struct HostsLine {
+struct HostsChangedLine {
     hosts: usize,
 }
 
 #[derive(Serialize)]
-struct ReasonLine {
+struct RegistrationErrorLine {
     reason: String,
 }
--- a/crates/burdockroad-gateway/src/lib.rs
+++ b/crates/burdockroad-gateway/src/lib.rs
@@ -1,15 +1,15 @@
-//! A host that forwards calls which bring their whole history along.
+//! Gateway host that forwards calls which carry their full conversation history.
 //!
-//! Every host runs the same process. It follows the configuration and the endpoints in the shared store,
-//! admits calls within their accounts' rates, reserves tokens of programs' budgets, and forwards each call
-//! to an endpoint, once at the most where it may not be repeated. The decisions are those of
-//! [`burdockroad::gateway`]; this crate moves bytes and waits.
+//! All hosts run the same process. It follows the configuration and the endpoints in the shared store, admits
+//! calls within the rate limits of their accounts, reserves tokens of programs' budgets, and forwards each
+//! call to an endpoint. A call that must not be repeated is sent at most once. [`burdockroad::gateway`] makes
+//! the decisions; this crate performs the I/O and the waiting.
 //!
 //! # Guide
 //!
-//! * [`run`] is the whole process; [`HostOptions`] is what it is told.
-//! * [`Dialect`] is how callers, endpoints and stored values are spelled, and [`SharedStore`] the store.
-//! * [`DecisionLog`] writes one line for each decision, and never blocks.
+//! * [`run`] runs a host with the given [`HostOptions`].
+//! * [`Dialect`] translates headers and stored values, and [`SharedStore`] is the interface of the store.
+//! * [`DecisionLog`] writes one line for each decision and never blocks.
 
 mod attempt;
 mod budgets;
@@ -36,9 +36,9 @@
 
 pub use self::{
     decision_log::DecisionLog,
-    dialect::{AnswerHead, BadHead, CallHead, DecodeError, Dialect, ForwardHead, ProgramHead, TokenCount},
+    dialect::{BadHead, CallHead, DecodeError, Dialect, ForwardHead, ProgramHead, ResponseHead, TokenCount},
     disk_host::run_disk_host,
     process::{HostError, HostOptions, Signals, run},
-    range_log::{RangeLog, RangeNews},
-    store::{Change, Changes, ConditionalWrite, KeyState, LeaseId, RangeSnapshot, SharedStore, Written},
+    range_log::{RangeLog, RangeUpdate},
+    store::{Change, Changes, ConditionalWrite, KeyState, LeaseId, RangeSnapshot, SharedStore, WriteOutcome},
 };
--- a/crates/burdockroad-gateway/src/peer.rs
+++ b/crates/burdockroad-gateway/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between hosts.
+//! Calls between hosts, over HTTP with CBOR bodies.
 
 use std::{
     convert::Infallible,
@@ -17,106 +17,110 @@
 use tokio::{net::TcpListener, time::timeout};
 
 use crate::{
-    budgets::{HoldAsk, HoldReply, answer_hold, answer_release},
-    follow::{RangeAnswer, answer_news},
+    budgets::{ReservationRequest, ReservationResponse, handle_release, handle_reserve},
+    follow::{RangeUpdateResponse, range_update},
     pool::{ConnectionPool, connect},
-    relay::{StoreCall, StoreReply, answer_store_call},
+    relay::{StoreCall, StoreResponse, handle_store_call},
     server::accept,
     shared::Shared,
-    stream::AnswerBody,
+    stream::ResponseBody,
 };
 
-/// Largest call between hosts.
+/// Largest body of a call between hosts.
 const MESSAGE_MAX_BYTES: usize = 2 << 20;
 
-/// Longest time that a connection between hosts stays idle.
+/// Time after which an idle connection from another host is closed.
 const IDLE_MAX: Duration = Duration::from_secs(10);
 
-/// Idle connections to one host.
+/// Maximum number of idle connections to one host.
 const IDLE_CONNECTIONS_MAX: usize = 4;
 
 /// A call to another host.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum PeerCall {
-    /// Makes a call to the store.
+    /// Relays a call to the store.
     Store(StoreCall),
-    /// Asks what is new in a range of the store.
-    RangeNews {
-        /// The range's prefix.
+    /// Requests the updates of a range of the store.
+    #[serde(rename = "RangeNews")]
+    RangeUpdate {
+        /// Key prefix of the range.
         prefix: String,
-        /// Revision up to which it is known.
+        /// Revision up to which the requesting host has seen the range.
         after: Revision,
     },
-    /// Holds tokens of a program's budget.
-    Hold(HoldAsk),
-    /// Ends a hold.
+    /// Reserves tokens of a program's budget.
+    #[serde(rename = "Hold")]
+    Reserve(ReservationRequest),
+    /// Settles a reservation.
     Release {
-        /// Call that they were held for.
+        /// Id of the call that the tokens were reserved for.
         call_id: String,
-        /// Tokens that the call handed out.
+        /// Tokens that were sent to the caller.
         used_tokens: u64,
     },
 }
 
-/// Answer to a [`PeerCall`].
+/// Response to a [`PeerCall`].
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-pub(crate) enum PeerReply {
-    /// What the store answered.
-    Store(StoreReply),
-    /// What is new in the range; none when this host has not read it.
-    RangeNews(Option<RangeAnswer>),
-    /// Whether the tokens are held.
-    Hold(HoldReply),
-    /// The hold has ended.
+pub(crate) enum PeerResponse {
+    /// Response of the store.
+    Store(StoreResponse),
+    /// Updates of the range; `None` when the responding host has not read it.
+    #[serde(rename = "RangeNews")]
+    RangeUpdate(Option<RangeUpdateResponse>),
+    /// Result of the reservation request.
+    #[serde(rename = "Hold")]
+    Reservation(ReservationResponse),
+    /// The reservation is settled.
     Released,
 }
 
-/// Why a host did not answer.
+/// Reason why a call to another host failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerError {
-    /// The call was not made.
+    /// The call did not reach the host.
     Unreachable,
-    /// The call may have been made.
-    NoAnswer,
+    /// The host did not respond, but may have received the call.
+    NoResponse,
 }
 
-/// Connections to other hosts.
+/// Client for calls to other hosts.
 #[derive(Debug, Default)]
 pub(crate) struct PeerClient {
     pool: ConnectionPool,
 }
 
 impl PeerClient {
-    /// Calls the host at `address`.
+    /// Calls the host at `address`. The timeout applies to the connection, the head and the body separately.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
         call: &PeerCall,
-        patience: Duration,
-    ) -> Result<PeerReply, PeerError> {
+        response_timeout: Duration,
+    ) -> Result<PeerResponse, PeerError> {
         let name = address.to_string();
         let mut request = encode(call)?;
         if let Some(mut connection) = self.pool.take(&name, Instant::now()) {
-            let sent = timeout(patience, connection.try_send_request(request)).await;
-            match sent {
-                Ok(Ok(response)) => return self.read(&name, connection, response, patience).await,
+            let result = timeout(response_timeout, connection.try_send_request(request)).await;
+            match result {
+                Ok(Ok(response)) => return self.read(&name, connection, response, response_timeout).await,
                 Ok(Err(mut unsent)) => {
-                    request = unsent.take_message().ok_or(PeerError::NoAnswer)?;
+                    request = unsent.take_message().ok_or(PeerError::NoResponse)?;
                 }
                 Err(_elapsed) => {
-                    self.pool.forget(&name);
-                    return Err(PeerError::NoAnswer);
+                    self.pool.close_idle(&name);
+                    return Err(PeerError::NoResponse);
                 }
             }
         }
-        let connecting = connect(address, patience).await;
+        let connecting = connect(address, response_timeout).await;
         let mut connection = connecting.map_err(|_unreachable| PeerError::Unreachable)?;
-        let sent = timeout(patience, connection.send_request(request)).await;
-        match sent {
-            Ok(Ok(response)) => self.read(&name, connection, response, patience).await,
-            Ok(Err(_)) | Err(_) => Err(PeerError::NoAnswer),
+        let result = timeout(response_timeout, connection.send_request(request)).await;
+        match result {
+            Ok(Ok(response)) => self.read(&name, connection, response, response_timeout).await,
+            Ok(Err(_)) | Err(_) => Err(PeerError::NoResponse),
         }
     }
 
@@ -125,19 +129,19 @@
         name: &str,
         connection: crate::pool::Connection,
         response: Response<Incoming>,
-        patience: Duration,
-    ) -> Result<PeerReply, PeerError> {
-        let read = timeout(patience, response.into_body().collect()).await;
+        response_timeout: Duration,
+    ) -> Result<PeerResponse, PeerError> {
+        let read = timeout(response_timeout, response.into_body().collect()).await;
         let Ok(Ok(body)) = read else {
-            return Err(PeerError::NoAnswer);
+            return Err(PeerError::NoResponse);
         };
         let now = Instant::now();
         self.pool.put(name, connection, None, IDLE_CONNECTIONS_MAX, now);
-        ciborium::from_reader(&*body.to_bytes()).map_err(|_malformed| PeerError::NoAnswer)
+        ciborium::from_reader(&*body.to_bytes()).map_err(|_malformed| PeerError::NoResponse)
     }
 }
 
-/// Answers the calls of other hosts.
+/// Serves the calls of other hosts.
 pub(crate) async fn serve_peers(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         let stream = accept(&listener).await;
@@ -148,7 +152,7 @@
             .header_read_timeout(IDLE_MAX)
             .serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
-            // The host that called learns of a broken connection by itself.
+            // The calling host detects a broken connection itself.
             let _ended = connection.await;
         });
     }
@@ -157,7 +161,7 @@
 async fn respond(
     shared: Arc<Shared>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let limited = Limited::new(request.into_body(), MESSAGE_MAX_BYTES);
     let call = match limited.collect().await {
         Ok(body) => ciborium::from_reader(&*body.to_bytes()).ok(),
@@ -165,22 +169,24 @@
     };
     let Some(call) = call else {
         metrics::counter!("burdockroad_peer_calls_malformed_total").increment(1);
-        let mut response = Response::new(AnswerBody::full(Bytes::new()));
+        let mut response = Response::new(ResponseBody::full(Bytes::new()));
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return Ok(response);
     };
     let reply = match call {
-        PeerCall::Store(call) => PeerReply::Store(answer_store_call(shared.store.direct(), call).await),
-        PeerCall::RangeNews { prefix, after } => PeerReply::RangeNews(answer_news(&shared, &prefix, after)),
-        PeerCall::Hold(ask) => PeerReply::Hold(answer_hold(&shared, ask).await),
+        PeerCall::Store(call) => PeerResponse::Store(handle_store_call(shared.store.direct(), call).await),
+        PeerCall::RangeUpdate { prefix, after } => {
+            PeerResponse::RangeUpdate(range_update(&shared, &prefix, after))
+        }
+        PeerCall::Reserve(request) => PeerResponse::Reservation(handle_reserve(&shared, request).await),
         PeerCall::Release { call_id, used_tokens } => {
-            answer_release(&shared, &call_id, used_tokens);
-            PeerReply::Released
+            handle_release(&shared, &call_id, used_tokens);
+            PeerResponse::Released
         }
     };
     let mut bytes = Vec::new();
     let encoded = ciborium::into_writer(&reply, &mut bytes);
-    let mut response = Response::new(AnswerBody::full(Bytes::from(bytes)));
+    let mut response = Response::new(ResponseBody::full(Bytes::from(bytes)));
     if encoded.is_err() {
         *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
     }
--- a/crates/burdockroad-gateway/src/pool.rs
+++ b/crates/burdockroad-gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, kept between calls.
+//! Pool of idle connections to endpoints and other hosts.
 
 use std::{
     collections::HashMap,
@@ -15,19 +15,21 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, time::timeout};
 
-/// Longest time for a connection to come about; a lost packet is sent again only after a second.
+/// Timeout for opening a connection. It is below the second after which TCP retransmits a lost packet of the
+/// handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest time that a connection stays idle when its endpoint does not tell.
+/// Longest time for which an idle connection is reused, also when its endpoint does not announce a
+/// keep-alive time.
 const IDLE_MAX: Duration = Duration::from_secs(4);
 
-/// Part of the time told by an endpoint for which an idle connection is used.
-const IDLE_PART: f64 = 0.7;
+/// Fraction of an endpoint's announced keep-alive time for which an idle connection is reused.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
-/// A connection that carries one call at a time.
+/// HTTP/1.1 connection, which carries one call at a time.
 pub(crate) type Connection = SendRequest<Full<Bytes>>;
 
-/// Idle connections by endpoint.
+/// Idle connections, by endpoint id or host address.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
     idle: Mutex<HashMap<EndpointId, Vec<Idle>>>,
@@ -36,69 +38,72 @@
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    use_until: Instant,
+    expires_at: Instant,
 }
 
 impl ConnectionPool {
-    /// The connection that was used last, if one is still good.
+    /// Takes the most recently used connection that can still be reused.
     pub(crate) fn take(&self, endpoint: &str, now: Instant) -> Option<Connection> {
-        let mut idle = self.lock();
-        let kept = idle.get_mut(endpoint)?;
-        while let Some(last) = kept.pop() {
-            if last.use_until > now && last.connection.is_ready() {
+        let mut idle = self.lock_idle();
+        let connections = idle.get_mut(endpoint)?;
+        while let Some(last) = connections.pop() {
+            if last.expires_at > now && last.connection.is_ready() {
                 return Some(last.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose answer was read to its end, `most` for one endpoint.
+    /// Returns a connection to the pool after its response was read completely. At most `max_idle`
+    /// connections are retained for one endpoint.
     pub(crate) fn put(
         &self,
         endpoint: &str,
         connection: Connection,
         keep_alive: Option<Duration>,
-        most: usize,
+        max_idle: usize,
         now: Instant,
     ) {
         if connection.is_closed() {
             return;
         }
-        let idle_for = keep_alive.map_or(IDLE_MAX, |told| told.mul_f64(IDLE_PART).min(IDLE_MAX));
-        let mut idle = self.lock();
-        let kept = idle.entry(endpoint.to_owned()).or_default();
-        kept.retain(|idle| idle.use_until > now && !idle.connection.is_closed());
-        if kept.len() < most {
-            kept.push(Idle {
+        let idle_time = keep_alive.map_or(IDLE_MAX, |keep_alive_time| {
+            keep_alive_time.mul_f64(KEEP_ALIVE_FRACTION).min(IDLE_MAX)
+        });
+        let mut idle = self.lock_idle();
+        let connections = idle.entry(endpoint.to_owned()).or_default();
+        connections.retain(|idle| idle.expires_at > now && !idle.connection.is_closed());
+        if connections.len() < max_idle {
+            connections.push(Idle {
                 connection,
-                use_until: now + idle_for,
+                expires_at: now + idle_time,
             });
         }
     }
 
-    /// Closes the idle connections of an endpoint.
-    pub(crate) fn forget(&self, endpoint: &str) {
-        self.lock().remove(endpoint);
+    /// Closes the idle connections to an endpoint.
+    pub(crate) fn close_idle(&self, endpoint: &str) {
+        self.lock_idle().remove(endpoint);
     }
 
-    /// Closes connections that have been idle for long.
-    pub(crate) fn retire(&self, now: Instant) {
-        let mut idle = self.lock();
-        for kept in idle.values_mut() {
-            kept.retain(|idle| idle.use_until > now && !idle.connection.is_closed());
+    /// Closes the connections that have been idle for too long.
+    pub(crate) fn remove_expired(&self, now: Instant) {
+        let mut idle = self.lock_idle();
+        for connections in idle.values_mut() {
+            connections.retain(|idle| idle.expires_at > now && !idle.connection.is_closed());
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<EndpointId, Vec<Idle>>> {
+    fn lock_idle(&self) -> MutexGuard<'_, HashMap<EndpointId, Vec<Idle>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Opens a connection to an endpoint.
-pub(crate) async fn connect(address: SocketAddr, patience: Duration) -> io::Result<Connection> {
+pub(crate) async fn connect(address: SocketAddr, time_limit: Duration) -> io::Result<Connection> {
     let connecting = TcpStream::connect(address);
-    let stream = timeout(CONNECT_TIMEOUT.min(patience), connecting)
+    let stream = timeout(CONNECT_TIMEOUT.min(time_limit), connecting)
         .await
         .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
@@ -107,7 +112,7 @@
         .handshake(TokioIo::new(stream));
     let (sender, connection) = handshake.await.map_err(io::Error::other)?;
     tokio::spawn(async move {
-        // The call that uses the connection learns of its failure through its answer.
+        // The call that uses the connection receives its errors.
         let _ended = connection.await;
     });
     Ok(sender)
--- a/crates/burdockroad-gateway/src/process.rs
+++ b/crates/burdockroad-gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! The whole process of a gateway host.
+//! Start and shutdown of a gateway host.
 
 use std::{
     fmt, io,
@@ -17,59 +17,60 @@
 
 use crate::{
     DecisionLog, Dialect, SharedStore,
-    feed::{DocumentReader, EndpointReader, sweep},
+    feed::{DocumentSubscriber, EndpointSubscriber, sweep},
     follow::follow,
-    hosts::{HostReader, keep_registered},
+    hosts::{HostSubscriber, keep_registered},
     metrics_page,
     peer::{PeerClient, serve_peers},
     relay::RelayedStore,
     reports,
     reservations::write_reservations,
-    server::{OpenConnections, listen, serve_callers, serve_metrics, serve_ready},
+    server::{OpenConnections, listen, serve_callers, serve_metrics, serve_readiness},
     shared::Shared,
 };
 
-/// Time after the order to stop in which callers learn that they are to go elsewhere.
-const TURN_AWAY_TIME: Duration = Duration::from_millis(2500);
+/// Time after the stop signal for which the host still serves callers while the balancer and the
+/// `Connection: close` headers move them to other hosts.
+const DRAIN_NOTICE_TIME: Duration = Duration::from_millis(2500);
 
-/// Part of the time for stopping that is left unused, so that the process ends by itself.
+/// Part of the grace period that is left unused, so that the process exits before it is killed.
 const STOP_RESERVE: Duration = Duration::from_millis(400);
 
-/// Time between two looks at whether all callers have left.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Interval between two checks whether all caller connections are closed.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time for the last lines of the log.
-const LOG_PATIENCE: Duration = Duration::from_millis(200);
+/// Timeout for writing the last log lines.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What a host is told when it starts.
+/// Options of a gateway host.
 #[derive(Clone, Debug)]
 pub struct HostOptions {
-    /// Name of the host.
+    /// Id of the host.
     pub host: HostId,
-    /// Random number of this run.
+    /// Random number that identifies this run of the process.
     pub incarnation: Incarnation,
-    /// Failure domain that the host stands in.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Where callers are served.
-    pub callers: SocketAddr,
-    /// Where the balancer asks whether the host takes callers.
-    pub ready: SocketAddr,
-    /// Where the metrics are shown.
-    pub metrics: Option<SocketAddr>,
-    /// Where other hosts send reports, as datagrams, and calls, over connections.
-    pub reports: SocketAddr,
-    /// Time from the order to stop to the end of the process.
-    pub grace: Duration,
+    /// Address at which callers are served.
+    pub caller_address: SocketAddr,
+    /// Address at which the balancer checks the host's readiness.
+    pub readiness_address: SocketAddr,
+    /// Address of the metrics page.
+    pub metrics_address: Option<SocketAddr>,
+    /// Address at which other hosts send reports over UDP and calls over TCP.
+    pub peer_address: SocketAddr,
+    /// Time from the stop signal to the end of the process.
+    pub grace_period: Duration,
 }
 
-/// Orders from outside the process.
+/// Signals from outside the process.
 #[derive(Debug)]
 pub struct Signals {
-    /// The process is to stop.
+    /// Receives a message when the process should stop.
     pub stop: mpsc::Receiver<()>,
 }
 
-/// Why a host cannot run.
+/// Error of a host that cannot listen on one of its addresses.
 #[derive(Debug)]
 pub struct HostError {
     address: SocketAddr,
@@ -88,11 +89,11 @@
     }
 }
 
-/// Runs a host until it is told to stop.
+/// Runs a host until it receives the stop signal.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be listened on.
+/// Fails when the host cannot listen on one of its addresses.
 pub async fn run(
     options: HostOptions,
     dialect: Arc<dyn Dialect>,
@@ -100,10 +101,10 @@
     log: DecisionLog,
     mut signals: Signals,
 ) -> Result<(), HostError> {
-    let started = StartLine {
+    let started = StartedLine {
         host: &options.host,
         incarnation: options.incarnation,
-        callers: options.callers.to_string(),
+        callers: options.caller_address.to_string(),
     };
     log.line("started", &started);
     let peer_client = Arc::new(PeerClient::default());
@@ -116,99 +117,110 @@
         peer_client,
         log.clone(),
     ));
-    let open = Arc::new(OpenConnections::default());
+    let open_connections = Arc::new(OpenConnections::default());
     let (close_idle, closing) = watch::channel(false);
-    start_listeners(&options, &shared, &open, closing).await?;
+    start_listeners(&options, &shared, &open_connections, closing).await?;
     start_followers(&options, &shared).await?;
     if signals.stop.recv().await.is_none() {
         std::future::pending::<()>().await;
     }
-    stop(&options, &shared, &open, &close_idle).await;
-    log.close(LOG_PATIENCE);
+    stop(&options, &shared, &open_connections, &close_idle).await;
+    log.close(LOG_FLUSH_TIMEOUT);
     Ok(())
 }
 
 async fn start_listeners(
     options: &HostOptions,
     shared: &Arc<Shared>,
-    open: &Arc<OpenConnections>,
+    open_connections: &Arc<OpenConnections>,
     closing: watch::Receiver<bool>,
 ) -> Result<(), HostError> {
-    let callers = bound(options.callers).await?;
-    let ready = bound(options.ready).await?;
-    if let Some(address) = options.metrics
+    let callers = bind_listener(options.caller_address).await?;
+    let readiness = bind_listener(options.readiness_address).await?;
+    if let Some(address) = options.metrics_address
         && let Some(handle) = metrics_page::install()
     {
-        tokio::spawn(serve_metrics(handle.clone(), bound(address).await?));
+        tokio::spawn(serve_metrics(handle.clone(), bind_listener(address).await?));
         tokio::spawn(metrics_page::upkeep(Arc::clone(shared), handle));
     }
     tokio::spawn(serve_callers(
         Arc::clone(shared),
         callers,
-        Arc::clone(open),
+        Arc::clone(open_connections),
         closing,
     ));
-    tokio::spawn(serve_ready(Arc::clone(shared), ready));
+    tokio::spawn(serve_readiness(Arc::clone(shared), readiness));
     Ok(())
 }
 
 async fn start_followers(options: &HostOptions, shared: &Arc<Shared>) -> Result<(), HostError> {
-    let socket = reports::bind(options.reports).await.map_err(|cause| HostError {
-        address: options.reports,
-        cause,
-    })?;
-    let calls = bound(options.reports).await?;
-    let share = || Arc::clone(shared);
-    tokio::spawn(follow(share(), Box::new(DocumentReader::new(share()))));
-    tokio::spawn(follow(share(), Box::new(EndpointReader::new(share()))));
-    tokio::spawn(follow(share(), Box::new(HostReader::new(share()))));
-    tokio::spawn(sweep(share()));
-    tokio::spawn(write_reservations(share()));
-    tokio::spawn(keep_registered(share(), options.reports));
-    tokio::spawn(serve_peers(share(), calls));
+    let socket = reports::bind(options.peer_address)
+        .await
+        .map_err(|cause| HostError {
+            address: options.peer_address,
+            cause,
+        })?;
+    let calls = bind_listener(options.peer_address).await?;
+    let clone_shared = || Arc::clone(shared);
+    tokio::spawn(follow(
+        clone_shared(),
+        Box::new(DocumentSubscriber::new(clone_shared())),
+    ));
+    tokio::spawn(follow(
+        clone_shared(),
+        Box::new(EndpointSubscriber::new(clone_shared())),
+    ));
+    tokio::spawn(follow(
+        clone_shared(),
+        Box::new(HostSubscriber::new(clone_shared())),
+    ));
+    tokio::spawn(sweep(clone_shared()));
+    tokio::spawn(write_reservations(clone_shared()));
+    tokio::spawn(keep_registered(clone_shared(), options.peer_address));
+    tokio::spawn(serve_peers(clone_shared(), calls));
     tokio::spawn(Arc::clone(&shared.store).probe());
-    tokio::spawn(reports::send_reports(share(), Arc::clone(&socket)));
-    tokio::spawn(reports::receive_reports(share(), socket));
+    tokio::spawn(reports::send_reports(clone_shared(), Arc::clone(&socket)));
+    tokio::spawn(reports::receive_reports(clone_shared(), socket));
     Ok(())
 }
 
-async fn bound(address: SocketAddr) -> Result<TcpListener, HostError> {
+async fn bind_listener(address: SocketAddr) -> Result<TcpListener, HostError> {
     listen(address)
         .await
         .map_err(|cause| HostError { address, cause })
 }
 
-/// Turns callers away, answers what was read, and ends in time.
+/// Moves callers to other hosts, completes the calls in progress, and returns within the grace period.
 async fn stop(
     options: &HostOptions,
     shared: &Shared,
-    open: &OpenConnections,
+    open_connections: &OpenConnections,
     close_idle: &watch::Sender<bool>,
 ) {
-    let ends_at = Instant::now() + options.grace.saturating_sub(STOP_RESERVE);
+    let deadline = Instant::now() + options.grace_period.saturating_sub(STOP_RESERVE);
     shared.stopping.store(true, Ordering::Relaxed);
-    shared.stop_begun.notify_one();
+    shared.stop_started.notify_one();
     shared.log.line(
         "stopping",
         &ConnectionsLine {
-            connections: open.count(),
+            connections: open_connections.count(),
         },
     );
-    sleep(TURN_AWAY_TIME).await;
+    sleep(DRAIN_NOTICE_TIME).await;
     close_idle.send_replace(true);
-    while open.count() > 0 && Instant::now() < ends_at {
-        sleep(STOP_LOOK).await;
+    while open_connections.count() > 0 && Instant::now() < deadline {
+        sleep(STOP_POLL_INTERVAL).await;
     }
     shared.log.line(
         "stopped",
         &ConnectionsLine {
-            connections: open.count(),
+            connections: open_connections.count(),
         },
     );
 }
 
 #[derive(Serialize)]
-struct StartLine<'a> {
+struct StartedLine<'a> {
     host: &'a str,
     incarnation: Incarnation,
     callers: String,
--- a/crates/burdockroad-gateway/src/range_log.rs
+++ b/crates/burdockroad-gateway/src/range_log.rs
@@ -1,4 +1,4 @@
-//! What a host knows of one range of the store, to pass on to the hosts that do not watch it.
+//! Entries and recent changes of one range of the store, for hosts that do not watch it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,48 +7,51 @@
 
 use crate::{Change, RangeSnapshot};
 
-/// Changes that are kept to be passed on one by one; a host that is behind them takes the whole range.
-const RECENT_MAX: usize = 256;
+/// Number of recent changes that are retained. A host that is further behind fetches the whole range.
+const RECENT_CHANGES_MAX: usize = 256;
 
-/// A range's entries and its latest changes.
+/// Entries of a range and its most recent changes.
 #[derive(Clone, Debug, Default)]
 pub struct RangeLog {
     entries: BTreeMap<String, Entry>,
-    /// Latest changes, the oldest in front.
+    /// Most recent changes, oldest first.
     recent: VecDeque<Change>,
-    /// All changes behind this revision are among the recent ones.
+    /// Revision after which all changes are in `recent`.
     recent_after: Revision,
+    /// Revision up to which the log is complete.
     as_of: Revision,
-    changed_at: Revision,
+    /// Revision of the last change.
+    last_change: Revision,
 }
 
-/// What a host that is behind needs.
+/// Update that brings another host up to date with a range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum RangeNews {
-    /// These changes, in their order.
+pub enum RangeUpdate {
+    /// Changes that the host has not seen.
     Changes {
-        /// The changes; empty when it is not behind.
+        /// Changes in the order of their revisions; empty when the host is up to date.
         changes: Vec<Change>,
-        /// Revision up to which they are complete.
+        /// Revision up to which the changes are complete.
         as_of: Revision,
     },
-    /// All of the range.
-    Whole(RangeSnapshot),
+    /// All entries of the range.
+    #[serde(rename = "Whole")]
+    Snapshot(RangeSnapshot),
 }
 
 impl RangeLog {
-    /// Takes all of the range.
+    /// Replaces all entries and discards the recent changes.
     pub fn replace(&mut self, snapshot: &RangeSnapshot) {
         let entries = snapshot.entries.iter();
         self.entries = entries.map(|entry| (entry.key.clone(), entry.clone())).collect();
         self.recent.clear();
         self.recent_after = snapshot.as_of;
         self.as_of = snapshot.as_of;
-        self.changed_at = snapshot.as_of;
+        self.last_change = snapshot.as_of;
     }
 
-    /// Takes changes that are complete up to `as_of`.
+    /// Appends changes that are complete up to `as_of`.
     pub fn extend(&mut self, changes: &[Change], as_of: Revision) {
         for change in changes {
             match change {
@@ -59,10 +62,10 @@
                     self.entries.remove(key);
                 }
             }
-            self.changed_at = self.changed_at.max(change.revision());
+            self.last_change = self.last_change.max(change.revision());
             self.recent.push_back(change.clone());
         }
-        while self.recent.len() > RECENT_MAX {
+        while self.recent.len() > RECENT_CHANGES_MAX {
             if let Some(oldest) = self.recent.pop_front() {
                 self.recent_after = oldest.revision();
             }
@@ -70,26 +73,28 @@
         self.as_of = self.as_of.max(as_of);
     }
 
-    /// Revision of the last change that is known; 0 before the range was read.
-    pub fn changed_at(&self) -> Revision {
-        self.changed_at
+    /// Returns the revision of the last change, or of the snapshot if no change followed it; 0 before the
+    /// range was read.
+    pub fn last_change(&self) -> Revision {
+        self.last_change
     }
 
-    /// What a host needs that knows the range up to `after`; none before the range was read.
-    pub fn news_after(&self, after: Revision) -> Option<RangeNews> {
+    /// Returns the update for a host that has seen the range up to `after`; `None` before the range was
+    /// read.
+    pub fn changes_since(&self, after: Revision) -> Option<RangeUpdate> {
         if self.as_of == 0 {
             return None;
         }
         if after < self.recent_after {
             let entries = self.entries.values().cloned().collect();
-            return Some(RangeNews::Whole(RangeSnapshot {
+            return Some(RangeUpdate::Snapshot(RangeSnapshot {
                 entries,
                 as_of: self.as_of,
             }));
         }
-        let behind = self.recent.iter().filter(|change| change.revision() > after);
-        Some(RangeNews::Changes {
-            changes: behind.cloned().collect(),
+        let unseen = self.recent.iter().filter(|change| change.revision() > after);
+        Some(RangeUpdate::Changes {
+            changes: unseen.cloned().collect(),
             as_of: self.as_of.max(after),
         })
     }
--- a/crates/burdockroad-gateway/src/refusal.rs
+++ b/crates/burdockroad-gateway/src/refusal.rs
@@ -1,48 +1,48 @@
-//! Answers of the gateway's own.
+//! Responses that the gateway generates itself.
 
 use std::{fmt::Write, time::Duration};
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Response, StatusCode, header};
 
-use crate::{Dialect, stream::AnswerBody};
+use crate::{Dialect, stream::ResponseBody};
 
-/// When a caller may come back to a host that is not ready; others are.
-const NOT_READY_RETRY: Duration = Duration::from_millis(200);
+/// `Retry-After` of a host that is not ready. It is short because another host can serve the caller.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Why a call ends without an endpoint's answer.
+/// Reason why a call ends without an endpoint's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// No configuration was read yet, or the process is stopping.
+    /// The host has not read the configuration or the list of hosts yet.
     NotReady,
-    /// The head is malformed.
+    /// The named header is missing or malformed.
     BadHead(&'static str),
-    /// The body is longer than allowed.
+    /// The body exceeds the limit.
     BodyTooLong,
-    /// The body did not arrive in time or whole.
+    /// The body did not arrive completely or in time.
     BodyIncomplete,
     /// No route matches.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     UnknownKey,
-    /// The account is over its rate.
+    /// The account exceeds its rate limit.
     OverRate(Duration),
-    /// The program's budget cannot hold the call.
+    /// The program's budget has too few tokens left for the call.
     BudgetSpent,
-    /// The budget cannot be reserved since the store does not answer.
+    /// No tokens could be reserved because the store does not respond.
     NoReservation(Duration),
-    /// No endpoint can take the call.
+    /// No endpoint can take the call, or the service is too loaded for another program to start.
     NoEndpoint(Duration),
-    /// The time was over before the call was sent.
+    /// The deadline passed, and the call has not run at any endpoint.
     TimeOverUnsent,
-    /// The time was over while an endpoint was at work.
+    /// The deadline passed, and the call may have run.
     TimeOver,
     /// The call may have run, and its outcome is unknown.
     UnknownOutcome,
 }
 
 impl Refusal {
-    /// Name, for logs and metrics.
+    /// Returns the name used in logs, metrics and response bodies.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::NotReady => "not_ready",
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Status; 408, 429 and 503 promise that the call has not run and will not.
+    /// Returns the HTTP status. 408, 429 and 503 promise that the call has not run and will not run.
     pub(crate) fn status(self) -> StatusCode {
         match self {
             Self::NotReady | Self::NoReservation(_) | Self::NoEndpoint(_) | Self::TimeOverUnsent => {
@@ -79,19 +79,19 @@
         }
     }
 
-    /// When the caller may come back.
+    /// Returns the time after which the caller may retry.
     pub(crate) fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::NotReady => Some(NOT_READY_RETRY),
+            Self::NotReady => Some(NOT_READY_RETRY_AFTER),
             Self::OverRate(wait) | Self::NoReservation(wait) | Self::NoEndpoint(wait) => Some(wait),
             _ => None,
         }
     }
 
-    /// The whole answer.
-    pub(crate) fn answer(self, dialect: &dyn Dialect, call_id: Option<&str>) -> Response<AnswerBody> {
-        let text = format!("{{\"refused\":\"{}\"}}\n", self.name());
-        let mut response = Response::new(AnswerBody::full(Bytes::from(text)));
+    /// Builds the response.
+    pub(crate) fn response(self, dialect: &dyn Dialect, call_id: Option<&str>) -> Response<ResponseBody> {
+        let body = format!("{{\"refused\":\"{}\"}}\n", self.name());
+        let mut response = Response::new(ResponseBody::full(Bytes::from(body)));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -99,17 +99,17 @@
             set_retry_after(headers, wait);
         }
         if let Some(call_id) = call_id {
-            dialect.write_own_answer(headers, call_id);
+            dialect.write_gateway_response(headers, call_id);
         }
         response
     }
 }
 
 fn set_retry_after(headers: &mut HeaderMap, wait: Duration) {
-    let mut text = String::new();
-    let written = write!(text, "{:.3}", wait.as_secs_f64());
+    let mut seconds = String::new();
+    let written = write!(seconds, "{:.3}", wait.as_secs_f64());
     if written.is_ok()
-        && let Ok(value) = HeaderValue::from_str(&text)
+        && let Ok(value) = HeaderValue::from_str(&seconds)
     {
         headers.insert(header::RETRY_AFTER, value);
     }
--- a/crates/burdockroad-gateway/src/relay.rs
+++ b/crates/burdockroad-gateway/src/relay.rs
@@ -1,7 +1,7 @@
-//! Reaching the store through another host when it turns this one away.
+//! Reaches the store through another host when the store refuses this host.
 //!
-//! A store may refuse some hosts and serve the others. A host that is refused makes its calls through one
-//! that is served, and asks the store itself now and then until it is served again.
+//! The store may refuse some hosts and serve the others. A refused host relays its calls through a host that
+//! is served, and probes the store every [`PROBE_INTERVAL`] until it is served again.
 
 use std::{
     collections::HashMap,
@@ -16,23 +16,23 @@
 use tokio::time::sleep;
 
 use crate::{
-    Changes, ConditionalWrite, DecisionLog, LeaseId, RangeSnapshot, SharedStore, Written,
-    peer::{PeerCall, PeerClient, PeerError, PeerReply},
+    Changes, ConditionalWrite, DecisionLog, LeaseId, RangeSnapshot, SharedStore, WriteOutcome,
+    peer::{PeerCall, PeerClient, PeerError, PeerResponse},
 };
 
-/// Time beyond the store's own within which another host has to answer.
+/// Time added to the timeout of a store call when another host relays it.
 const RELAY_MARGIN: Duration = Duration::from_millis(300);
 
-/// Time for which another host's word that it is served holds.
-const SERVED_AGE_MAX: Duration = Duration::from_millis(600);
+/// Age at which another host's report that the store serves it expires.
+const SERVING_REPORT_AGE_MAX: Duration = Duration::from_millis(600);
 
-/// Time between two questions to a store that turned this host away.
+/// Interval between two probes of a store that refuses this host.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Prefix that holds nothing; reading it shows whether the store answers.
+/// Prefix without keys, which is read to probe the store.
 const PROBE_PREFIX: &str = "burdockroad/none/";
 
-/// A call to the store.
+/// A call to the store, as sent to a relaying host.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum StoreCall {
@@ -50,7 +50,8 @@
     OpenLease {
         lifetime: Duration,
     },
-    KeepLease {
+    #[serde(rename = "KeepLease")]
+    RenewLease {
         lease: LeaseId,
     },
     EndLease {
@@ -58,23 +59,25 @@
     },
 }
 
-/// What the store answered.
+/// Response to a [`StoreCall`].
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
-pub(crate) enum StoreReply {
+pub(crate) enum StoreResponse {
     Range(RangeSnapshot),
     Changes(Changes),
-    Written(Written),
+    #[serde(rename = "Written")]
+    WriteOutcome(WriteOutcome),
     Lease(LeaseId),
-    Kept(bool),
+    #[serde(rename = "Kept")]
+    Renewed(bool),
     Ended,
     /// The call had no effect.
     Unavailable(String),
-    /// The call may take effect.
+    /// The call may have taken effect or may still do so.
     Ambiguous(String),
 }
 
-/// The store, directly or through another host.
+/// Store that is reached directly or through another host.
 #[derive(Debug)]
 pub(crate) struct RelayedStore {
     direct: Arc<dyn SharedStore>,
@@ -85,10 +88,10 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Since when the store turns this host away; none while it does not.
+    /// Time of the last refused call; `None` while the store serves this host.
     refused_at: Option<Instant>,
-    /// Hosts that said lately that they are served.
-    served: HashMap<SocketAddr, Instant>,
+    /// Hosts that the store serves, with the time of their last report.
+    served_peers: HashMap<SocketAddr, Instant>,
 }
 
 impl RelayedStore {
@@ -101,73 +104,81 @@
         }
     }
 
-    /// The store without detours.
+    /// Returns the store without relaying.
     pub(crate) fn direct(&self) -> &dyn SharedStore {
         &*self.direct
     }
 
-    /// Whether the store serves this host itself.
-    pub(crate) fn is_served(&self) -> bool {
+    /// Returns whether the store serves this host itself.
+    pub(crate) fn is_served_directly(&self) -> bool {
         self.state().refused_at.is_none()
     }
 
-    /// Takes another host's word on whether the store serves it.
-    pub(crate) fn note_peer(&self, address: SocketAddr, served: bool, now: Instant) {
+    /// Records another host's report on whether the store serves it.
+    pub(crate) fn record_peer(&self, address: SocketAddr, is_served: bool, now: Instant) {
         let mut state = self.state();
-        if served {
-            state.served.insert(address, now);
+        if is_served {
+            state.served_peers.insert(address, now);
         } else {
-            state.served.remove(&address);
+            state.served_peers.remove(&address);
         }
     }
 
-    /// Asks the store now and then while it turns this host away.
+    /// Probes the store every [`PROBE_INTERVAL`] while it refuses this host.
     pub(crate) async fn probe(self: Arc<Self>) {
         loop {
             sleep(PROBE_INTERVAL).await;
-            if self.is_served() {
+            if self.is_served_directly() {
                 continue;
             }
             if self.direct.read_range(PROBE_PREFIX).await.is_ok() {
-                self.note_direct(None);
+                self.record_direct_result(None);
             }
         }
     }
 
-    async fn call(&self, call: StoreCall) -> Result<StoreReply, StoreError> {
-        if self.is_served() {
-            let reply = answer_store_call(&*self.direct, call.clone()).await;
-            match reply {
-                StoreReply::Unavailable(reason) => self.note_direct(Some(reason)),
-                StoreReply::Ambiguous(reason) => {
-                    self.note_direct(Some(reason.clone()));
-                    if call.changes_something() {
+    /// Makes a call directly if the store serves this host, otherwise through another host.
+    async fn call(&self, call: StoreCall) -> Result<StoreResponse, StoreError> {
+        if self.is_served_directly() {
+            let response = handle_store_call(&*self.direct, call.clone()).await;
+            match response {
+                StoreResponse::Unavailable(reason) => self.record_direct_result(Some(reason)),
+                StoreResponse::Ambiguous(reason) => {
+                    self.record_direct_result(Some(reason.clone()));
+                    if call.must_not_repeat() {
                         return Err(StoreError::Ambiguous { reason });
                     }
                 }
-                answered => return Ok(answered),
+                response => return Ok(response),
             }
         }
         self.call_through_peer(call).await
     }
 
-    async fn call_through_peer(&self, call: StoreCall) -> Result<StoreReply, StoreError> {
+    async fn call_through_peer(&self, call: StoreCall) -> Result<StoreResponse, StoreError> {
         let Some(peer) = self.pick_peer() else {
-            return Err(unavailable("the store answers no host"));
+            return Err(unavailable("no other host reports access to the store"));
         };
         metrics::counter!("burdockroad_store_calls_relayed_total").increment(1);
-        let patience = call.patience() + RELAY_MARGIN;
-        let changes_something = call.changes_something();
-        let replied = self.client.call(peer, &PeerCall::Store(call), patience).await;
-        match replied {
-            Ok(PeerReply::Store(StoreReply::Unavailable(reason))) => Err(unavailable(&reason)),
-            Ok(PeerReply::Store(StoreReply::Ambiguous(reason))) => Err(StoreError::Ambiguous { reason }),
-            Ok(PeerReply::Store(reply)) => Ok(reply),
-            Ok(PeerReply::RangeNews(_) | PeerReply::Hold(_) | PeerReply::Released) => Err(mismatched()),
+        let response_timeout = call.response_timeout() + RELAY_MARGIN;
+        let must_not_repeat = call.must_not_repeat();
+        let result = self
+            .client
+            .call(peer, &PeerCall::Store(call), response_timeout)
+            .await;
+        match result {
+            Ok(PeerResponse::Store(StoreResponse::Unavailable(reason))) => Err(unavailable(&reason)),
+            Ok(PeerResponse::Store(StoreResponse::Ambiguous(reason))) => {
+                Err(StoreError::Ambiguous { reason })
+            }
+            Ok(PeerResponse::Store(response)) => Ok(response),
+            Ok(PeerResponse::RangeUpdate(_) | PeerResponse::Reservation(_) | PeerResponse::Released) => {
+                Err(unexpected_response())
+            }
             Err(error) => {
-                self.state().served.remove(&peer);
-                let reason = format!("host {peer} did not answer");
-                if error == PeerError::NoAnswer && changes_something {
+                self.state().served_peers.remove(&peer);
+                let reason = format!("host {peer} did not respond");
+                if error == PeerError::NoResponse && must_not_repeat {
                     return Err(StoreError::Ambiguous { reason });
                 }
                 Err(unavailable(&reason))
@@ -175,26 +186,30 @@
         }
     }
 
+    /// Chooses a random host that the store serves.
     fn pick_peer(&self) -> Option<SocketAddr> {
         let now = Instant::now();
         let mut state = self.state();
-        state.served.retain(|_, at| now < *at + SERVED_AGE_MAX);
-        let count = state.served.len();
+        state
+            .served_peers
+            .retain(|_, at| now < *at + SERVING_REPORT_AGE_MAX);
+        let count = state.served_peers.len();
         let index = rand::random::<u64>().checked_rem(count as u64)?;
         let index = usize::try_from(index).ok()?;
-        state.served.keys().nth(index).copied()
+        state.served_peers.keys().nth(index).copied()
     }
 
-    fn note_direct(&self, refused_because: Option<String>) {
+    /// Records the result of a direct call, and logs when the store starts or stops serving this host.
+    fn record_direct_result(&self, refusal_reason: Option<String>) {
         let mut state = self.state();
-        let refused_before = state.refused_at.is_some();
-        state.refused_at = refused_because.as_ref().map(|_| Instant::now());
+        let was_refused = state.refused_at.is_some();
+        state.refused_at = refusal_reason.as_ref().map(|_| Instant::now());
         drop(state);
-        match refused_because {
-            Some(reason) if !refused_before => self.log.line("store_refuses", &ReasonLine { reason }),
-            None if refused_before => self.log.line(
+        match refusal_reason {
+            Some(reason) if !was_refused => self.log.line("store_refuses", &StoreStateLine { reason }),
+            None if was_refused => self.log.line(
                 "store_serves",
-                &ReasonLine {
+                &StoreStateLine {
                     reason: String::new(),
                 },
             ),
@@ -212,56 +227,57 @@
     async fn read_range(&self, prefix: &str) -> Result<RangeSnapshot, StoreError> {
         let prefix = prefix.to_owned();
         match self.call(StoreCall::ReadRange { prefix }).await? {
-            StoreReply::Range(snapshot) => Ok(snapshot),
-            _ => Err(mismatched()),
+            StoreResponse::Range(snapshot) => Ok(snapshot),
+            _ => Err(unexpected_response()),
         }
     }
 
     async fn changes(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes, StoreError> {
         let prefix = prefix.to_owned();
         match self.call(StoreCall::Changes { prefix, after, wait }).await? {
-            StoreReply::Changes(changes) => Ok(changes),
-            _ => Err(mismatched()),
+            StoreResponse::Changes(changes) => Ok(changes),
+            _ => Err(unexpected_response()),
         }
     }
 
-    async fn write_all(&self, writes: &[ConditionalWrite]) -> Result<Written, StoreError> {
+    async fn write_all(&self, writes: &[ConditionalWrite]) -> Result<WriteOutcome, StoreError> {
         let writes = writes.to_vec();
         match self.call(StoreCall::WriteAll { writes }).await? {
-            StoreReply::Written(written) => Ok(written),
-            _ => Err(mismatched()),
+            StoreResponse::WriteOutcome(outcome) => Ok(outcome),
+            _ => Err(unexpected_response()),
         }
     }
 
     async fn open_lease(&self, lifetime: Duration) -> Result<LeaseId, StoreError> {
         match self.call(StoreCall::OpenLease { lifetime }).await? {
-            StoreReply::Lease(lease) => Ok(lease),
-            _ => Err(mismatched()),
+            StoreResponse::Lease(lease) => Ok(lease),
+            _ => Err(unexpected_response()),
         }
     }
 
-    async fn keep_lease(&self, lease: LeaseId) -> Result<bool, StoreError> {
-        match self.call(StoreCall::KeepLease { lease }).await? {
-            StoreReply::Kept(kept) => Ok(kept),
-            _ => Err(mismatched()),
+    async fn renew_lease(&self, lease: LeaseId) -> Result<bool, StoreError> {
+        match self.call(StoreCall::RenewLease { lease }).await? {
+            StoreResponse::Renewed(renewed) => Ok(renewed),
+            _ => Err(unexpected_response()),
         }
     }
 
     async fn end_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         match self.call(StoreCall::EndLease { lease }).await? {
-            StoreReply::Ended => Ok(()),
-            _ => Err(mismatched()),
+            StoreResponse::Ended => Ok(()),
+            _ => Err(unexpected_response()),
         }
     }
 }
 
 impl StoreCall {
-    /// Whether making the call twice differs from making it once.
-    fn changes_something(&self) -> bool {
+    /// Returns whether repeating the call may have another effect than making it once.
+    fn must_not_repeat(&self) -> bool {
         matches!(self, Self::WriteAll { .. })
     }
 
-    fn patience(&self) -> Duration {
+    /// Returns the time within which the store has to respond.
+    fn response_timeout(&self) -> Duration {
         match self {
             Self::Changes { wait, .. } => *wait + CALL_TIMEOUT,
             _ => CALL_TIMEOUT,
@@ -269,21 +285,22 @@
     }
 }
 
-/// Makes a call for another host.
-pub(crate) async fn answer_store_call(store: &dyn SharedStore, call: StoreCall) -> StoreReply {
-    let reply = match call {
-        StoreCall::ReadRange { prefix } => store.read_range(&prefix).await.map(StoreReply::Range),
-        StoreCall::Changes { prefix, after, wait } => {
-            store.changes(&prefix, after, wait).await.map(StoreReply::Changes)
-        }
-        StoreCall::WriteAll { writes } => store.write_all(&writes).await.map(StoreReply::Written),
-        StoreCall::OpenLease { lifetime } => store.open_lease(lifetime).await.map(StoreReply::Lease),
-        StoreCall::KeepLease { lease } => store.keep_lease(lease).await.map(StoreReply::Kept),
-        StoreCall::EndLease { lease } => store.end_lease(lease).await.map(|()| StoreReply::Ended),
+/// Makes a call to the store and converts its result to a response.
+pub(crate) async fn handle_store_call(store: &dyn SharedStore, call: StoreCall) -> StoreResponse {
+    let response = match call {
+        StoreCall::ReadRange { prefix } => store.read_range(&prefix).await.map(StoreResponse::Range),
+        StoreCall::Changes { prefix, after, wait } => store
+            .changes(&prefix, after, wait)
+            .await
+            .map(StoreResponse::Changes),
+        StoreCall::WriteAll { writes } => store.write_all(&writes).await.map(StoreResponse::WriteOutcome),
+        StoreCall::OpenLease { lifetime } => store.open_lease(lifetime).await.map(StoreResponse::Lease),
+        StoreCall::RenewLease { lease } => store.renew_lease(lease).await.map(StoreResponse::Renewed),
+        StoreCall::EndLease { lease } => store.end_lease(lease).await.map(|()| StoreResponse::Ended),
     };
-    reply.unwrap_or_else(|error| match error {
-        StoreError::Unavailable { reason, .. } => StoreReply::Unavailable(reason),
-        StoreError::Ambiguous { reason } => StoreReply::Ambiguous(reason),
+    response.unwrap_or_else(|error| match error {
+        StoreError::Unavailable { reason, .. } => StoreResponse::Unavailable(reason),
+        StoreError::Ambiguous { reason } => StoreResponse::Ambiguous(reason),
     })
 }
 
@@ -294,13 +311,13 @@
     }
 }
 
-fn mismatched() -> StoreError {
+fn unexpected_response() -> StoreError {
     StoreError::Ambiguous {
-        reason: "another host answered a different call".to_owned(),
+        reason: "the relaying host returned a response to a different call".to_owned(),
     }
 }
 
 #[derive(Serialize)]
-struct ReasonLine {
+struct StoreStateLine {
     reason: String,
 }
