--- a/crates/burdockroad-gateway/src/reports.rs
+++ b/crates/burdockroad-gateway/src/reports.rs
@@ -1,9 +1,10 @@
-//! Telling the other hosts what this one admits.
+//! Reports the calls that this host admits to the other hosts.
 //!
-//! It goes to each host of the own failure domain, and to one of each other, which passes it on: bytes
-//! between failure domains are paid for. A report is cumulative and small, so it goes as one datagram: a
-//! lost one is made up for by the next. A stream to each host was refused, since a report that waits for a
-//! lost one is worth nothing.
+//! A report is sent to each host of the same failure domain and to one host of each other domain, which
+//! forwards it within its domain, because traffic between failure domains is paid for. Reports are
+//! cumulative and small, so they are sent as datagrams, and a lost one is made up for by the next. Streams
+//! between the hosts are not used because a report that waits for the retransmission of an older one is
+//! useless.
 
 use std::{
     io,
@@ -24,51 +25,53 @@
 };
 
 use crate::{
-    follow::{ToldRange, watched_ranges},
+    follow::{AnnouncedRange, watched_ranges},
     shared::{Shared, Tables},
 };
 
-/// Time between two reports.
+/// Interval between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Accounts in one datagram, which keeps it below the usual size of a packet.
+/// Maximum number of accounts in one datagram, which keeps it below the usual packet size.
 const ACCOUNTS_MAX: usize = 24;
 
-/// Largest datagram that is read.
+/// Size of the receive buffer.
 const DATAGRAM_MAX_BYTES: usize = 4096;
 
-/// First byte of a datagram that is for its receiver.
-const FINAL: u8 = 0;
+/// First byte of a datagram that is meant only for its receiver.
+const DELIVER: u8 = 0;
 
-/// First byte of a datagram that its receiver passes on in its failure domain.
-const PASS_ON: u8 = 1;
+/// First byte of a datagram that its receiver forwards to the hosts of its failure domain.
+const FORWARD: u8 = 1;
 
 /// A report on the wire.
 #[derive(Serialize, Deserialize)]
 struct WireReport {
     host: String,
     incarnation: u64,
-    /// Time since the host's process started, in milliseconds.
+    /// Time since the start of the host's process, in milliseconds.
     running_ms: u64,
-    /// Whether the store serves the host itself.
-    store_serves: bool,
-    /// Calls at endpoints, in the first datagram of a report.
+    /// Whether the store serves the host without relaying.
+    #[serde(rename = "store_serves")]
+    has_direct_store_access: bool,
+    /// Calls in flight at endpoints; only in the first datagram of a report.
     in_flight: Option<Vec<WireCalls>>,
-    /// Ranges that the host watches, in the first datagram of a report.
+    /// Ranges that the host watches; only in the first datagram of a report.
     ranges: Vec<WireRange>,
     accounts: Vec<WireUse>,
 }
 
-/// How far a host knows a range of the store.
+/// A watched range and the revision of its last change.
 #[derive(Serialize, Deserialize)]
 struct WireRange {
     #[serde(rename = "p")]
     prefix: String,
     #[serde(rename = "c")]
-    changed_at: Revision,
+    last_change: Revision,
 }
 
-/// One account's calls; the names are short, since a report goes to every host seven times a second.
+/// Use of one account's rate limit. The names on the wire are short because a report is sent to every host
+/// about seven times a second.
 #[derive(Serialize, Deserialize)]
 struct WireUse {
     #[serde(rename = "n")]
@@ -94,47 +97,47 @@
     calls: u32,
 }
 
-/// Opens the socket that reports go through.
+/// Opens the socket for reports.
 pub(crate) async fn bind(address: SocketAddr) -> io::Result<Arc<UdpSocket>> {
     Ok(Arc::new(UdpSocket::bind(address).await?))
 }
 
-/// Sends reports as long as the host runs.
+/// Sends reports until the host stops.
 pub(crate) async fn send_reports(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut ticks = interval(REPORT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    // Hosts that started together do not all choose the same one to pass their reports on.
-    let mut turn = rand::random::<u16>().into();
+    // A random start keeps hosts that started together from choosing the same forwarding host.
+    let mut round_number = rand::random::<u16>().into();
     loop {
         tokio::select! {
             _tick = ticks.tick() => {}
             () = shared.report_now.notified() => {}
         }
-        turn += 1;
-        let (near, far) = addresses(&shared, turn);
+        round_number += 1;
+        let (local, remote) = addresses(&shared, round_number);
         for report in wire_reports(&shared) {
-            send_all(&socket, FINAL, &report, &near).await;
-            send_all(&socket, PASS_ON, &report, &far).await;
+            send_all(&socket, DELIVER, &report, &local).await;
+            send_all(&socket, FORWARD, &report, &remote).await;
         }
     }
 }
 
-/// Hosts of this failure domain, and those that pass reports on in the others.
-fn addresses(shared: &Shared, turn: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+/// Returns the addresses of the hosts in this failure domain, and of the forwarding hosts in the others.
+fn addresses(shared: &Shared, round_number: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
     let peers = shared.peers.borrow();
-    let places: Vec<HostPlace> = peers
+    let locations: Vec<HostPlace> = peers
         .iter()
         .map(|(host, peer)| HostPlace {
             host: host.clone(),
             failure_domain: peer.failure_domain.clone(),
         })
         .collect();
-    let targets = report_targets(&shared.failure_domain, &places, turn);
+    let targets = report_targets(&shared.failure_domain, &locations, round_number);
     let targets = targets.iter().filter_map(|host| peers.get(host));
-    let (near, far): (Vec<_>, Vec<_>) =
+    let (local, remote): (Vec<_>, Vec<_>) =
         targets.partition(|peer| peer.failure_domain == shared.failure_domain);
-    let of = |peers: Vec<&crate::hosts::Peer>| peers.into_iter().map(|peer| peer.address).collect();
-    (of(near), of(far))
+    let to_addresses = |peers: Vec<&crate::hosts::Peer>| peers.into_iter().map(|peer| peer.address).collect();
+    (to_addresses(local), to_addresses(remote))
 }
 
 async fn send_all(socket: &UdpSocket, kind: u8, report: &[u8], addresses: &[SocketAddr]) {
@@ -142,14 +145,14 @@
     datagram.push(kind);
     datagram.extend_from_slice(report);
     for address in addresses {
-        // The next report makes up for one that could not be sent.
+        // The next report makes up for a failed one.
         if socket.send_to(&datagram, address).await.is_err() {
             metrics::counter!("burdockroad_reports_unsent_total").increment(1);
         }
     }
 }
 
-/// Takes in the reports of other hosts, and passes on what came for all of this failure domain.
+/// Receives the reports of other hosts, and forwards those that are meant for this failure domain.
 pub(crate) async fn receive_reports(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM_MAX_BYTES];
     loop {
@@ -166,63 +169,66 @@
             metrics::counter!("burdockroad_reports_unreadable_total").increment(1);
             continue;
         };
-        if *kind == PASS_ON {
-            let (near, _far) = addresses(&shared, 0);
-            send_all(&socket, FINAL, bytes, &near).await;
+        if *kind == FORWARD {
+            let (local, _far) = addresses(&shared, 0);
+            send_all(&socket, DELIVER, bytes, &local).await;
         }
-        take_in(&shared, report);
+        apply_report(&shared, report);
     }
 }
 
-/// Takes in a report; one of a host that is not registered says nothing.
-fn take_in(shared: &Shared, report: WireReport) {
+/// Applies a report. Reports of hosts that are not registered are ignored.
+fn apply_report(shared: &Shared, report: WireReport) {
     let now = Instant::now();
     let address = shared.peers.borrow().get(&report.host).map(|peer| peer.address);
     let Some(address) = address else {
         return;
     };
-    shared.store.note_peer(address, report.store_serves, now);
+    shared
+        .store
+        .record_peer(address, report.has_direct_store_access, now);
     let mut tables = shared.tables();
     if let Some(in_flight) = report.calls() {
         tables.endpoints.note_peer(&report.host, &in_flight, now);
     }
-    let told_more = tables.note_ranges(&report.ranges, address, now);
+    let is_newer = tables.record_ranges(&report.ranges, address, now);
     tables.allowances.note_report(&report.decode(), now);
     drop(tables);
-    if told_more {
-        shared.range_told.notify_waiters();
+    if is_newer {
+        shared.range_announced.notify_waiters();
     }
 }
 
 impl Tables {
-    /// Notes how far another host knows the ranges; whether that is further than was told before.
-    fn note_ranges(&mut self, ranges: &[WireRange], address: SocketAddr, now: Instant) -> bool {
-        let mut told_more = false;
+    /// Records the ranges that another host announces. Returns whether a range has a newer change than
+    /// announced before.
+    fn record_ranges(&mut self, ranges: &[WireRange], address: SocketAddr, now: Instant) -> bool {
+        let mut is_newer = false;
         for range in ranges {
-            let told = ToldRange {
+            let announced = AnnouncedRange {
                 address,
-                changed_at: range.changed_at,
-                heard_at: now,
+                last_change: range.last_change,
+                announced_at: now,
             };
-            match self.told_ranges.get_mut(&range.prefix) {
-                Some(known) if known.changed_at >= told.changed_at => known.heard_at = now,
+            match self.announced_ranges.get_mut(&range.prefix) {
+                Some(latest) if latest.last_change >= announced.last_change => latest.announced_at = now,
                 _ => {
-                    self.told_ranges.insert(range.prefix.clone(), told);
-                    told_more = true;
+                    self.announced_ranges.insert(range.prefix.clone(), announced);
+                    is_newer = true;
                 }
             }
         }
-        told_more
+        is_newer
     }
 }
 
 impl WireReport {
     fn calls(&self) -> Option<Vec<EndpointCalls>> {
-        let told = self.in_flight.as_ref()?.iter().map(|told| EndpointCalls {
-            endpoint: told.endpoint.clone(),
-            calls: told.calls,
+        let calls = self.in_flight.as_ref()?.iter().map(|in_flight| EndpointCalls {
+            endpoint: in_flight.endpoint.clone(),
+            calls: in_flight.calls,
         });
-        Some(told.collect())
+        Some(calls.collect())
     }
 
     fn decode(self) -> UseReport {
@@ -244,11 +250,11 @@
     }
 }
 
-/// This host's report, in as many datagrams as its accounts need.
+/// Encodes this host's report in as many datagrams as its accounts need.
 fn wire_reports(shared: &Shared) -> Vec<Vec<u8>> {
     let ranges = watched_ranges(shared).into_iter();
-    let ranges = ranges.map(|(prefix, changed_at)| WireRange { prefix, changed_at });
-    let store_serves = shared.store.is_served();
+    let ranges = ranges.map(|(prefix, last_change)| WireRange { prefix, last_change });
+    let has_direct_store_access = shared.store.is_served_directly();
     let mut tables = shared.tables();
     let now = Instant::now();
     let report = tables.allowances.report(&shared.host, shared.incarnation, now);
@@ -263,19 +269,20 @@
         ..wire_report(
             &shared.host,
             &report,
-            store_serves,
+            has_direct_store_access,
             chunks.pop().unwrap_or_default(),
         )
     };
     let rest = chunks
         .into_iter()
-        .map(|chunk| wire_report(&shared.host, &report, store_serves, chunk));
+        .map(|chunk| wire_report(&shared.host, &report, has_direct_store_access, chunk));
     std::iter::once(first)
         .chain(rest)
         .filter_map(|report| encode(&report))
         .collect()
 }
 
+/// Splits the accounts into chunks of at most [`ACCOUNTS_MAX`].
 fn split(mut used: Vec<WireUse>) -> Vec<Vec<WireUse>> {
     let mut chunks = Vec::new();
     while used.len() > ACCOUNTS_MAX {
@@ -285,12 +292,18 @@
     chunks
 }
 
-fn wire_report(host: &HostId, report: &UseReport, store_serves: bool, accounts: Vec<WireUse>) -> WireReport {
+/// Builds one datagram of a report.
+fn wire_report(
+    host: &HostId,
+    report: &UseReport,
+    has_direct_store_access: bool,
+    accounts: Vec<WireUse>,
+) -> WireReport {
     WireReport {
         host: host.clone(),
         incarnation: report.incarnation,
         running_ms: u64::try_from(report.running_for.as_millis()).unwrap_or(u64::MAX),
-        store_serves,
+        has_direct_store_access,
         in_flight: None,
         ranges: Vec::new(),
         accounts,
@@ -307,10 +320,10 @@
 }
 
 impl From<EndpointCalls> for WireCalls {
-    fn from(told: EndpointCalls) -> Self {
+    fn from(in_flight: EndpointCalls) -> Self {
         Self {
-            endpoint: told.endpoint,
-            calls: told.calls,
+            endpoint: in_flight.endpoint,
+            calls: in_flight.calls,
         }
     }
 }
--- a/crates/burdockroad-gateway/src/reservations.rs
+++ b/crates/burdockroad-gateway/src/reservations.rs
@@ -1,4 +1,4 @@
-//! Making reservations of programs' budgets durable.
+//! Persists reservations of programs' budgets in the store.
 
 use std::{
     collections::HashMap,
@@ -15,89 +15,96 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::{sleep, timeout};
 
-use crate::{ConditionalWrite, LeaseId, SharedStore, Written, shared::Shared};
+use crate::{ConditionalWrite, LeaseId, SharedStore, WriteOutcome, shared::Shared};
 
-/// Prefix of the keys that hold what is reserved of programs' budgets.
+/// Prefix of the keys that store programs' budgets.
 const BUDGETS_PREFIX: &str = "burdockroad/budgets/";
 
-/// Programs in one write.
-const BATCH_MAX: usize = 16;
+/// Maximum number of programs in one write.
+const BATCH_MAX_PROGRAMS: usize = 16;
 
-/// Time between two writes, so that reservations that come together share one.
+/// Minimum interval between two writes, so that concurrent reservations share one write.
 const WRITE_INTERVAL: Duration = Duration::from_millis(8);
 
-/// First pause after a write that failed; it doubles up to the longest.
-const FAILED_PAUSE_FIRST: Duration = Duration::from_millis(20);
+/// Backoff after the first failed write; it doubles with each further failure up to [`BACKOFF_MAX`].
+const BACKOFF_INITIAL: Duration = Duration::from_millis(20);
 
-/// Longest pause after a write that failed.
-const FAILED_PAUSE_MAX: Duration = Duration::from_millis(250);
+/// Longest backoff after a failed write.
+const BACKOFF_MAX: Duration = Duration::from_millis(250);
 
-/// Time for which a lease takes new keys.
-const LEASE_USE: Duration = Duration::from_mins(1);
+/// Time for which new keys are attached to the same lease.
+const LEASE_REUSE_TIME: Duration = Duration::from_mins(1);
 
-/// Shortest life of a lease.
-const LEASE_LIFE_MIN: Duration = Duration::from_mins(3);
+/// Shortest lifetime of a lease.
+const LEASE_LIFETIME_MIN: Duration = Duration::from_mins(3);
 
-/// Longest life of a lease that the store grants.
-const LEASE_LIFE_MAX: Duration = Duration::from_mins(10);
+/// Longest lifetime that the store grants to a lease.
+const LEASE_LIFETIME_MAX: Duration = Duration::from_mins(10);
 
-/// Time between two rounds in which programs that are long idle are forgotten.
-const FORGET_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval between two evictions of idle programs from the ledger.
+const EVICTION_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time between two rounds of writes that only give tokens back.
+/// Interval between two writes that only return unused tokens to the budgets.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the store holds of one program.
+/// A program's budget as stored.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 struct WireBudget {
     spent_tokens: u64,
-    holders: Vec<WireHolder>,
+    #[serde(rename = "holders")]
+    reservations: Vec<WireReservation>,
 }
 
+/// A host's reservation as stored.
+
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-struct WireHolder {
+struct WireReservation {
     incarnation: Incarnation,
-    held_tokens: u64,
-    write_mark: u64,
+    #[serde(rename = "held_tokens")]
+    reserved_tokens: u64,
+    #[serde(rename = "write_mark")]
+    write_id: u64,
 }
 
-/// Reads what other hosts have given back.
-pub(crate) async fn look_again(shared: &Shared, program: &ProgramId) {
+/// Reads a budget from the store again, to find tokens that other hosts have released.
+pub(crate) async fn refresh_budget(shared: &Shared, program: &ProgramId) {
     let key = budget_key(program);
     let Ok(snapshot) = shared.store.read_range(&key).await else {
         return;
     };
     let entry = snapshot.entries.iter().find(|entry| entry.key == key);
-    let found = entry.map(|entry| versioned(shared, entry));
-    shared.tables().ledger.complete(program, Answer::Found(found));
+    let budget = entry.map(|entry| decode_budget(shared, entry));
+    shared.tables().ledger.complete(program, Answer::Found(budget));
 }
 
-/// Writes reservations as long as the host runs.
+/// Writes reservations until the host stops.
 pub(crate) async fn write_reservations(shared: Arc<Shared>) {
     let mut writer = Writer {
         shared,
         lease: None,
-        failed_pause: FAILED_PAUSE_FIRST,
-        forgot_at: Instant::now(),
+        backoff: BACKOFF_INITIAL,
+        evicted_at: Instant::now(),
     };
     loop {
-        // Either a call waits, or it is time to look for what calls gave back.
-        let wanted = writer.shared.reservation_wanted.notified();
-        let _waited = timeout(SETTLE_INTERVAL, wanted).await;
+        // Wakes when a call waits for a reservation, or when released tokens are due to be written.
+        let requested = writer.shared.reservation_requested.notified();
+        let _waited = timeout(SETTLE_INTERVAL, requested).await;
         writer.shared.tables().ledger.settle_due(Instant::now());
         writer.write_all().await;
     }
 }
 
+/// State of the task that writes reservations.
 struct Writer {
     shared: Arc<Shared>,
     lease: Option<OpenLease>,
-    failed_pause: Duration,
-    forgot_at: Instant,
+    backoff: Duration,
+    evicted_at: Instant,
 }
 
+/// A lease that new keys are attached to.
 #[derive(Clone, Copy)]
 struct OpenLease {
     id: LeaseId,
@@ -105,119 +112,131 @@
 }
 
 impl Writer {
+    /// Writes batches until no budget has a pending write.
     async fn write_all(&mut self) {
         loop {
-            self.forget_idle();
-            let writes = self.shared.tables().ledger.next_writes(BATCH_MAX);
+            self.evict_idle();
+            let writes = self.shared.tables().ledger.next_writes(BATCH_MAX_PROGRAMS);
             if writes.is_empty() {
                 return;
             }
             let sent_at = Instant::now();
-            let written = self.write(&writes).await;
-            let succeeded = written.is_ok();
-            self.note_answered(succeeded);
-            self.complete(&writes, &written);
+            let result = self.write(&writes).await;
+            let succeeded = result.is_ok();
+            self.record_write_result(succeeded);
+            self.complete(&writes, &result);
             self.shared.reservations_changed.notify_waiters();
             if succeeded {
-                self.failed_pause = FAILED_PAUSE_FIRST;
+                self.backoff = BACKOFF_INITIAL;
                 sleep(WRITE_INTERVAL.saturating_sub(sent_at.elapsed())).await;
             } else {
-                sleep(self.failed_pause).await;
-                self.failed_pause = (self.failed_pause * 2).min(FAILED_PAUSE_MAX);
+                sleep(self.backoff).await;
+                self.backoff = (self.backoff * 2).min(BACKOFF_MAX);
             }
         }
     }
 
-    fn note_answered(&self, answered: bool) {
+    /// Records since when writes have failed.
+    fn record_write_result(&self, succeeded: bool) {
         let mut tables = self.shared.tables();
-        if answered {
-            tables.writes_lost_at = None;
-        } else if tables.writes_lost_at.is_none() {
-            tables.writes_lost_at = Some(Instant::now());
+        if succeeded {
+            tables.writes_failing_since = None;
+        } else if tables.writes_failing_since.is_none() {
+            tables.writes_failing_since = Some(Instant::now());
         }
     }
 
-    fn forget_idle(&mut self) {
+    fn evict_idle(&mut self) {
         let now = Instant::now();
-        if now < self.forgot_at + FORGET_INTERVAL {
+        if now < self.evicted_at + EVICTION_INTERVAL {
             return;
         }
-        self.forgot_at = now;
+        self.evicted_at = now;
         self.shared.tables().ledger.forget_idle(now);
     }
 
-    async fn write(&mut self, budgets: &[BudgetWrite]) -> Result<Written, StoreError> {
+    async fn write(&mut self, budgets: &[BudgetWrite]) -> Result<WriteOutcome, StoreError> {
         let lease = self.lease().await?;
         let writes: Vec<ConditionalWrite> = budgets
             .iter()
             .map(|budget| conditional_write(budget, lease))
             .collect();
         metrics::counter!("burdockroad_store_writes_total").increment(1);
-        let written = self.shared.store.write_all(&writes).await?;
-        if written == Written::LeaseEnded {
+        let outcome = self.shared.store.write_all(&writes).await?;
+        if outcome == WriteOutcome::LeaseEnded {
             self.lease = None;
         }
-        Ok(written)
+        Ok(outcome)
     }
 
-    /// The lease for new keys; a program's key goes some minutes after the last write to it.
+    /// Returns the lease for new keys. The store deletes a program's key when the lease of its last write
+    /// expires, which is at least [`LEASE_LIFETIME_MIN`] minus [`LEASE_REUSE_TIME`] after the write.
     async fn lease(&mut self) -> Result<LeaseId, StoreError> {
         let now = Instant::now();
-        if let Some(lease) = self.lease.filter(|lease| now < lease.opened_at + LEASE_USE) {
+        if let Some(lease) = self
+            .lease
+            .filter(|lease| now < lease.opened_at + LEASE_REUSE_TIME)
+        {
             return Ok(lease.id);
         }
-        let id = self.shared.store.open_lease(self.lease_life()).await?;
+        let id = self.shared.store.open_lease(self.lease_lifetime()).await?;
         self.lease = Some(OpenLease { id, opened_at: now });
         Ok(id)
     }
 
-    fn lease_life(&self) -> Duration {
+    /// Returns twice the longest retention of all routes plus [`LEASE_REUSE_TIME`], within the limits.
+    fn lease_lifetime(&self) -> Duration {
         let tables = self.shared.tables();
-        let routes = tables.directory.iter().flat_map(|found| &found.document().routes);
-        let longest = routes.map(|route| route.retention).max().unwrap_or_default();
-        (longest * 2 + LEASE_USE).clamp(LEASE_LIFE_MIN, LEASE_LIFE_MAX)
+        let routes = tables
+            .directory
+            .iter()
+            .flat_map(|directory| &directory.document().routes);
+        let longest_retention = routes.map(|route| route.retention).max().unwrap_or_default();
+        (longest_retention * 2 + LEASE_REUSE_TIME).clamp(LEASE_LIFETIME_MIN, LEASE_LIFETIME_MAX)
     }
 
-    fn complete(&self, writes: &[BudgetWrite], written: &Result<Written, StoreError>) {
-        if let Err(error) = written {
+    /// Reports the result of a batch to the ledger.
+    fn complete(&self, writes: &[BudgetWrite], result: &Result<WriteOutcome, StoreError>) {
+        if let Err(error) = result {
             self.shared.log.line(
                 "reservations_failed",
-                &FailedLine {
+                &WriteFailedLine {
                     programs: writes.len(),
                     reason: error.to_string(),
                 },
             );
         }
-        let mut states = HashMap::new();
-        if let Ok(Written::Conflict(found)) = written {
-            states.extend(
-                found
+        let mut states_by_key = HashMap::new();
+        if let Ok(WriteOutcome::Conflict(key_states)) = result {
+            states_by_key.extend(
+                key_states
                     .iter()
                     .map(|state| (state.key.as_str(), state.entry.as_ref())),
             );
         }
         for write in writes {
-            let answer = match written {
-                Ok(Written::Done(revision)) => Answer::Written(*revision),
-                Ok(Written::Conflict(_)) => self.found(write, &states),
-                Ok(Written::LeaseEnded) | Err(_) => Answer::Unsettled,
+            let response = match result {
+                Ok(WriteOutcome::Done(revision)) => Answer::Written(*revision),
+                Ok(WriteOutcome::Conflict(_)) => self.conflict_result(write, &states_by_key),
+                Ok(WriteOutcome::LeaseEnded) | Err(_) => Answer::Unsettled,
             };
-            self.shared.tables().ledger.complete(&write.program, answer);
+            self.shared.tables().ledger.complete(&write.program, response);
         }
     }
 
-    /// What a refused write means for one of its programs; another's key may have been the reason.
-    fn found(&self, write: &BudgetWrite, states: &HashMap<&str, Option<&Entry>>) -> Answer {
+    /// Returns the result of a conflicting write for one of its programs. The conflict may concern only the
+    /// key of another program in the same batch.
+    fn conflict_result(&self, write: &BudgetWrite, states_by_key: &HashMap<&str, Option<&Entry>>) -> Answer {
         let key = budget_key(&write.program);
-        match states.get(key.as_str()) {
-            Some(entry) => Answer::Found(entry.map(|entry| versioned(&self.shared, entry))),
+        match states_by_key.get(key.as_str()) {
+            Some(entry) => Answer::Found(entry.map(|entry| decode_budget(&self.shared, entry))),
             None => Answer::Unsettled,
         }
     }
 }
 
-/// Reads a stored budget; one that cannot be read counts as spent.
-fn versioned(shared: &Shared, entry: &Entry) -> Versioned {
+/// Decodes a stored budget. A budget that cannot be decoded counts as exhausted.
+fn decode_budget(shared: &Shared, entry: &Entry) -> Versioned {
     let budget = match serde_json::from_slice::<WireBudget>(&entry.value) {
         Ok(wire) => wire.decode(),
         Err(error) => {
@@ -240,26 +259,26 @@
 
 impl WireBudget {
     fn encode(budget: &StoredBudget) -> Self {
-        let holders = budget.holders.iter().map(|holder| WireHolder {
-            incarnation: holder.incarnation,
-            held_tokens: holder.held_tokens,
-            write_mark: holder.write_mark,
+        let reservations = budget.holders.iter().map(|reservation| WireReservation {
+            incarnation: reservation.incarnation,
+            reserved_tokens: reservation.held_tokens,
+            write_id: reservation.write_mark,
         });
         Self {
             spent_tokens: budget.spent_tokens,
-            holders: holders.collect(),
+            reservations: reservations.collect(),
         }
     }
 
     fn decode(self) -> StoredBudget {
-        let holders = self.holders.into_iter().map(|holder| Holder {
-            incarnation: holder.incarnation,
-            held_tokens: holder.held_tokens,
-            write_mark: holder.write_mark,
+        let reservations = self.reservations.into_iter().map(|reservation| Holder {
+            incarnation: reservation.incarnation,
+            held_tokens: reservation.reserved_tokens,
+            write_mark: reservation.write_id,
         });
         StoredBudget {
             spent_tokens: self.spent_tokens,
-            holders: holders.collect(),
+            holders: reservations.collect(),
         }
     }
 }
@@ -280,7 +299,7 @@
 }
 
 #[derive(Serialize)]
-struct FailedLine {
+struct WriteFailedLine {
     programs: usize,
     reason: String,
 }
--- a/crates/burdockroad-gateway/src/server.rs
+++ b/crates/burdockroad-gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Taking connections: callers, the balancer's check and the metrics page.
+//! HTTP servers for callers, readiness checks and the metrics page.
 
 use std::{
     convert::Infallible,
@@ -21,15 +21,15 @@
     time::sleep,
 };
 
-use crate::{call, shared::Shared, stream::AnswerBody};
+use crate::{call, shared::Shared, stream::ResponseBody};
 
-/// Longest time that a connection to a page stays idle.
-const PAGE_IDLE_MAX: Duration = Duration::from_secs(10);
+/// Time after which an idle connection to the readiness or metrics page is closed.
+const PAGE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause after a connection could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Backoff after a failure to accept a connection.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Connections of callers that are open.
+/// Number of open caller connections.
 #[derive(Debug, Default)]
 pub(crate) struct OpenConnections {
     count: AtomicUsize,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Serves callers; `closing` turns true when idle connections are to be closed.
+/// Serves callers. Idle connections are closed when `closing` becomes `true`.
 pub(crate) async fn serve_callers(
     shared: Arc<Shared>,
     listener: TcpListener,
@@ -75,15 +75,15 @@
         .max_buf_size(limits.head_max_bytes.max(8 << 10))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    let asked_to_close = async {
+    let close_requested = async {
         if closing.wait_for(|closing| *closing).await.is_err() {
             std::future::pending::<()>().await;
         }
     };
     tokio::select! {
-        // How a caller's connection ends is told by the lines of its calls.
+        // The log lines of the connection's calls show how they ended.
         _ended = connection.as_mut() => return,
-        () = asked_to_close => connection.as_mut().graceful_shutdown(),
+        () = close_requested => connection.as_mut().graceful_shutdown(),
     }
     let _ended = connection.await;
 }
@@ -91,7 +91,7 @@
 async fn respond(
     shared: Arc<Shared>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let mut response = call::serve(Arc::clone(&shared), request).await;
     if shared.is_stopping() {
         let close = HeaderValue::from_static("close");
@@ -100,58 +100,59 @@
     Ok(response)
 }
 
-/// Answers the balancer's question whether this host takes callers.
-pub(crate) async fn serve_ready(shared: Arc<Shared>, listener: TcpListener) {
+/// Serves the balancer's readiness checks.
+pub(crate) async fn serve_readiness(shared: Arc<Shared>, listener: TcpListener) {
     serve_pages(listener, move |path| {
         let status = match (path, shared.is_ready()) {
             ("/ready", true) => StatusCode::OK,
             ("/ready", false) => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::NOT_FOUND,
         };
-        page(status, Bytes::new())
+        page_response(status, Bytes::new())
     })
     .await;
 }
 
-/// Shows the metrics.
+/// Serves the metrics page.
 pub(crate) async fn serve_metrics(handle: PrometheusHandle, listener: TcpListener) {
     serve_pages(listener, move |path| match path {
-        "/metrics" => page(StatusCode::OK, Bytes::from(handle.render())),
-        _ => page(StatusCode::NOT_FOUND, Bytes::new()),
+        "/metrics" => page_response(StatusCode::OK, Bytes::from(handle.render())),
+        _ => page_response(StatusCode::NOT_FOUND, Bytes::new()),
     })
     .await;
 }
 
 async fn serve_pages(
     listener: TcpListener,
-    answer: impl Fn(&str) -> Response<AnswerBody> + Clone + Send + 'static,
+    respond: impl Fn(&str) -> Response<ResponseBody> + Clone + Send + 'static,
 ) {
     loop {
         let stream = accept(&listener).await;
-        let answer = answer.clone();
+        let respond = respond.clone();
         let service = service_fn(move |request: Request<Incoming>| {
-            let response = answer(request.uri().path());
+            let response = respond(request.uri().path());
             async move { Ok::<_, Infallible>(response) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(PAGE_IDLE_MAX)
+            .header_read_timeout(PAGE_IDLE_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service);
-        tokio::spawn(ignore_end(connection));
+        tokio::spawn(run_connection(connection));
     }
 }
 
-async fn ignore_end(connection: impl Future<Output = hyper::Result<()>>) {
-    // Whoever asked for a page and left has no use for it.
+async fn run_connection(connection: impl Future<Output = hyper::Result<()>>) {
+    // A client that disconnects does not need the page.
     let _ended = connection.await;
 }
 
-fn page(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::full(body));
+fn page_response(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(body));
     *response.status_mut() = status;
     response
 }
 
+/// Accepts the next connection. Failures are counted and retried.
 pub(crate) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -162,7 +163,7 @@
             }
             Err(_error) => {
                 metrics::counter!("burdockroad_accepts_failed_total").increment(1);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
--- a/crates/burdockroad-gateway/src/shared.rs
+++ b/crates/burdockroad-gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a host share.
+//! State that all tasks of a host share.
 
 use std::{
     collections::HashMap,
@@ -16,70 +16,70 @@
 use tokio::sync::{Notify, watch};
 
 use crate::{
-    DecisionLog, Dialect, RangeLog, budgets::RemoteHold, feed::MissingEndpoints, follow::ToldRange,
-    hosts::Peers, peer::PeerClient, pool::ConnectionPool, relay::RelayedStore,
+    DecisionLog, Dialect, RangeLog, budgets::RemoteReservation, feed::MissingEndpoints,
+    follow::AnnouncedRange, hosts::Peers, peer::PeerClient, pool::ConnectionPool, relay::RelayedStore,
 };
 
-/// Tables and borders of one host.
+/// State of one host.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) host: HostId,
     pub(crate) incarnation: Incarnation,
-    /// When the process started.
+    /// Start time of the process.
     pub(crate) started_at: Instant,
     pub(crate) failure_domain: String,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) store: Arc<RelayedStore>,
     pub(crate) log: DecisionLog,
     pub(crate) pool: ConnectionPool,
-    /// Addresses of the other hosts.
+    /// The other registered hosts.
     pub(crate) peers: watch::Sender<Peers>,
     pub(crate) peer_client: Arc<PeerClient>,
-    /// The process has begun to stop.
-    pub(crate) stop_begun: Notify,
-    /// A reservation is wanted.
-    pub(crate) reservation_wanted: Notify,
-    /// A write of reservations has ended.
+    /// Notified when the process starts to stop.
+    pub(crate) stop_started: Notify,
+    /// Notified when a call waits for a reservation to be written.
+    pub(crate) reservation_requested: Notify,
+    /// Notified when a write of reservations has ended or tokens were released.
     pub(crate) reservations_changed: Notify,
-    /// What this host knows has changed, and the others are to hear of it at once.
+    /// Notified when a watched range has changed, so that the next report is sent immediately.
     pub(crate) report_now: Notify,
-    /// A host that watches has told of a change.
-    pub(crate) range_told: Notify,
-    /// Whether the process is being stopped.
+    /// Notified when a watcher announces a newer change of a range.
+    pub(crate) range_announced: Notify,
+    /// Whether the process is stopping.
     pub(crate) stopping: AtomicBool,
     tables: Mutex<Tables>,
 }
 
-/// What a host decides by.
+/// Tables that the host's decisions are based on.
 #[derive(Debug)]
 pub(crate) struct Tables {
-    /// Configuration in force; none before the first was read.
+    /// Configuration in force; `None` before the first one was read.
     pub(crate) directory: Option<Arc<Directory>>,
-    pub(crate) directory_at: Option<Instant>,
+    pub(crate) directory_applied_at: Option<Instant>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) allowances: Allowances,
     pub(crate) ledger: Ledger,
-    /// Hosts that serve, this one included; 0 before they were read.
-    pub(crate) hosts: usize,
-    /// Since when the store has not answered; none while it does.
-    pub(crate) store_lost_at: Option<Instant>,
-    /// Since when writes of budgets have failed; none after one that did not.
-    pub(crate) writes_lost_at: Option<Instant>,
-    /// When the store answered again after it had not.
-    pub(crate) store_back_at: Option<Instant>,
-    /// Tokens held for calls of other hosts, by call.
-    pub(crate) remote_holds: HashMap<String, RemoteHold>,
-    /// What this host knows of the ranges it follows, by prefix.
-    pub(crate) ranges: HashMap<String, RangeLog>,
-    /// When the store last answered of a range, by prefix.
-    pub(crate) range_answered_at: HashMap<String, Instant>,
-    /// How far hosts that watch know them, by prefix.
-    pub(crate) told_ranges: HashMap<String, ToldRange>,
-    /// Which programs may begin while a service is full.
-    pub(crate) gate: BeginGate,
-    /// Programs whose calls were admitted lately.
-    pub(crate) programs: RecentPrograms,
-    /// Endpoints whose entries may have lapsed with the store away.
+    /// Number of registered hosts, including this one; 0 before the hosts were read.
+    pub(crate) host_count: usize,
+    /// Start of the current outage of the store; `None` while the store responds.
+    pub(crate) store_unreachable_since: Option<Instant>,
+    /// Time of the first failed budget write since the last successful one; `None` if there is none.
+    pub(crate) writes_failing_since: Option<Instant>,
+    /// End of the last outage of the store.
+    pub(crate) store_recovered_at: Option<Instant>,
+    /// Reservations for calls of other hosts, by call id.
+    pub(crate) remote_reservations: HashMap<String, RemoteReservation>,
+    /// Contents of the followed ranges, by prefix.
+    pub(crate) range_logs: HashMap<String, RangeLog>,
+    /// Time of the last response of the store for a range, by prefix.
+    pub(crate) range_responded_at: HashMap<String, Instant>,
+    /// Latest announcements of watchers, by prefix.
+    pub(crate) announced_ranges: HashMap<String, AnnouncedRange>,
+    /// Decides which programs may start while a service is overloaded.
+    pub(crate) start_gate: BeginGate,
+    /// Programs with recently admitted calls.
+    pub(crate) recent_programs: RecentPrograms,
+    /// Endpoints whose entries may have expired because the store was unavailable.
     pub(crate) missing_endpoints: MissingEndpoints,
 }
 
@@ -105,34 +105,34 @@
             pool: ConnectionPool::default(),
             peers: watch::Sender::new(Peers::new()),
             peer_client,
-            stop_begun: Notify::new(),
-            reservation_wanted: Notify::new(),
+            stop_started: Notify::new(),
+            reservation_requested: Notify::new(),
             reservations_changed: Notify::new(),
             report_now: Notify::new(),
-            range_told: Notify::new(),
+            range_announced: Notify::new(),
             stopping: AtomicBool::new(false),
             tables: Mutex::new(Tables {
                 directory: None,
-                directory_at: None,
+                directory_applied_at: None,
                 endpoints: EndpointTable::new(),
                 allowances: Allowances::new(now),
                 ledger: Ledger::new(LedgerOptions::default(), incarnation),
-                hosts: 0,
-                store_lost_at: None,
-                writes_lost_at: None,
-                store_back_at: None,
-                remote_holds: HashMap::new(),
-                ranges: HashMap::new(),
-                range_answered_at: HashMap::new(),
-                told_ranges: HashMap::new(),
-                gate: BeginGate::default(),
-                programs: RecentPrograms::default(),
+                host_count: 0,
+                store_unreachable_since: None,
+                writes_failing_since: None,
+                store_recovered_at: None,
+                remote_reservations: HashMap::new(),
+                range_logs: HashMap::new(),
+                range_responded_at: HashMap::new(),
+                announced_ranges: HashMap::new(),
+                start_gate: BeginGate::default(),
+                recent_programs: RecentPrograms::default(),
                 missing_endpoints: MissingEndpoints::new(),
             }),
         }
     }
 
-    /// The tables; they are held for the time of a decision, never over a wait.
+    /// Locks the tables. The lock is held for the duration of a decision, never across an `await`.
     pub(crate) fn tables(&self) -> MutexGuard<'_, Tables> {
         self.tables.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -141,25 +141,25 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether calls can be served.
+    /// Returns whether the host can serve calls.
     pub(crate) fn is_ready(&self) -> bool {
         let tables = self.tables();
-        !self.is_stopping() && tables.directory.is_some() && tables.hosts > 0
+        !self.is_stopping() && tables.directory.is_some() && tables.host_count > 0
     }
 }
 
 impl Tables {
-    /// Takes out the endpoints that had their time to register again and did not.
-    pub(crate) fn take_gone(&mut self, now: Instant) -> Vec<EndpointId> {
-        if self.store_lost_at.is_some() {
+    /// Removes and returns the missing endpoints that did not register again in time.
+    pub(crate) fn take_expired_endpoints(&mut self, now: Instant) -> Vec<EndpointId> {
+        if self.store_unreachable_since.is_some() {
             return Vec::new();
         }
-        let gone = self
+        let expired = self
             .missing_endpoints
             .iter()
-            .filter(|(_, gone_at)| **gone_at <= now);
-        let gone: Vec<EndpointId> = gone.map(|(id, _)| id.clone()).collect();
-        self.missing_endpoints.retain(|_, gone_at| *gone_at > now);
-        gone
+            .filter(|(_, expires_at)| **expires_at <= now);
+        let expired: Vec<EndpointId> = expired.map(|(id, _)| id.clone()).collect();
+        self.missing_endpoints.retain(|_, expires_at| *expires_at > now);
+        expired
     }
 }
--- a/crates/burdockroad-gateway/src/store.rs
+++ b/crates/burdockroad-gateway/src/store.rs
@@ -1,7 +1,7 @@
-//! The shared store, as the gateway uses it.
+//! Interface of the shared store.
 //!
-//! It is a narrower border than [`burdockroad_daemon::platform::KeyValue`], whose watches follow one key
-//! and whose writes change one: a gateway follows whole ranges, and writes many keys in one call.
+//! It differs from [`burdockroad_daemon::platform::KeyValue`], whose watches follow a single key and whose
+//! writes change a single key: a gateway follows whole ranges and writes many keys in one call.
 
 use std::{fmt, time::Duration};
 
@@ -10,90 +10,92 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Number of a lease, as the store gives it.
+/// Id of a lease, assigned by the store.
 pub type LeaseId = u64;
 
-/// A key-value store with ranges, long polls, conditional writes of several keys, and leases.
+/// Key-value store with ranges, long polling, conditional writes of several keys, and leases.
 #[async_trait]
 pub trait SharedStore: fmt::Debug + Send + Sync {
-    /// Reads all keys that begin with `prefix`.
+    /// Reads all entries whose keys start with `prefix`.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer in time.
+    /// Fails when the store does not respond in time.
     async fn read_range(&self, prefix: &str) -> Result<RangeSnapshot, StoreError>;
 
-    /// Waits for changes behind revision `after`, for `wait` at the most.
+    /// Waits at most `wait` for changes after revision `after`.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer in time.
+    /// Fails when the store does not respond in time.
     async fn changes(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes, StoreError>;
 
-    /// Makes all writes, or none.
+    /// Makes all writes or none of them.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] when nothing was written; [`StoreError::Ambiguous`] when the writes may
-    /// take effect, now or later.
-    async fn write_all(&self, writes: &[ConditionalWrite]) -> Result<Written, StoreError>;
+    /// Fails with [`StoreError::Unavailable`] when nothing was written, and with [`StoreError::Ambiguous`]
+    /// when the writes may have taken effect or may still do so.
+    async fn write_all(&self, writes: &[ConditionalWrite]) -> Result<WriteOutcome, StoreError>;
 
-    /// Opens a lease; keys that are attached to it go when it ends.
+    /// Opens a lease. Keys attached to the lease are deleted when it ends.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer in time.
+    /// Fails when the store does not respond in time.
     async fn open_lease(&self, lifetime: Duration) -> Result<LeaseId, StoreError>;
 
-    /// Renews a lease; false when it has ended.
+    /// Renews a lease. Returns `false` when the lease has ended.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer in time.
-    async fn keep_lease(&self, lease: LeaseId) -> Result<bool, StoreError>;
+    /// Fails when the store does not respond in time.
+    async fn renew_lease(&self, lease: LeaseId) -> Result<bool, StoreError>;
 
     /// Ends a lease.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer in time.
+    /// Fails when the store does not respond in time.
     async fn end_lease(&self, lease: LeaseId) -> Result<(), StoreError>;
 }
 
-/// What a range held.
+/// Entries of a range at one revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RangeSnapshot {
-    /// The entries, in the order of their keys.
+    /// Entries in the order of their keys.
     pub entries: Vec<Entry>,
-    /// Revision from which a watch misses nothing.
+    /// Revision after which a watch misses no change.
     pub as_of: Revision,
 }
 
-/// What happened in a range.
+/// Result of waiting for changes in a range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Changes {
-    /// These changes, up to this revision.
-    Known {
-        /// Changes in their order; empty when the wait ended without any.
+    /// All changes up to a revision.
+    #[serde(rename = "Known")]
+    Complete {
+        /// Changes in the order of their revisions; empty when the wait timed out.
         changes: Vec<Change>,
-        /// Revision to go on from.
+        /// Revision from which the next wait continues.
         as_of: Revision,
     },
-    /// The store has dropped that part of its history: the range has to be read again.
-    HistoryGone,
+    /// The store has discarded that part of its history, so the range has to be read again.
+    #[serde(rename = "HistoryGone")]
+    HistoryTruncated,
 }
 
 /// One change of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Change {
-    /// The key holds a new value.
+    /// The key has a new value.
     Put(Entry),
-    /// The key is gone.
+    /// The key was deleted.
     Removed {
-        /// Which key.
+        /// The deleted key.
         key: String,
         /// Revision of the removal.
         revision: Revision,
@@ -101,7 +103,7 @@
 }
 
 impl Change {
-    /// Revision of the change.
+    /// Returns the revision of the change.
     pub fn revision(&self) -> Revision {
         match self {
             Self::Put(entry) => entry.revision,
@@ -110,7 +112,7 @@
     }
 }
 
-/// One write of several that are made together.
+/// One of several writes that are made atomically.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConditionalWrite {
@@ -118,32 +120,32 @@
     pub key: String,
     /// New value.
     pub value: Bytes,
-    /// Revision that the key must have; none when it must not exist.
+    /// Revision that the key must have; `None` when it must not exist.
     pub expected_revision: Option<Revision>,
-    /// Whether the key may hold anything.
+    /// Whether to write regardless of the key's revision.
     pub unconditional: bool,
-    /// Lease that the key is attached to.
+    /// Lease to attach the key to.
     pub lease: Option<LeaseId>,
 }
 
-/// Result of writes that reached the store.
+/// Outcome of writes that reached the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Written {
-    /// All keys now have this revision.
+pub enum WriteOutcome {
+    /// All writes were made; the keys have this revision.
     Done(Revision),
-    /// Some key was not as expected; this is what all of them hold.
+    /// No write was made because a key did not have its expected revision. Contains the states of the keys.
     Conflict(Vec<KeyState>),
-    /// A lease has ended.
+    /// No write was made because a lease has ended.
     LeaseEnded,
 }
 
-/// What one key of refused writes holds.
+/// Current state of one key of conflicting writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyState {
     /// The key.
     pub key: String,
-    /// Its entry; none when the key does not exist.
+    /// Entry of the key; `None` when the key does not exist.
     pub entry: Option<Entry>,
 }
--- a/crates/burdockroad-gateway/src/stream.rs
+++ b/crates/burdockroad-gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on: whole, or event by event.
+//! Relays responses to callers, either complete or event by event.
 
 use std::{
     fmt, io,
@@ -16,32 +16,32 @@
 use tokio::time::timeout;
 
 use crate::{
-    attempt::{Call, Opened},
+    attempt::{Call, OpenedResponse},
     pool::Connection,
     refusal::Refusal,
 };
 
-/// Time without an event after which a stream that may be resumed is taken up anew.
-const EVENT_SILENCE_MAX: Duration = Duration::from_millis(1400);
+/// Time without data after which a stream that may be repeated counts as broken.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1400);
 
-/// Longest answer that is not a stream, in bytes.
-const ANSWER_MAX_BYTES: usize = 8 << 20;
+/// Longest response that is not a stream, in bytes.
+const RESPONSE_MAX_BYTES: usize = 8 << 20;
 
-/// Body of an answer to a caller.
-pub(crate) enum AnswerBody {
-    /// All of it.
+/// Body of a response to a caller.
+pub(crate) enum ResponseBody {
+    /// A complete body.
     Full(Full<Bytes>),
-    /// Events as they come.
+    /// Events as they arrive.
     Events(Pin<Box<dyn Stream<Item = io::Result<Bytes>> + Send>>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(crate) fn full(bytes: Bytes) -> Self {
         Self::Full(Full::new(bytes))
     }
 }
 
-impl fmt::Debug for AnswerBody {
+impl fmt::Debug for ResponseBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Full(_) => "Full",
@@ -50,7 +50,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -82,16 +82,17 @@
     }
 }
 
-/// Reads a whole answer, within the call's time; none when it breaks or is too long.
+/// Reads a complete response body before the call's deadline. Returns `None` when the response breaks off or
+/// is longer than [`RESPONSE_MAX_BYTES`].
 pub(crate) async fn read_whole(call: &Call, body: Incoming) -> Option<Bytes> {
-    let whole = timeout(call.time_left(), Limited::new(body, ANSWER_MAX_BYTES).collect()).await;
-    match whole {
+    let result = timeout(call.time_left(), Limited::new(body, RESPONSE_MAX_BYTES).collect()).await;
+    match result {
         Ok(Ok(collected)) => Some(collected.to_bytes()),
         Ok(Err(_)) | Err(_) => None,
     }
 }
 
-/// An event stream that is being passed on.
+/// An event stream that is being relayed.
 struct Relay {
     call: Call,
     body: Incoming,
@@ -101,8 +102,9 @@
     ended: bool,
 }
 
-/// Passes a stream on, and takes it up at another endpoint when it breaks and its route allows.
-pub(crate) fn relay_events(call: Call, opened: Opened) -> AnswerBody {
+/// Relays a stream. When the stream breaks off and its route allows repeats, it resumes, possibly at another
+/// endpoint.
+pub(crate) fn relay_events(call: Call, opened: OpenedResponse) -> ResponseBody {
     let relay = Relay {
         events: EventBuffer::after(call.head.last_event),
         call,
@@ -111,29 +113,30 @@
         body: opened.response.into_body(),
         ended: false,
     };
-    AnswerBody::Events(Box::pin(stream::unfold(relay, |mut relay| async move {
+    ResponseBody::Events(Box::pin(stream::unfold(relay, |mut relay| async move {
         let chunk = relay.next_chunk().await?;
         Some((chunk, relay))
     })))
 }
 
-/// What the endpoint's side gave.
-enum Step {
+/// Result of reading from the endpoint.
+enum ReadResult {
     Data(Bytes),
     End,
     Broken,
 }
 
 impl Relay {
+    /// Returns the next whole events for the caller; `None` at the end of the stream.
     async fn next_chunk(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             if self.ended {
                 return None;
             }
-            let ready = match self.step().await {
-                Step::Data(data) => self.events.push(&data),
-                Step::End => self.end(),
-                Step::Broken => match self.resume().await {
+            let ready = match self.read_frame().await {
+                ReadResult::Data(data) => self.events.push(&data),
+                ReadResult::End => self.end(),
+                ReadResult::Broken => match self.resume().await {
                     Ok(()) => continue,
                     Err(refusal) => {
                         self.ended = true;
@@ -149,20 +152,21 @@
         }
     }
 
-    async fn step(&mut self) -> Step {
+    async fn read_frame(&mut self) -> ReadResult {
         let time_left = self.call.time_left();
-        let patience = if self.call.route.kind.may_repeat() {
-            time_left.min(EVENT_SILENCE_MAX)
+        let frame_timeout = if self.call.route.kind.may_repeat() {
+            time_left.min(EVENT_TIMEOUT)
         } else {
             time_left
         };
-        match timeout(patience, self.body.frame()).await {
-            Ok(Some(Ok(frame))) => Step::Data(frame.into_data().unwrap_or_default()),
-            Ok(None) => Step::End,
-            Ok(Some(Err(_))) | Err(_) => Step::Broken,
+        match timeout(frame_timeout, self.body.frame()).await {
+            Ok(Some(Ok(frame))) => ReadResult::Data(frame.into_data().unwrap_or_default()),
+            Ok(None) => ReadResult::End,
+            Ok(Some(Err(_))) | Err(_) => ReadResult::Broken,
         }
     }
 
+    /// Ends the stream and returns the remaining data.
     fn end(&mut self) -> Bytes {
         self.ended = true;
         if let Some(connection) = self.connection.take() {
@@ -172,12 +176,13 @@
         self.events.take_rest()
     }
 
+    /// Opens the stream again after the last event that the caller has received.
     async fn resume(&mut self) -> Result<(), Refusal> {
         self.connection = None;
         if self.call.time_left().is_zero() {
             return Err(Refusal::TimeOver);
         }
-        if !self.call.note_broken() {
+        if !self.call.record_broken_response() {
             return Err(Refusal::UnknownOutcome);
         }
         self.events.drop_partial();
--- a/crates/burdockroad-gateway/tests/range_log.rs
+++ b/crates/burdockroad-gateway/tests/range_log.rs
@@ -1,7 +1,7 @@
-//! What a host that watches a range passes on to one that does not.
+//! Updates of a range that a watcher sends to other hosts.
 
 use burdockroad_daemon::platform::Entry;
-use burdockroad_gateway::{Change, RangeLog, RangeNews, RangeSnapshot};
+use burdockroad_gateway::{Change, RangeLog, RangeSnapshot, RangeUpdate};
 use bytes::Bytes;
 
 fn entry(key: &str, revision: i64) -> Entry {
@@ -29,43 +29,46 @@
 }
 
 #[test]
-fn news_after_before_the_range_was_read_is_none() {
-    assert_eq!(RangeLog::default().news_after(0), None);
+fn changes_since_before_the_range_was_read_is_none() {
+    assert_eq!(RangeLog::default().changes_since(0), None);
 }
 
 #[test]
-fn news_after_gives_what_is_behind_and_nothing_twice() {
+fn changes_since_returns_only_unseen_changes() {
     let mut log = log_as_of_ten();
     log.extend(&[removed("a", 12), Change::Put(entry("c", 13))], 15);
-    assert_eq!(log.changed_at(), 13);
-    let news = log.news_after(12).expect("the range is known");
-    let expected = RangeNews::Changes {
+    assert_eq!(log.last_change(), 13);
+    let update = log.changes_since(12).expect("the range was read");
+    let expected = RangeUpdate::Changes {
         changes: vec![Change::Put(entry("c", 13))],
         as_of: 15,
     };
-    assert_eq!(news, expected);
+    assert_eq!(update, expected);
 }
 
-/// A host that read the range before a key was removed has to learn of it, also when the watching host read
-/// the range after that.
+/// Guards against a host that keeps a removed key. A log contains only the changes after the watcher's own
+/// read of the range, so a host that read the range earlier may have missed a removal that the log lacks.
 #[test]
-fn news_after_for_a_host_behind_the_log_is_the_whole_range() {
+fn changes_since_before_the_start_of_the_log_returns_a_snapshot() {
     let mut log = log_as_of_ten();
     log.extend(&[removed("a", 12)], 12);
-    let Some(RangeNews::Whole(snapshot)) = log.news_after(9) else {
-        panic!("a host behind the log takes all of the range");
+    let Some(RangeUpdate::Snapshot(snapshot)) = log.changes_since(9) else {
+        panic!("expected a snapshot for a host that is behind the log");
     };
     assert_eq!(snapshot.entries, [entry("b", 7)]);
     assert_eq!(snapshot.as_of, 12);
 }
 
 #[test]
-fn extend_beyond_what_is_kept_gives_the_whole_range_to_hosts_far_behind() {
+fn extend_beyond_the_retained_changes_returns_a_snapshot_to_hosts_far_behind() {
     let mut log = log_as_of_ten();
     let changes: Vec<Change> = (11..400)
         .map(|revision| Change::Put(entry("a", revision)))
         .collect();
     log.extend(&changes, 400);
-    assert!(matches!(log.news_after(11), Some(RangeNews::Whole(_))));
-    assert!(matches!(log.news_after(390), Some(RangeNews::Changes { .. })));
+    assert!(matches!(log.changes_since(11), Some(RangeUpdate::Snapshot(_))));
+    assert!(matches!(
+        log.changes_since(390),
+        Some(RangeUpdate::Changes { .. })
+    ));
 }
