--- a/crates/burdockroad-gateway/src/attempt.rs
+++ b/crates/burdockroad-gateway/src/attempt.rs
@@ -208,8 +208,8 @@
         tables.endpoints.choose(query, rand::random(), Instant::now())
     }
 
-    /// Waits for [`FULL_BACKOFF`] when all endpoints were full. Fails when the service has no endpoint or the
-    /// call has waited too long.
+    /// Waits for [`FULL_BACKOFF`] when all endpoints were full. Fails when the call may have run, when the
+    /// service has no endpoint, or when the call has waited too long.
     async fn wait_for_capacity(&mut self) -> Result<(), Refusal> {
         if self.retries.unknown > 0 {
             return Err(self.give_up_refusal());
--- a/crates/burdockroad-gateway/src/budgets.rs
+++ b/crates/burdockroad-gateway/src/budgets.rs
@@ -299,6 +299,7 @@
 }
 
 /// Returns the address of a program's budget owner, or `None` when it is this host or has no recent report.
+/// A stopping host does not own any budget.
 fn remote_budget_owner(shared: &Shared, program: &str) -> Option<SocketAddr> {
     let peers = shared.peers.borrow();
     let this = (!shared.is_stopping()).then(|| shared.host.clone());
@@ -387,7 +388,7 @@
     }
 }
 
-/// Reserves tokens in the ledger of this host.
+/// Reserves tokens in the ledger of this host. `owns_budget` says whether this host is the budget owner.
 async fn reserve_locally(
     shared: &Shared,
     request: &ReservationRequest,
--- a/crates/burdockroad-gateway/src/disk_host.rs
+++ b/crates/burdockroad-gateway/src/disk_host.rs
@@ -34,7 +34,7 @@
     let orders = RemovalOrders {
         key: dialect.removal_order_key(&host),
         status_key: dialect.removal_status_key(&host),
-        done: Bytes::from(dialect.removal_done()),
+        completed_status: Bytes::from(dialect.removal_done()),
         store,
         log: log.clone(),
     };
@@ -58,7 +58,8 @@
     key: String,
     /// Key of the progress that the host reports.
     status_key: String,
-    done: Bytes,
+    /// Progress value of a completed removal.
+    completed_status: Bytes,
     store: Arc<dyn SharedStore>,
     log: DecisionLog,
 }
@@ -104,7 +105,7 @@
         }
         let write = ConditionalWrite {
             key: self.status_key.clone(),
-            value: self.done.clone(),
+            value: self.completed_status.clone(),
             expected_revision: None,
             unconditional: true,
             lease: None,
--- a/crates/burdockroad-gateway/src/feed.rs
+++ b/crates/burdockroad-gateway/src/feed.rs
@@ -29,7 +29,7 @@
         Self { shared }
     }
 
-    /// Puts a document into force unless its version is not newer than the current one.
+    /// Applies a document if its version is newer than that of the current one.
     fn apply(&self, entry: &Entry) {
         if entry.key != self.shared.dialect.document_key() {
             return;
--- a/crates/burdockroad-gateway/src/follow.rs
+++ b/crates/burdockroad-gateway/src/follow.rs
@@ -158,8 +158,8 @@
     watched
 }
 
-/// Waits until a watcher announces a newer change than `after` and applies its updates. Returns the revision
-/// up to which the range is then known.
+/// Waits at most [`ROLE_CHECK_INTERVAL`] for a watcher to announce a newer change than `after`, and applies
+/// its updates. Returns the revision up to which the range is then up to date.
 async fn follow_watcher(shared: &Shared, subscriber: &mut dyn RangeSubscriber, after: Revision) -> Revision {
     let mut announced = pin!(shared.range_announced.notified());
     announced.as_mut().enable();
--- a/crates/burdockroad-gateway/src/hosts.rs
+++ b/crates/burdockroad-gateway/src/hosts.rs
@@ -87,7 +87,7 @@
     }
 
     /// Updates the tables after a change of the hosts. All registered hosts share the accounts' rate limits.
-    fn publish(&self) {
+    fn update_tables(&self) {
         let peers: Vec<HostId> = self.shared.peers.borrow().keys().cloned().collect();
         let mut tables = self.shared.tables();
         let hosts = peers.len() + 1;
@@ -114,7 +114,7 @@
         for entry in entries {
             self.put(entry);
         }
-        self.publish();
+        self.update_tables();
     }
 
     fn apply_change(&mut self, change: &Change) {
@@ -128,7 +128,7 @@
                 }
             }
         }
-        self.publish();
+        self.update_tables();
     }
 }
 
