--- a/crates/burdockroad-gateway/src/attempt.rs
+++ b/crates/burdockroad-gateway/src/attempt.rs
@@ -431,9 +431,9 @@
     /// Returns the refusal of a call whose deadline has passed.
     fn timeout_refusal(&self) -> Refusal {
         if self.retries.unknown == 0 {
-            Refusal::TimeOverUnsent
+            Refusal::DeadlineExceededUnsent
         } else {
-            Refusal::TimeOver
+            Refusal::DeadlineExceeded
         }
     }
 }
--- a/crates/burdockroad-gateway/src/call.rs
+++ b/crates/burdockroad-gateway/src/call.rs
@@ -34,16 +34,16 @@
     let (parts, body) = request.into_parts();
     let head = match shared.dialect.read_call(&parts.headers) {
         Ok(head) => head,
-        Err(bad) => return refuse_before_sending(&shared, None, Refusal::BadHead(bad.field), started_at),
+        Err(invalid) => return refuse_unsent(&shared, None, Refusal::InvalidHead(invalid.field), started_at),
     };
     let context = match admit(&shared, &head, &parts) {
         Ok(context) => context,
-        Err(refusal) => return refuse_before_sending(&shared, Some(&head), refusal, started_at),
+        Err(refusal) => return refuse_unsent(&shared, Some(&head), refusal, started_at),
     };
     let body_timeout = call_timeout(&head, &context.route);
     let body = match read_body(body, &context.limits, body_timeout).await {
         Ok(body) => body,
-        Err(refusal) => return refuse_before_sending(&shared, Some(&head), refusal, started_at),
+        Err(refusal) => return refuse_unsent(&shared, Some(&head), refusal, started_at),
     };
     let request = CallerRequest {
         method: parts.method,
@@ -123,7 +123,7 @@
         .and_then(|host| host.to_str().ok());
     let host = host
         .or_else(|| parts.uri.host())
-        .ok_or(Refusal::BadHead("host"))?;
+        .ok_or(Refusal::InvalidHead("host"))?;
     let route = directory.route(host, parts.uri.path()).ok_or(Refusal::NoRoute)?;
     let account = match directory.account(route, head.api_key.as_deref()) {
         Lookup::Account(account) => Some(account),
@@ -248,7 +248,7 @@
             }
             let timed_out = call.time_left().is_zero();
             return Err(if timed_out {
-                Refusal::TimeOver
+                Refusal::DeadlineExceeded
             } else {
                 Refusal::UnknownOutcome
             });
@@ -300,7 +300,7 @@
         }
         Err(ReservationError::Deferred { retry_after }) => Err(Refusal::NoEndpoint(retry_after)),
         Err(ReservationError::OverRate { retry_after }) => Err(Refusal::OverRate(retry_after)),
-        Err(ReservationError::BudgetExhausted) => Err(Refusal::BudgetSpent),
+        Err(ReservationError::BudgetExhausted) => Err(Refusal::BudgetExhausted),
         Err(ReservationError::StoreUnavailable { retry_after }) => Err(Refusal::NoReservation(retry_after)),
     }
 }
@@ -318,7 +318,7 @@
 }
 
 /// Refuses a call that was not sent to any endpoint.
-fn refuse_before_sending(
+fn refuse_unsent(
     shared: &Shared,
     head: Option<&CallHead>,
     refusal: Refusal,
@@ -332,7 +332,7 @@
             id: call_id,
             reason: refusal.name(),
             detail: match refusal {
-                Refusal::BadHead(field) => Some(field),
+                Refusal::InvalidHead(field) => Some(field),
                 _ => None,
             },
             program: head.and_then(|head| Some(head.program.as_ref()?.id.as_str())),
--- a/crates/burdockroad-gateway/src/dialect.rs
+++ b/crates/burdockroad-gateway/src/dialect.rs
@@ -17,7 +17,7 @@
     /// # Errors
     ///
     /// Fails when a required header is missing or a header is malformed.
-    fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, BadHead>;
+    fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, InvalidHead>;
 
     /// Converts a caller's headers to the headers of the forwarded request.
     fn write_forward(&self, headers: &mut HeaderMap, forward: &ForwardHead<'_>);
@@ -134,7 +134,7 @@
 
 /// Error of a request head that cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadHead {
+pub struct InvalidHead {
     /// Name of the missing or malformed field.
     pub field: &'static str,
 }
--- a/crates/burdockroad-gateway/src/lib.rs
+++ b/crates/burdockroad-gateway/src/lib.rs
@@ -36,7 +36,9 @@
 
 pub use self::{
     decision_log::DecisionLog,
-    dialect::{BadHead, CallHead, DecodeError, Dialect, ForwardHead, ProgramHead, ResponseHead, TokenCount},
+    dialect::{
+        CallHead, DecodeError, Dialect, ForwardHead, InvalidHead, ProgramHead, ResponseHead, TokenCount,
+    },
     disk_host::run_disk_host,
     process::{HostError, HostOptions, Signals, run},
     range_log::{RangeLog, RangeUpdate},
--- a/crates/burdockroad-gateway/src/refusal.rs
+++ b/crates/burdockroad-gateway/src/refusal.rs
@@ -16,7 +16,7 @@
     /// The host has not read the configuration or the list of hosts yet.
     NotReady,
     /// The named header is missing or malformed.
-    BadHead(&'static str),
+    InvalidHead(&'static str),
     /// The body exceeds the limit.
     BodyTooLong,
     /// The body did not arrive completely or in time.
@@ -28,15 +28,15 @@
     /// The account exceeds its rate limit.
     OverRate(Duration),
     /// The program's budget has too few tokens left for the call.
-    BudgetSpent,
+    BudgetExhausted,
     /// No tokens could be reserved because the store does not respond.
     NoReservation(Duration),
     /// No endpoint can take the call, or the service is too loaded for another program to start.
     NoEndpoint(Duration),
     /// The deadline passed, and the call has not run at any endpoint.
-    TimeOverUnsent,
+    DeadlineExceededUnsent,
     /// The deadline passed, and the call may have run.
-    TimeOver,
+    DeadlineExceeded,
     /// The call may have run, and its outcome is unknown.
     UnknownOutcome,
 }
@@ -46,17 +46,17 @@
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::NotReady => "not_ready",
-            Self::BadHead(_) => "bad_head",
+            Self::InvalidHead(_) => "bad_head",
             Self::BodyTooLong => "body_too_long",
             Self::BodyIncomplete => "body_incomplete",
             Self::NoRoute => "no_route",
             Self::UnknownKey => "unknown_key",
             Self::OverRate(_) => "over_rate",
-            Self::BudgetSpent => "budget_spent",
+            Self::BudgetExhausted => "budget_spent",
             Self::NoReservation(_) => "no_reservation",
             Self::NoEndpoint(_) => "no_endpoint",
-            Self::TimeOverUnsent => "time_over_unsent",
-            Self::TimeOver => "time_over",
+            Self::DeadlineExceededUnsent => "time_over_unsent",
+            Self::DeadlineExceeded => "time_over",
             Self::UnknownOutcome => "unknown_outcome",
         }
     }
@@ -64,17 +64,17 @@
     /// Returns the HTTP status. 408, 429 and 503 promise that the call has not run and will not run.
     pub(crate) fn status(self) -> StatusCode {
         match self {
-            Self::NotReady | Self::NoReservation(_) | Self::NoEndpoint(_) | Self::TimeOverUnsent => {
+            Self::NotReady | Self::NoReservation(_) | Self::NoEndpoint(_) | Self::DeadlineExceededUnsent => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
-            Self::BadHead(_) => StatusCode::BAD_REQUEST,
+            Self::InvalidHead(_) => StatusCode::BAD_REQUEST,
             Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::OverRate(_) => StatusCode::TOO_MANY_REQUESTS,
-            Self::BudgetSpent => StatusCode::PAYMENT_REQUIRED,
-            Self::TimeOver => StatusCode::GATEWAY_TIMEOUT,
+            Self::BudgetExhausted => StatusCode::PAYMENT_REQUIRED,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
             Self::UnknownOutcome => StatusCode::BAD_GATEWAY,
         }
     }
--- a/crates/burdockroad-gateway/src/stream.rs
+++ b/crates/burdockroad-gateway/src/stream.rs
@@ -180,7 +180,7 @@
     async fn resume(&mut self) -> Result<(), Refusal> {
         self.connection = None;
         if self.call.time_left().is_zero() {
-            return Err(Refusal::TimeOver);
+            return Err(Refusal::DeadlineExceeded);
         }
         if !self.call.record_broken_response() {
             return Err(Refusal::UnknownOutcome);
