--- a/crates/burdockroad/src/gateway.rs
+++ b/crates/burdockroad/src/gateway.rs
@@ -11,26 +11,26 @@
 //! * [`next_step`] says what follows a failed attempt.
 //! * [`EventBuffer`] cuts an event stream into whole events.
 
-mod allowance;
-mod begin;
 mod budget;
 mod directory;
+mod dissemination;
 mod document;
 mod events;
 mod placement;
-mod recent;
+mod program_start;
+mod rate_limit;
 mod retry;
-mod spread;
+mod running;
 
 pub use self::{
-    allowance::{Admission, Allowances, HostUse, UseReport},
-    begin::{BeginGate, Beginning},
     budget::{Answer, BudgetWrite, Holder, Ledger, LedgerOptions, Need, StoredBudget, Versioned},
     directory::{Directory, Lookup},
+    dissemination::{HostPlace, has_to_watch, report_targets, watchers},
     document::{Account, CallerLimits, Document, EngineInfo, Route, RouteKind, Service, Target},
     events::EventBuffer,
     placement::{Endpoint, EndpointCalls, EndpointTable, LoadReading, Outcome, Placement, PromptPart, Query},
-    recent::RecentPrograms,
+    program_start::{BeginGate, Beginning},
+    rate_limit::{Admission, Allowances, HostUse, UseReport},
     retry::{Failure, NextStep, RetryState, next_step},
-    spread::{HostPlace, has_to_watch, report_targets, watchers},
+    running::RecentPrograms,
 };
--- a/crates/burdockroad/src/gateway/budget.rs
+++ b/crates/burdockroad/src/gateway/budget.rs
@@ -6,14 +6,14 @@
 //! loss of that host at most half of the budget. A call holds the most that it may generate and gives back
 //! what it did not.
 
-mod row;
+mod program_budget;
 
 use std::{
     collections::{HashMap, VecDeque},
     time::{Duration, Instant},
 };
 
-use self::row::Row;
+use self::program_budget::Row;
 use crate::ids::{Incarnation, ProgramId};
 
 /// How a [`Ledger`] times what it does on its own.
--- a/crates/burdockroad/src/gateway/allowance.rs
+++ b/crates/burdockroad/src/gateway/rate_limit.rs
@@ -5,14 +5,14 @@
 //! others. While the bucket is well filled a call is admitted at once; near its bottom, where reports come
 //! too late to keep hosts from spending the same tokens twice, each host keeps to its part of the rate.
 
-mod row;
+mod bucket;
 
 use std::{
     collections::HashMap,
     time::{Duration, Instant},
 };
 
-use self::row::Row;
+use self::bucket::Row;
 use crate::ids::{AccountId, HostId};
 
 /// Age of the last report from which a host counts as silent.
