--- a/crates/burdockroad/src/gateway.rs
+++ b/crates/burdockroad/src/gateway.rs
@@ -1,15 +1,17 @@
-//! Decisions for calls that bring their whole history along.
+//! Decision logic for calls whose requests carry the whole program history.
 //!
-//! A gateway host forwards each call of a program to an endpoint and keeps nothing of the call but what
-//! its program may still spend. These modules decide; they open no socket and read no clock:
+//! A gateway host forwards each call of a program to an endpoint. The only state that it keeps for a call is
+//! the remaining budget of the call's program. These modules make the decisions; they open no sockets and
+//! read no clock:
 //!
-//! * [`Document`] is the configuration in force, and [`Directory`] finds a call's route and account in it.
-//! * [`Ledger`] holds tokens of a program's budget before its calls run.
-//! * [`Allowances`] share an account's rate among the hosts that admit its calls.
+//! * [`Document`] is the active configuration. [`Directory`] looks up a call's route and account in it.
+//! * [`Ledger`] reserves tokens of a program's budget before its calls run.
+//! * [`RateLimiter`] shares an account's rate among the hosts that admit its calls.
 //! * [`EndpointTable`] chooses the endpoint of a call.
-//! * [`has_to_watch`] and [`report_targets`] say who watches the store, and who is told what.
-//! * [`next_step`] says what follows a failed attempt.
-//! * [`EventBuffer`] cuts an event stream into whole events.
+//! * [`should_watch`] selects the hosts that watch the store, and [`report_targets`] the recipients of a
+//!   report.
+//! * [`next_step`] selects the action after a failed attempt.
+//! * [`EventBuffer`] splits an event stream into complete events.
 
 mod budget;
 mod directory;
@@ -23,14 +25,19 @@
 mod running;
 
 pub use self::{
-    budget::{Answer, BudgetWrite, Holder, Ledger, LedgerOptions, Need, StoredBudget, Versioned},
-    directory::{Directory, Lookup},
-    dissemination::{HostPlace, has_to_watch, report_targets, watchers},
+    budget::{
+        BudgetWrite, HostReservation, Ledger, LedgerOptions, Readiness, StoreResponse, StoredBudget,
+        VersionedBudget,
+    },
+    directory::{AccountLookup, Directory},
+    dissemination::{HostLocation, report_targets, should_watch, watchers},
     document::{Account, CallerLimits, Document, EngineInfo, Route, RouteKind, Service, Target},
     events::EventBuffer,
-    placement::{Endpoint, EndpointCalls, EndpointTable, LoadReading, Outcome, Placement, PromptPart, Query},
-    program_start::{BeginGate, Beginning},
-    rate_limit::{Admission, Allowances, HostUse, UseReport},
+    placement::{
+        Endpoint, EndpointCalls, EndpointTable, LoadReading, Outcome, Placement, PlacementQuery, PromptPart,
+    },
+    program_start::{ProgramStartGate, StartDecision},
+    rate_limit::{AccountUsage, Admission, RateLimiter, UsageReport},
     retry::{Failure, NextStep, RetryState, next_step},
-    running::RecentPrograms,
+    running::RunningPrograms,
 };
--- a/crates/burdockroad/src/gateway/directory.rs
+++ b/crates/burdockroad/src/gateway/directory.rs
@@ -1,10 +1,10 @@
-//! Finding the route and the account of a call.
+//! Lookup of the route and the account of a call.
 
 use std::{collections::HashMap, sync::Arc};
 
 use crate::gateway::{Account, Document, Route, Service};
 
-/// A [`Document`], indexed for look-ups.
+/// Index of a [`Document`].
 ///
 /// # Example
 ///
@@ -18,20 +18,20 @@
 pub struct Directory {
     version: u64,
     document: Document,
-    /// Routes of each host name, the longest prefix first.
+    /// Routes by host name, with the longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
     accounts: HashMap<String, Arc<Account>>,
     services: HashMap<String, Arc<Service>>,
 }
 
-/// Whom a key belongs to.
+/// Result of an account lookup.
 #[derive(Clone, Debug)]
-pub enum Lookup {
-    /// The call belongs to this account.
+pub enum AccountLookup {
+    /// The key belongs to this account.
     Account(Arc<Account>),
     /// The call needs no account.
     Anonymous,
-    /// The key is missing or unknown.
+    /// The key is missing or invalid.
     Unknown,
 }
 
@@ -45,8 +45,8 @@
                 .or_default()
                 .push(Arc::new(route.clone()));
         }
-        for of_host in routes.values_mut() {
-            of_host.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+        for host_routes in routes.values_mut() {
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let mut accounts = HashMap::new();
         for account in document.accounts.iter().flatten() {
@@ -68,38 +68,38 @@
         }
     }
 
-    /// Version of the document.
+    /// Returns the version of the document.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The document itself.
+    /// Returns the document.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The route with the longest prefix of `path` among those of a host name.
+    /// Returns the route of a host name with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let of_host = match self.routes.get(name) {
+        let host_routes = match self.routes.get(name) {
             Some(found) => found,
             None => self.routes.get(&name.to_ascii_lowercase())?,
         };
-        of_host.iter().find(|route| path.starts_with(&route.prefix))
+        host_routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The account that holds a key, for a call on `route`.
-    pub fn account(&self, route: &Route, key: Option<&str>) -> Lookup {
+    /// Returns the account that a key belongs to, for a call on `route`.
+    pub fn account(&self, route: &Route, key: Option<&str>) -> AccountLookup {
         if let Some(account) = key.and_then(|key| self.accounts.get(key)) {
-            return Lookup::Account(Arc::clone(account));
+            return AccountLookup::Account(Arc::clone(account));
         }
         if route.public || self.document.accounts.is_none() {
-            return Lookup::Anonymous;
+            return AccountLookup::Anonymous;
         }
-        Lookup::Unknown
+        AccountLookup::Unknown
     }
 
-    /// A service by its name.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
--- a/crates/burdockroad/src/gateway/dissemination.rs
+++ b/crates/burdockroad/src/gateway/dissemination.rs
@@ -1,71 +1,80 @@
-//! How what one host knows reaches all of them.
+//! Dissemination of store updates and reports among hosts.
 //!
-//! Load pattern: many hosts in some failure domains that need the same few ranges of the store and each
-//! other's reports, where every call to the store and every byte between failure domains is paid for. A few
-//! hosts watch the store, and a report crosses to another failure domain once.
+//! Load pattern: many hosts in several failure domains that need the same few ranges of the store and each
+//! other's reports. Each request to the store and each byte between failure domains has a cost. Therefore
+//! only a few hosts watch the store, and a report is sent only once to each other failure domain.
 
 use std::{collections::BTreeSet, time::Duration};
 
 use crate::{ids::HostId, ownership::rendezvous_order};
 
-/// Hosts that watch the store; the others take what changes from them.
-const WATCHERS: usize = 3;
+/// Number of hosts that watch the store; the others receive updates from them.
+const WATCHER_COUNT: usize = 3;
 
-/// Age of the last word of a host that watches from which a host watches for itself.
-const TOLD_AGE_MAX: Duration = Duration::from_millis(450);
+/// Maximum age of a watcher's last announcement. If no younger one exists, a host watches the range itself.
+const ANNOUNCEMENT_AGE_MAX: Duration = Duration::from_millis(450);
 
-/// Name by which hosts are ranked for watching.
-const WATCH_NAME: &str = "watch";
+/// Key under which hosts are ranked as watchers.
+const WATCH_RANK_KEY: &str = "watch";
 
-/// A host and where it stands.
+/// Host with its failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HostPlace {
-    /// The host.
+pub struct HostLocation {
+    /// Host id.
     pub host: HostId,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub failure_domain: String,
 }
 
-/// The hosts that watch the store for all, out of those that are heard of.
+/// Returns the hosts that watch the store on behalf of all, selected from the live hosts.
 ///
-/// They stand in different failure domains as far as there are enough of these.
-pub fn watchers(heard: &[HostPlace]) -> Vec<HostId> {
-    let ranked = rendezvous_order(WATCH_NAME, heard.iter().map(|place| place.host.clone()));
+/// They are in different failure domains if there are enough domains.
+pub fn watchers(live: &[HostLocation]) -> Vec<HostId> {
+    let ranked = rendezvous_order(WATCH_RANK_KEY, live.iter().map(|location| location.host.clone()));
     let mut domains = BTreeSet::new();
     let (mut first, rest): (Vec<HostId>, Vec<HostId>) = ranked.into_iter().partition(|host| {
-        let place = heard.iter().find(|place| place.host == *host);
-        place.is_some_and(|place| domains.insert(&place.failure_domain))
+        let location = live.iter().find(|location| location.host == *host);
+        location.is_some_and(|location| domains.insert(&location.failure_domain))
     });
     first.extend(rest);
-    first.truncate(WATCHERS);
+    first.truncate(WATCHER_COUNT);
     first
 }
 
-/// Whether a host has to watch a range: it is one of those that watch for all, or none of them has told it of
-/// late that it watches, as when it hears only hosts that leave watching to others.
+/// Returns whether a host should watch a range itself.
 ///
-/// `heard` are the hosts that are heard of, this one included; `told_age` is the time since a host told that
-/// it watches, none when none did.
-pub fn has_to_watch(host: &HostId, heard: &[HostPlace], told_age: Option<Duration>) -> bool {
-    let is_told = told_age.is_some_and(|age| age < TOLD_AGE_MAX);
-    !is_told || watchers(heard).contains(host)
+/// This is the case if it is one of the watchers, or if no watcher has announced the range within
+/// `ANNOUNCEMENT_AGE_MAX`. The latter happens if the host is partitioned from the watchers but receives
+/// reports from hosts that leave watching to them.
+///
+/// `live` contains the live hosts, including this one. `announcement_age` is the time since a host last
+/// announced that it watches the range; `None` if none did.
+pub fn should_watch(host: &HostId, live: &[HostLocation], announcement_age: Option<Duration>) -> bool {
+    let is_announced = announcement_age.is_some_and(|age| age < ANNOUNCEMENT_AGE_MAX);
+    !is_announced || watchers(live).contains(host)
 }
 
-/// The hosts that a report is sent to: all of the sender's failure domain, and one of each other, which
-/// passes it on there. Turn after turn it is another one, so that a dead one costs few reports.
-pub fn report_targets(failure_domain: &str, others: &[HostPlace], turn: usize) -> Vec<HostId> {
-    let (near, far): (Vec<&HostPlace>, Vec<&HostPlace>) = others
+/// Returns the hosts to which a report is sent: all in the sender's failure domain, and one in each other
+/// domain, which relays it there.
+///
+/// The caller increments `rotation` with each report. The relays rotate with it, so an unresponsive relay loses
+/// few reports.
+pub fn report_targets(failure_domain: &str, others: &[HostLocation], rotation: usize) -> Vec<HostId> {
+    let (local, remote): (Vec<&HostLocation>, Vec<&HostLocation>) = others
+        .iter()
+        .partition(|location| location.failure_domain == failure_domain);
+    let mut targets: Vec<HostId> = local.into_iter().map(|location| location.host.clone()).collect();
+    let domains: BTreeSet<&str> = remote
         .iter()
-        .partition(|place| place.failure_domain == failure_domain);
-    let mut targets: Vec<HostId> = near.into_iter().map(|place| place.host.clone()).collect();
-    let domains: BTreeSet<&str> = far.iter().map(|place| place.failure_domain.as_str()).collect();
+        .map(|location| location.failure_domain.as_str())
+        .collect();
     for domain in domains {
-        let within: Vec<&&HostPlace> = far
+        let domain_hosts: Vec<&&HostLocation> = remote
             .iter()
-            .filter(|place| place.failure_domain == domain)
+            .filter(|location| location.failure_domain == domain)
             .collect();
-        if let Some(place) = within.get(turn % within.len().max(1)) {
-            targets.push(place.host.clone());
+        if let Some(location) = domain_hosts.get(rotation % domain_hosts.len().max(1)) {
+            targets.push(location.host.clone());
         }
     }
     targets
--- a/crates/burdockroad/src/gateway/document.rs
+++ b/crates/burdockroad/src/gateway/document.rs
@@ -1,112 +1,112 @@
-//! The configuration that a gateway host serves by.
+//! Configuration of a gateway host.
 
 use std::time::Duration;
 
-/// One version of the whole configuration.
+/// One version of the complete configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Document {
-    /// Version; it only grows.
+    /// Version number, which increases with each change.
     pub version: u64,
-    /// Routes, in no order.
+    /// Routes, in no particular order.
     pub routes: Vec<Route>,
-    /// Services that routes lead to.
+    /// Services that receive the routes' calls.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
-    /// Client accounts; none when calls carry no keys.
+    /// Client accounts; `None` if calls carry no keys.
     pub accounts: Option<Vec<Account>>,
 }
 
-/// Where calls to one host name and path prefix go.
+/// Route for calls to one host name and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name, used in logs.
     pub name: String,
-    /// Host name that callers ask for, in lowercase.
+    /// Host name in callers' requests, in lowercase.
     pub host: String,
-    /// Path prefix, with a slash at both ends.
+    /// Path prefix, with a leading and a trailing slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether calls may be repeated, and whether responses are streams.
     pub kind: RouteKind,
-    /// Longest time that a call is kept.
+    /// Timeout of a call.
     pub timeout: Duration,
-    /// Time within which an answer is on time.
+    /// Response time objective.
     pub objective: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services that share the calls.
+    /// Services among which the calls are split.
     pub targets: Vec<Target>,
-    /// Endpoints on which one call may run at the most.
+    /// Maximum number of endpoints on which one call may run.
     pub endpoints_max: u32,
-    /// Whether calls need no key.
+    /// Whether calls without a key are accepted.
     pub public: bool,
-    /// How long a stopped program may come back.
+    /// Period within which a stopped program may resume.
     pub retention: Duration,
 }
 
-/// What may be repeated of a route's calls.
+/// Kind of a route's calls, which determines whether a call may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// A call may run any number of times.
     Idempotent,
-    /// A call may run once at the most.
+    /// A call may run at most once.
     NonIdempotent,
-    /// The answer is a stream of events.
+    /// The response is an event stream.
     Streaming {
-        /// Whether a broken stream may go on after its last event.
+        /// Whether an interrupted stream may resume after its last event.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a call may run again after an attempt of unknown outcome.
-    pub fn may_repeat(self) -> bool {
+    /// Returns whether a call may run again after an attempt of unknown outcome.
+    pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Streaming { resumable: true })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the response is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Streaming { .. })
     }
 }
 
-/// A service's part of a route's calls.
+/// Service that receives a share of a route's calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// Name of the service.
     pub service: String,
-    /// Weight against the route's other targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// One service.
+/// Service configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that one endpoint takes from all hosts together.
+    /// Maximum number of connections to one endpoint, over all hosts.
     pub connections_max: usize,
-    /// How its model engines work; none for a plain service.
+    /// Properties of its model engines; `None` for a plain service.
     pub engine: Option<EngineInfo>,
 }
 
-/// What all model engines of a service have in common.
+/// Properties shared by all model engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineInfo {
-    /// Generated tokens that one event stands for.
+    /// Generated tokens per event.
     pub event_tokens: u64,
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_max_bytes: usize,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_max_bytes: usize,
-    /// Longest time for a request head to arrive.
+    /// Timeout for receiving a request head.
     pub head_timeout: Duration,
-    /// Longest time that a connection may stay idle.
+    /// Idle timeout of a connection.
     pub idle_timeout: Duration,
 }
 
@@ -121,17 +121,17 @@
     }
 }
 
-/// One client account.
+/// Client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Name, which endpoints are told.
+    /// Name, which is passed on to endpoints.
     pub name: String,
-    /// Keys that its callers present.
+    /// Keys that identify the account's callers.
     pub keys: Vec<String>,
-    /// Rank that takes precedence over the route's.
+    /// Priority that overrides the route's priority.
     pub priority: Option<u8>,
-    /// Calls a second over all hosts; 0 for no limit.
+    /// Rate limit over all hosts, in calls per second; 0 for no limit.
     pub rate_per_s: f64,
-    /// Calls beyond the rate that may come at once.
+    /// Calls above the rate that are admitted at once.
     pub burst: f64,
 }
--- a/crates/burdockroad/src/gateway/events.rs
+++ b/crates/burdockroad/src/gateway/events.rs
@@ -1,12 +1,12 @@
-//! Cutting an event stream into whole events.
+//! Splitting of an event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Collects the bytes of an event stream and releases whole events.
+/// Buffer that receives the bytes of an event stream and returns complete events.
 ///
-/// An endpoint may stop in the middle of an event. What has not ended stays here, so that a stream which
-/// goes on at another endpoint joins at the end of an event. After a resumption, events that were already
-/// released are dropped.
+/// An endpoint may stop in the middle of an event. The incomplete event stays in the buffer, so a stream that
+/// resumes at another endpoint continues at an event boundary. After a resumption, events that were already
+/// returned are dropped.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     pending: BytesMut,
@@ -16,7 +16,7 @@
 }
 
 impl EventBuffer {
-    /// Makes a buffer whose caller has seen all events up to `last_id`.
+    /// Creates a buffer whose caller has received all events up to `last_id`.
     pub fn after(last_id: Option<u64>) -> Self {
         Self {
             last_id,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Adds bytes, and returns the whole events that they complete; empty when none is complete.
+    /// Adds bytes and returns the events that they complete; empty if there are none.
     pub fn push(&mut self, chunk: &[u8]) -> Bytes {
         self.pending.extend_from_slice(chunk);
         let mut ready = BytesMut::new();
@@ -36,19 +36,19 @@
         ready.freeze()
     }
 
-    /// Forgets an event that has not ended, for a stream that goes on elsewhere.
-    pub fn drop_partial(&mut self) {
+    /// Discards an incomplete event, for a stream that resumes at another endpoint.
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
         self.scanned_bytes = 0;
     }
 
-    /// Whether bytes of an event that has not ended are held.
+    /// Returns whether the buffer contains an incomplete event.
     pub fn has_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Takes the rest of a stream that ended as it should, which may lack its last empty line.
-    pub fn take_rest(&mut self) -> Bytes {
+    /// Returns the remaining bytes of a stream that ended regularly; its last event may lack the empty line.
+    pub fn take_remainder(&mut self) -> Bytes {
         self.scanned_bytes = 0;
         let rest = self.pending.split();
         let mut ready = BytesMut::new();
@@ -58,17 +58,17 @@
         ready.freeze()
     }
 
-    /// Id of the last event released.
+    /// Returns the id of the last event returned.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Events released.
+    /// Returns the number of events with an id that were returned.
     pub fn released(&self) -> u64 {
         self.released
     }
 
-    /// Where the first event ends, behind its empty line.
+    /// Returns the end of the first event, after its empty line.
     fn find_end(&mut self) -> Option<usize> {
         let from = self.scanned_bytes.saturating_sub(2);
         let tail = &self.pending[from..];
@@ -101,7 +101,7 @@
     }
 }
 
-/// Id that an event names in one of its lines.
+/// Returns the id in an event's `id` field.
 fn event_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|byte| *byte == b'\n')
--- a/crates/burdockroad/src/gateway/program_start.rs
+++ b/crates/burdockroad/src/gateway/program_start.rs
@@ -1,8 +1,8 @@
-//! Which programs may begin while a service is full.
+//! Admission of new programs while a service is congested.
 //!
-//! Load pattern: twice the usual number of programs for some seconds. All of them together would end too
-//! late to be of use; refused at their first call, some come back when there is room, and those that have
-//! begun end in time.
+//! Load pattern: twice the usual number of programs for some seconds. If all of them ran together, they would
+//! finish too late to be useful. Some of the programs refused at their first call return when there is
+//! capacity, and running programs finish in time.
 
 use std::{
     collections::HashMap,
@@ -11,74 +11,74 @@
 
 use crate::ids::ProgramId;
 
-/// Calls for each slot of a service from which programs are kept from beginning.
-const FULL_LOAD: f64 = 0.85;
+/// Load, in calls per slot of a service, from which new programs are refused.
+const START_LOAD_MAX: f64 = 0.85;
 
-/// What the most urgent programs may add to that.
-const URGENT_LOAD: f64 = 0.1;
+/// Additional load admitted for programs of the most urgent priority.
+const URGENT_EXTRA_LOAD: f64 = 0.1;
 
-/// What programs that were refused before may add to that.
-const RETURNING_LOAD: f64 = 0.05;
+/// Additional load admitted for programs that were refused before.
+const RETURNING_EXTRA_LOAD: f64 = 0.05;
 
-/// Shortest time that a refused program is told to wait.
-const RETRY_MIN: Duration = Duration::from_millis(250);
+/// Minimum retry delay of a refused program.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(250);
 
-/// Longest time beyond that, by which refused programs are spread.
-const RETRY_SPREAD: Duration = Duration::from_millis(500);
+/// Maximum random addition to the retry delay, which spreads the retries of refused programs.
+const RETRY_JITTER_MAX: Duration = Duration::from_millis(500);
 
 /// Time for which a refusal is remembered.
-const REMEMBERED: Duration = Duration::from_secs(5);
+const REFUSAL_RETENTION: Duration = Duration::from_secs(5);
 
-/// Whether a program may begin.
+/// Decision on whether a program may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beginning {
-    /// It may.
+pub enum StartDecision {
+    /// The program may start.
     Admitted,
-    /// It is to come back later.
+    /// The program must not start now.
     Refused {
-        /// When.
+        /// Time after which it may retry.
         retry_after: Duration,
     },
 }
 
-/// Programs that were kept from beginning lately.
+/// Admission gate for new programs, with their last refusals.
 #[derive(Clone, Debug, Default)]
-pub struct BeginGate {
+pub struct ProgramStartGate {
     refused_at: HashMap<ProgramId, Instant>,
 }
 
-impl BeginGate {
-    /// Decides whether a program may begin at a service with `load` calls for each slot.
+impl ProgramStartGate {
+    /// Decides whether a program may start at a service with `load` calls per slot.
     ///
-    /// `spread` is a random number from 0 to 1 that parts those who come back.
+    /// `jitter` is a random number from 0 to 1 that spreads the retries.
     pub fn decide(
         &mut self,
         program: &ProgramId,
         load: f64,
         priority: u8,
-        spread: f64,
+        jitter: f64,
         now: Instant,
-    ) -> Beginning {
+    ) -> StartDecision {
         let returning = self.refused_at.contains_key(program);
-        let mut allowed_load = FULL_LOAD;
+        let mut load_max = START_LOAD_MAX;
         if priority == 0 {
-            allowed_load += URGENT_LOAD;
+            load_max += URGENT_EXTRA_LOAD;
         }
         if returning {
-            allowed_load += RETURNING_LOAD;
+            load_max += RETURNING_EXTRA_LOAD;
         }
-        if load < allowed_load {
+        if load < load_max {
             self.refused_at.remove(program);
-            return Beginning::Admitted;
+            return StartDecision::Admitted;
         }
         self.refused_at.insert(program.clone(), now);
-        Beginning::Refused {
-            retry_after: RETRY_MIN + RETRY_SPREAD.mul_f64(spread.clamp(0.0, 1.0)),
+        StartDecision::Refused {
+            retry_after: RETRY_AFTER_MIN + RETRY_JITTER_MAX.mul_f64(jitter.clamp(0.0, 1.0)),
         }
     }
 
-    /// Forgets refusals that are long past.
-    pub fn forget_old(&mut self, now: Instant) {
-        self.refused_at.retain(|_, at| now < *at + REMEMBERED);
+    /// Removes refusals older than `REFUSAL_RETENTION`.
+    pub fn evict_expired(&mut self, now: Instant) {
+        self.refused_at.retain(|_, at| now < *at + REFUSAL_RETENTION);
     }
 }
--- a/crates/burdockroad/src/gateway/rate_limit.rs
+++ b/crates/burdockroad/src/gateway/rate_limit.rs
@@ -1,9 +1,9 @@
-//! An account's rate, shared among hosts that tell each other what they admitted.
+//! Rate limits of accounts, enforced jointly by hosts that report their admitted calls to each other.
 //!
-//! Load pattern: one account sends several times its rate for seconds, unevenly over the hosts, while
-//! hosts are cut off and restarted. Every host follows the account's whole bucket from the reports of the
-//! others. While the bucket is well filled a call is admitted at once; near its bottom, where reports come
-//! too late to keep hosts from spending the same tokens twice, each host keeps to its part of the rate.
+//! Load pattern: one account sends several times its rate for seconds, unevenly over the hosts, while hosts
+//! are partitioned and restarted. Every host tracks the account's whole bucket from the reports of the
+//! others. Above the low watermark, a call is admitted at once. Below it, reports arrive too late to keep
+//! hosts from spending the same tokens twice, so each host stays within its share of the rate.
 
 mod bucket;
 
@@ -12,210 +12,214 @@
     time::{Duration, Instant},
 };
 
-use self::bucket::Row;
+use self::bucket::AccountBucket;
 use crate::ids::{AccountId, HostId};
 
-/// Age of the last report from which a host counts as silent.
-const SILENT_AFTER: Duration = Duration::from_millis(500);
+/// Age of the last report from which a host counts as unresponsive.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(500);
 
-/// Time after its start in which a host takes over what hosts that run for longer know.
-const JOIN_TIME: Duration = Duration::from_secs(1);
+/// Time since its start during which a host adopts the levels reported by hosts that have run longer.
+const STARTUP_SYNC_PERIOD: Duration = Duration::from_secs(1);
 
 /// Whether a call is within its account's rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is.
+    /// The call is admitted.
     Admitted,
-    /// It is not.
+    /// The call exceeds the rate.
     Refused {
-        /// When a call could be admitted.
+        /// Time after which a retry may be admitted.
         retry_after: Duration,
     },
 }
 
-/// What one host admitted so far; reports are cumulative, so that a lost one does no harm.
+/// Calls admitted by one host. Counts are cumulative, so a lost report does no harm.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct UseReport {
-    /// Which host.
+pub struct UsageReport {
+    /// Reporting host.
     pub host: HostId,
-    /// Start of the host's process, so that counts which began anew are told apart.
+    /// Incarnation of the host's process; its counts restart at zero with each incarnation.
     pub incarnation: u64,
-    /// Time since that start.
-    pub running_for: Duration,
-    /// Its accounts.
-    pub accounts: Vec<HostUse>,
+    /// Time since the process started.
+    pub uptime: Duration,
+    /// Usage of each account.
+    pub accounts: Vec<AccountUsage>,
 }
 
-/// One account's calls at one host.
+/// Calls of one account at one host.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HostUse {
-    /// Which account.
+pub struct AccountUsage {
+    /// Client account.
     pub account: AccountId,
-    /// Calls admitted since the host's start.
+    /// Calls admitted since the host started.
     pub admitted: u64,
-    /// Calls asked for a second, admitted or not.
+    /// Calls requested per second, admitted or not.
     pub demand_per_s: f64,
-    /// Part of them that belongs to programs under way.
+    /// Part of `demand_per_s` that belongs to running programs.
     pub running_per_s: f64,
-    /// Programs begun a second.
-    pub begun_per_s: f64,
-    /// Calls that the host believes may still be admitted by all hosts together.
+    /// Programs started per second.
+    pub started_per_s: f64,
+    /// Host's estimate of the calls that all hosts together may still admit.
     pub level: f64,
 }
 
-/// The rates of all accounts, as one host keeps them.
+/// Rate limits of all accounts, as tracked by one host.
 #[derive(Debug)]
-pub struct Allowances {
-    peers: HashMap<HostId, PeerRow>,
-    rows: HashMap<AccountId, Row>,
+pub struct RateLimiter {
+    peers: HashMap<HostId, PeerState>,
+    buckets: HashMap<AccountId, AccountBucket>,
     started_at: Instant,
-    /// Number of times that all other hosts were heard of.
+    /// Number of completed report rounds. A round completes when every peer has reported since the previous
+    /// one ended.
     round: u64,
-    round_began_at: Instant,
+    round_started_at: Instant,
 }
 
 #[derive(Debug, Default)]
-struct PeerRow {
-    /// Start of the peer's process; none before it was heard of.
+struct PeerState {
+    /// Incarnation of the peer's process; `None` before its first report.
     incarnation: Option<u64>,
-    /// Whether the process began after this one, so that all that it admitted is to be counted.
-    began_later: bool,
-    heard_at: Option<Instant>,
+    /// Whether the process started after this one, in which case all calls it admitted are counted.
+    started_later: bool,
+    last_report_at: Option<Instant>,
 }
 
-impl Allowances {
-    /// Makes empty buckets: what was admitted before a restart is not known, so nothing is given at once.
+impl RateLimiter {
+    /// Creates a rate limiter with empty buckets. Calls admitted before a restart are unknown, so no burst is
+    /// granted at the start.
     pub fn new(now: Instant) -> Self {
         Self {
             peers: HashMap::new(),
-            rows: HashMap::new(),
+            buckets: HashMap::new(),
             started_at: now,
             round: 0,
-            round_began_at: now,
+            round_started_at: now,
         }
     }
 
-    /// Sets which other hosts admit calls.
+    /// Sets the other hosts that admit calls.
     pub fn set_peers(&mut self, hosts: impl IntoIterator<Item = HostId>) {
-        let mut before = std::mem::take(&mut self.peers);
+        let mut previous = std::mem::take(&mut self.peers);
         for host in hosts {
-            let row = before.remove(&host).unwrap_or_default();
-            self.peers.insert(host, row);
+            let peer = previous.remove(&host).unwrap_or_default();
+            self.peers.insert(host, peer);
         }
-        for row in self.rows.values_mut() {
-            row.forget_demand_of_others(&self.peers);
+        for bucket in self.buckets.values_mut() {
+            bucket.clear_removed_peers(&self.peers);
         }
     }
 
-    /// Sets the accounts that have a rate, so that what other hosts admit is followed from the start.
+    /// Sets the accounts that have a rate. The calls that other hosts admit for them are tracked from then
+    /// on.
     pub fn set_accounts<'a>(&mut self, accounts: impl IntoIterator<Item = (&'a AccountId, f64, f64)>) {
-        let mut before = std::mem::take(&mut self.rows);
+        let mut previous = std::mem::take(&mut self.buckets);
         for (account, rate_per_s, burst) in accounts {
             if rate_per_s <= 0.0 {
                 continue;
             }
-            let mut row = before
+            let mut bucket = previous
                 .remove(account)
-                .unwrap_or_else(|| Row::new(self.started_at));
-            row.set_rate(rate_per_s, burst);
-            self.rows.insert(account.clone(), row);
+                .unwrap_or_else(|| AccountBucket::new(self.started_at));
+            bucket.set_rate(rate_per_s, burst);
+            self.buckets.insert(account.clone(), bucket);
         }
     }
 
-    /// Decides on one call, and counts it if it is admitted.
+    /// Decides whether to admit a call, and counts it if it is admitted.
     ///
-    /// An account that has no rate is admitted always.
-    /// A call of a program that has begun goes before one that begins a program: a program is of use only
-    /// when all of its calls are admitted, so the last part of the bucket is kept for those.
-    pub fn admit(&mut self, account: &AccountId, begins: bool, now: Instant) -> Admission {
+    /// Calls of an account without a rate are always admitted. Calls of running programs take precedence over
+    /// calls that start a program: a program is useful only if all of its calls are admitted, so the last
+    /// part of the bucket is reserved for running programs.
+    pub fn admit(&mut self, account: &AccountId, starts_program: bool, now: Instant) -> Admission {
         let hosts = self.peers.len() + 1;
-        let silent = self.silent(now);
-        let Some(row) = self.rows.get_mut(account) else {
+        let unresponsive = self.unresponsive(now);
+        let Some(bucket) = self.buckets.get_mut(account) else {
             return Admission::Admitted;
         };
-        row.refill(hosts, silent, now);
-        row.note_demand(begins);
-        row.begin_round(self.round, hosts);
-        row.decide(hosts, silent, begins)
+        bucket.refill(hosts, unresponsive, now);
+        bucket.record_demand(starts_program);
+        bucket.start_round(self.round, hosts);
+        bucket.admit(hosts, unresponsive, starts_program)
     }
 
-    /// Whether the account's rate lets another program begin; nothing is counted.
-    pub fn may_begin(&mut self, account: &AccountId, now: Instant) -> Admission {
+    /// Returns whether the account's rate leaves room for another program, without counting a call.
+    pub fn may_start_program(&mut self, account: &AccountId, now: Instant) -> Admission {
         let hosts = self.peers.len() + 1;
-        let silent = self.silent(now);
-        let Some(row) = self.rows.get_mut(account) else {
+        let unresponsive = self.unresponsive(now);
+        let Some(bucket) = self.buckets.get_mut(account) else {
             return Admission::Admitted;
         };
-        row.refill(hosts, silent, now);
-        row.begin_round(self.round, hosts);
-        let near_bottom = row.near_bottom_of(hosts, silent);
-        row.room_to_begin(near_bottom)
+        bucket.refill(hosts, unresponsive, now);
+        bucket.start_round(self.round, hosts);
+        let low_watermark = bucket.low_watermark_for(hosts, unresponsive);
+        bucket.admit_if_room(low_watermark)
     }
 
-    /// Counts in what another host admitted.
-    pub fn note_report(&mut self, report: &UseReport, now: Instant) {
+    /// Records the usage reported by another host.
+    pub fn record_report(&mut self, report: &UsageReport, now: Instant) {
         let Some(peer) = self.peers.get_mut(&report.host) else {
             return;
         };
-        let running_for = now.saturating_duration_since(self.started_at);
-        let is_older = report.running_for > running_for;
+        let uptime = now.saturating_duration_since(self.started_at);
+        let peer_is_older = report.uptime > uptime;
         if peer.incarnation != Some(report.incarnation) {
-            peer.began_later = peer.incarnation.is_some() || !is_older;
+            peer.started_later = peer.incarnation.is_some() || !peer_is_older;
             peer.incarnation = Some(report.incarnation);
         }
-        peer.heard_at = Some(now);
-        let began_later = peer.began_later;
-        let began_at = self.round_began_at;
+        peer.last_report_at = Some(now);
+        let started_later = peer.started_later;
+        let round_started_at = self.round_started_at;
         if self
             .peers
             .values()
-            .all(|peer| peer.heard_at.is_some_and(|at| at > began_at))
+            .all(|peer| peer.last_report_at.is_some_and(|at| at > round_started_at))
         {
             self.round += 1;
-            self.round_began_at = now;
+            self.round_started_at = now;
         }
         for used in &report.accounts {
-            let Some(row) = self.rows.get_mut(&used.account) else {
+            let Some(bucket) = self.buckets.get_mut(&used.account) else {
                 continue;
             };
-            row.note_peer(report, used, began_later);
-            if is_older && running_for < JOIN_TIME {
-                row.join(used.level);
+            bucket.record_peer_usage(report, used, started_later);
+            if peer_is_older && uptime < STARTUP_SYNC_PERIOD {
+                bucket.adopt_level(used.level);
             }
         }
     }
 
-    /// What this host admitted so far.
-    pub fn report(&mut self, host: &HostId, incarnation: u64, now: Instant) -> UseReport {
+    /// Returns this host's usage report.
+    pub fn report(&mut self, host: &HostId, incarnation: u64, now: Instant) -> UsageReport {
         let hosts = self.peers.len() + 1;
-        let silent = self.silent(now);
-        let mut accounts = Vec::with_capacity(self.rows.len());
-        for (account, row) in &mut self.rows {
-            row.refill(hosts, silent, now);
-            accounts.push(row.report(account));
+        let unresponsive = self.unresponsive(now);
+        let mut accounts = Vec::with_capacity(self.buckets.len());
+        for (account, bucket) in &mut self.buckets {
+            bucket.refill(hosts, unresponsive, now);
+            accounts.push(bucket.report(account));
         }
-        UseReport {
+        UsageReport {
             host: host.clone(),
             incarnation,
-            running_for: now.saturating_duration_since(self.started_at),
+            uptime: now.saturating_duration_since(self.started_at),
             accounts,
         }
     }
 
-    /// Whether a host was heard of lately.
-    pub fn is_heard(&self, host: &str, now: Instant) -> bool {
+    /// Returns whether a host is live: its last report is younger than `UNRESPONSIVE_AFTER`.
+    pub fn is_live(&self, host: &str, now: Instant) -> bool {
         let peer = self.peers.get(host);
-        peer.is_some_and(|peer| peer.is_heard(now))
+        peer.is_some_and(|peer| peer.is_live(now))
     }
 
-    /// Hosts that may admit calls without this one hearing of it.
-    fn silent(&self, now: Instant) -> usize {
-        self.peers.values().filter(|peer| !peer.is_heard(now)).count()
+    /// Returns the number of unresponsive hosts, which may admit calls unseen by this host.
+    fn unresponsive(&self, now: Instant) -> usize {
+        self.peers.values().filter(|peer| !peer.is_live(now)).count()
     }
 }
 
-impl PeerRow {
-    fn is_heard(&self, now: Instant) -> bool {
-        self.heard_at.is_some_and(|at| now < at + SILENT_AFTER)
+impl PeerState {
+    fn is_live(&self, now: Instant) -> bool {
+        self.last_report_at
+            .is_some_and(|at| now < at + UNRESPONSIVE_AFTER)
     }
 }
--- a/crates/burdockroad/src/gateway/retry.rs
+++ b/crates/burdockroad/src/gateway/retry.rs
@@ -1,82 +1,89 @@
-//! What follows a failed attempt at an endpoint.
+//! Choice of the action after a failed attempt at an endpoint.
 
 use crate::gateway::RouteKind;
 
-/// Attempts that ended before a call ran, at the most; each of them costs a connection or a round trip.
+/// Maximum number of attempts that end before the call runs; each of them costs a connection or a round trip.
 const UNSTARTED_MAX: u32 = 6;
 
-/// Attempts of unknown outcome that are repeated at the same endpoint, at the most.
-const REPEATS_MAX: u32 = 2;
+/// Maximum number of attempts of unknown outcome that are retried.
+const UNKNOWN_RETRIES_MAX: u32 = 2;
 
-/// Attempts that an endpoint on which a call may have run leaves unanswered before it counts as gone.
-pub(super) const UNREACHED_MIN: u32 = 3;
+/// Number of consecutive failed attempts to reach an endpoint on which a call may have run, from which it
+/// counts as removed.
+pub(super) const UNREACHABLE_ATTEMPTS_MIN: u32 = 3;
 
-/// How an attempt failed.
+/// Cause of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing of the call was sent: the address refuses connections, so no endpoint is there.
-    Gone,
-    /// Nothing of the call was sent: no connection came about in time, for whatever reason.
+    /// The address refuses connections, so no endpoint is running there. No part of the call was sent.
+    NotListening,
+    /// No connection was established within the timeout, for any reason. No part of the call was sent.
     Unreachable,
-    /// The endpoint says that it did not run the call, for lack of room.
+    /// The endpoint responded that it did not run the call for lack of capacity.
     Full,
-    /// Another endpoint has the address.
+    /// A different endpoint has the address.
     WrongEndpoint,
-    /// The call may have run: no answer, a broken or a wrong one.
+    /// The response was missing, incomplete or invalid. The call may have run.
     Unknown,
 }
 
 /// Attempts of one call so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryState {
-    /// Attempts that certainly did not run.
+    /// Attempts that certainly did not run the call.
     pub unstarted: u32,
-    /// Attempts whose outcome is unknown.
+    /// Attempts of unknown outcome.
     pub unknown: u32,
     /// Endpoints on which the call may have run and which may still be up.
     pub endpoints_run: u32,
-    /// Whether an endpoint on which the call may have run was found gone.
-    pub last_is_gone: bool,
-    /// Attempts in a row to reach an endpoint on which the call may have run.
-    pub unreached: u32,
+    /// Whether the last endpoint on which the call may have run was found to be removed.
+    pub last_endpoint_removed: bool,
+    /// Consecutive failed attempts to reach an endpoint on which the call may have run.
+    pub unreachable_attempts: u32,
 }
 
-/// What to do after a failed attempt.
+/// Action after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Try an endpoint that was not tried.
-    Elsewhere,
-    /// Try the same endpoint again.
-    Again,
-    /// Answer that the call did not run.
+    /// Try an endpoint that has not been tried.
+    OtherEndpoint,
+    /// Retry at the same endpoint.
+    SameEndpoint,
+    /// Respond that the call did not run.
     Refuse,
-    /// Answer that the outcome is unknown.
+    /// Respond that the outcome is unknown.
     GiveUp,
 }
 
-/// Says what follows a failure, which `state` already counts.
+/// Returns the action after a failure, which `state` already includes.
 ///
-/// A call that ran nowhere may go anywhere. One that may have run goes on only if its route allows
-/// repeats, at the same endpoint where that is up: another would be one endpoint more than the operator
-/// allows, while the first may still work on the call.
+/// A call that has not run may be sent to any endpoint. A call that may have run is retried only if its route
+/// allows it, and at the same endpoint if that is up: another endpoint would exceed the operator's limit by
+/// one, while the first may still be processing the call.
 pub fn next_step(kind: RouteKind, endpoints_max: u32, failure: Failure, state: RetryState) -> NextStep {
     let ran_somewhere = state.unknown > 0;
     match failure {
-        Failure::Gone | Failure::Unreachable | Failure::Full | Failure::WrongEndpoint if !ran_somewhere => {
+        Failure::NotListening | Failure::Unreachable | Failure::Full | Failure::WrongEndpoint
+            if !ran_somewhere =>
+        {
             if state.unstarted < UNSTARTED_MAX {
-                NextStep::Elsewhere
+                NextStep::OtherEndpoint
             } else {
                 NextStep::Refuse
             }
         }
-        _ if !kind.may_repeat() => NextStep::GiveUp,
-        _ if state.unknown > REPEATS_MAX || state.unstarted >= UNSTARTED_MAX => NextStep::GiveUp,
-        // An endpoint that does not answer may be at work all the same, behind a host that is busy.
-        Failure::Unreachable if state.unreached < UNREACHED_MIN => NextStep::Again,
-        Failure::Gone | Failure::WrongEndpoint | Failure::Unreachable => NextStep::Elsewhere,
-        Failure::Full if state.last_is_gone || state.endpoints_run < endpoints_max => NextStep::Elsewhere,
+        _ if !kind.may_retry() => NextStep::GiveUp,
+        _ if state.unknown > UNKNOWN_RETRIES_MAX || state.unstarted >= UNSTARTED_MAX => NextStep::GiveUp,
+        // An unresponsive endpoint may still be processing the call on a busy host.
+        Failure::Unreachable if state.unreachable_attempts < UNREACHABLE_ATTEMPTS_MIN => {
+            NextStep::SameEndpoint
+        }
+        Failure::NotListening | Failure::WrongEndpoint | Failure::Unreachable => NextStep::OtherEndpoint,
+        Failure::Full if state.last_endpoint_removed || state.endpoints_run < endpoints_max => {
+            NextStep::OtherEndpoint
+        }
         Failure::Full => NextStep::GiveUp,
-        Failure::Unknown if state.endpoints_run < endpoints_max => NextStep::Elsewhere,
-        Failure::Unknown => NextStep::Again,
+        Failure::Unknown if state.endpoints_run < endpoints_max => NextStep::OtherEndpoint,
+        Failure::Unknown => NextStep::SameEndpoint,
     }
 }
--- a/crates/burdockroad/src/gateway/running.rs
+++ b/crates/burdockroad/src/gateway/running.rs
@@ -1,4 +1,4 @@
-//! Programs that have begun at this host.
+//! Running programs of this host.
 
 use std::{
     collections::HashMap,
@@ -8,32 +8,32 @@
 use crate::ids::ProgramId;
 
 /// Time after its last call for which a program counts as running.
-const RUNNING_AFTER_CALL: Duration = Duration::from_secs(6);
+const RUNNING_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Programs whose calls were admitted lately.
+/// Programs with a call admitted within `RUNNING_TIMEOUT`.
 #[derive(Clone, Debug, Default)]
-pub struct RecentPrograms {
-    seen_at: HashMap<ProgramId, Instant>,
+pub struct RunningPrograms {
+    last_call_at: HashMap<ProgramId, Instant>,
 }
 
-impl RecentPrograms {
-    /// Whether a call of the program was admitted lately.
-    pub fn is_known(&self, program: &str, now: Instant) -> bool {
-        let seen_at = self.seen_at.get(program);
-        seen_at.is_some_and(|at| now < *at + RUNNING_AFTER_CALL)
+impl RunningPrograms {
+    /// Returns whether a call of the program was admitted within `RUNNING_TIMEOUT`.
+    pub fn is_running(&self, program: &str, now: Instant) -> bool {
+        let last_call_at = self.last_call_at.get(program);
+        last_call_at.is_some_and(|at| now < *at + RUNNING_TIMEOUT)
     }
 
-    /// Notes that a call of the program was admitted.
-    pub fn note(&mut self, program: &ProgramId, now: Instant) {
-        if let Some(seen_at) = self.seen_at.get_mut(program) {
-            *seen_at = now;
+    /// Records that a call of the program was admitted.
+    pub fn record_call(&mut self, program: &ProgramId, now: Instant) {
+        if let Some(last_call_at) = self.last_call_at.get_mut(program) {
+            *last_call_at = now;
             return;
         }
-        self.seen_at.insert(program.clone(), now);
+        self.last_call_at.insert(program.clone(), now);
     }
 
-    /// Forgets programs that have ended.
-    pub fn forget_old(&mut self, now: Instant) {
-        self.seen_at.retain(|_, at| now < *at + RUNNING_AFTER_CALL);
+    /// Evicts programs whose last call is older than `RUNNING_TIMEOUT`.
+    pub fn evict_expired(&mut self, now: Instant) {
+        self.last_call_at.retain(|_, at| now < *at + RUNNING_TIMEOUT);
     }
 }
--- a/crates/burdockroad/tests/gateway_allowance.rs
+++ b/crates/burdockroad/tests/gateway_allowance.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use burdockroad::gateway::{Admission, Allowances, HostUse, UseReport};
+use burdockroad::gateway::{AccountUsage, Admission, RateLimiter, UsageReport};
 
 const HOSTS: usize = 7;
 /// Calls a second, and calls at once.
@@ -14,7 +14,7 @@
 const REPORT_STEPS: u64 = 30;
 
 struct Hosts {
-    tables: Vec<Allowances>,
+    tables: Vec<RateLimiter>,
     account: String,
     now: Instant,
     steps: u64,
@@ -27,10 +27,10 @@
         let now = Instant::now();
         let account = "account".to_owned();
         let tables = (0..HOSTS).map(|this| {
-            let mut allowances = Allowances::new(now);
-            allowances.set_peers((0..HOSTS).filter(|other| *other != this).map(name));
-            allowances.set_accounts([(&account, RATE_PER_S, BURST)]);
-            allowances
+            let mut rate_limiter = RateLimiter::new(now);
+            rate_limiter.set_peers((0..HOSTS).filter(|other| *other != this).map(name));
+            rate_limiter.set_accounts([(&account, RATE_PER_S, BURST)]);
+            rate_limiter
         });
         Self {
             tables: tables.collect(),
@@ -43,11 +43,11 @@
     }
 
     /// Lets time pass; `calls` arrive at each host in turn, `heard` says whose reports reach whom.
-    fn step(&mut self, calls: &[usize], begins: bool, heard: impl Fn(usize, usize) -> bool) {
+    fn step(&mut self, calls: &[usize], starts_program: bool, heard: impl Fn(usize, usize) -> bool) {
         self.now += STEP;
         self.steps += 1;
         for host in calls {
-            let admission = self.tables[*host].admit(&self.account, begins, self.now);
+            let admission = self.tables[*host].admit(&self.account, starts_program, self.now);
             if admission == Admission::Admitted {
                 self.admitted_at.push(self.now);
             }
@@ -62,7 +62,7 @@
             let report = self.tables[from].report(&name(from), self.incarnations[from], self.now);
             for to in 0..HOSTS {
                 if from != to && heard(from, to) {
-                    self.tables[to].note_report(&report, self.now);
+                    self.tables[to].record_report(&report, self.now);
                 }
             }
         }
@@ -70,10 +70,10 @@
 
     /// Starts a host's process anew.
     fn restart(&mut self, host: usize) {
-        let mut allowances = Allowances::new(self.now);
-        allowances.set_peers((0..HOSTS).filter(|other| *other != host).map(name));
-        allowances.set_accounts([(&self.account, RATE_PER_S, BURST)]);
-        self.tables[host] = allowances;
+        let mut rate_limiter = RateLimiter::new(self.now);
+        rate_limiter.set_peers((0..HOSTS).filter(|other| *other != host).map(name));
+        rate_limiter.set_accounts([(&self.account, RATE_PER_S, BURST)]);
+        self.tables[host] = rate_limiter;
         self.incarnations[host] += 1;
     }
 
@@ -181,28 +181,28 @@
 fn note_report_of_a_restarted_peer_counts_all_of_its_calls() {
     let mut now = Instant::now();
     let account = "account".to_owned();
-    let mut allowances = Allowances::new(now);
-    allowances.set_peers([name(1)]);
-    allowances.set_accounts([(&account, RATE_PER_S, BURST)]);
-    let used = |admitted| HostUse {
+    let mut rate_limiter = RateLimiter::new(now);
+    rate_limiter.set_peers([name(1)]);
+    rate_limiter.set_accounts([(&account, RATE_PER_S, BURST)]);
+    let used = |admitted| AccountUsage {
         account: account.clone(),
         admitted,
         demand_per_s: 1.0,
         level: 0.0,
-        ..HostUse::default()
+        ..AccountUsage::default()
     };
-    let report = |incarnation, running_for, accounts| UseReport {
+    let report = |incarnation, uptime, accounts| UsageReport {
         host: name(1),
         incarnation,
-        running_for,
+        uptime,
         accounts,
     };
     now += Duration::from_secs(5);
-    allowances.note_report(&report(1, Duration::from_secs(5), vec![used(500)]), now);
-    let before = allowances.report(&name(0), 1, now).accounts[0].level;
-    allowances.note_report(&report(2, Duration::ZERO, Vec::new()), now);
-    allowances.note_report(&report(2, Duration::ZERO, vec![used(40)]), now);
-    let after = allowances.report(&name(0), 1, now).accounts[0].level;
+    rate_limiter.record_report(&report(1, Duration::from_secs(5), vec![used(500)]), now);
+    let before = rate_limiter.report(&name(0), 1, now).accounts[0].level;
+    rate_limiter.record_report(&report(2, Duration::ZERO, Vec::new()), now);
+    rate_limiter.record_report(&report(2, Duration::ZERO, vec![used(40)]), now);
+    let after = rate_limiter.report(&name(0), 1, now).accounts[0].level;
     assert!((before - after - 40.0).abs() < 1e-9, "{before} {after}");
 }
 
@@ -222,10 +222,10 @@
 #[test]
 fn admit_without_a_rate_always_admits() {
     let now = Instant::now();
-    let mut allowances = Allowances::new(now);
+    let mut rate_limiter = RateLimiter::new(now);
     for _ in 0..1000 {
         assert_eq!(
-            allowances.admit(&"other".to_owned(), true, now),
+            rate_limiter.admit(&"other".to_owned(), true, now),
             Admission::Admitted
         );
     }
@@ -279,8 +279,8 @@
                 in_time += usize::from(now <= program.began_at + PROGRAM_TIME);
                 return false;
             }
-            let begins = told_apart && program.calls_left == PROGRAM_CALLS;
-            match hosts.tables[program.host].admit(&hosts.account, begins, now) {
+            let starts_program = told_apart && program.calls_left == PROGRAM_CALLS;
+            match hosts.tables[program.host].admit(&hosts.account, starts_program, now) {
                 Admission::Admitted => {
                     program.calls_left -= 1;
                     program.sends = 0;
--- a/crates/burdockroad/tests/gateway_budget.rs
+++ b/crates/burdockroad/tests/gateway_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use burdockroad::gateway::{Answer, BudgetWrite, Ledger, LedgerOptions, Need, Versioned};
+use burdockroad::gateway::{BudgetWrite, Ledger, LedgerOptions, Readiness, StoreResponse, VersionedBudget};
 use proptest::{
     prelude::*,
     test_runner::{Config, RngSeed},
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Enter { host: usize, keeps: bool },
+    Enter { host: usize, owns_budget: bool },
     Take { host: usize },
     End { host: usize, used_tokens: u64 },
     Write { host: usize, fate: Fate },
@@ -37,23 +37,23 @@
 /// A store with one key.
 #[derive(Default)]
 struct Store {
-    stored: Option<Versioned>,
+    stored: Option<VersionedBudget>,
     revision: i64,
     late: Vec<BudgetWrite>,
 }
 
 impl Store {
-    fn write(&mut self, write: &BudgetWrite) -> Answer {
+    fn write(&mut self, write: &BudgetWrite) -> StoreResponse {
         let found = self.stored.as_ref().map(|stored| stored.revision);
         if found != write.expected_revision {
-            return Answer::Found(self.stored.clone());
+            return StoreResponse::Found(self.stored.clone());
         }
         self.revision += 1;
-        self.stored = Some(Versioned {
+        self.stored = Some(VersionedBudget {
             budget: write.budget.clone(),
             revision: self.revision,
         });
-        Answer::Written(self.revision)
+        StoreResponse::Written(self.revision)
     }
 }
 
@@ -101,16 +101,16 @@
         self.now += Duration::from_millis(50);
         let now = self.now;
         match step {
-            Step::Enter { host, keeps } => {
+            Step::Enter { host, owns_budget } => {
                 let host = &mut self.hosts[host];
                 host.ledger
-                    .enter(&program, BUDGET_TOKENS, MOST_TOKENS, keeps, now);
+                    .add_waiter(&program, BUDGET_TOKENS, MOST_TOKENS, owns_budget, now);
                 host.waiting += 1;
             }
             Step::Take { host } => {
                 let host = &mut self.hosts[host];
-                if host.waiting > 0 && host.ledger.take(&program, MOST_TOKENS) == Need::Ready {
-                    host.ledger.leave(&program, MOST_TOKENS);
+                if host.waiting > 0 && host.ledger.take(&program, MOST_TOKENS) == Readiness::Ready {
+                    host.ledger.remove_waiter(&program, MOST_TOKENS);
                     host.waiting -= 1;
                     host.running += 1;
                 }
@@ -131,7 +131,9 @@
             }
             Step::LookAgain { host } => {
                 let found = self.store.stored.clone();
-                self.hosts[host].ledger.complete(&program, Answer::Found(found));
+                self.hosts[host]
+                    .ledger
+                    .complete(&program, StoreResponse::Found(found));
             }
             Step::Release { host } => {
                 let ledger = &mut self.hosts[host].ledger;
@@ -152,12 +154,12 @@
                 Fate::Answered => self.store.write(&write),
                 Fate::ReplyLost => {
                     self.store.write(&write);
-                    Answer::Unsettled
+                    StoreResponse::Indeterminate
                 }
-                Fate::NeverArrives => Answer::Unsettled,
+                Fate::NeverArrives => StoreResponse::Indeterminate,
                 Fate::ArrivesLate => {
                     self.store.late.push(write.clone());
-                    Answer::Unsettled
+                    StoreResponse::Indeterminate
                 }
             };
             self.hosts[host].ledger.complete(&write.program, answer);
@@ -183,7 +185,7 @@
 fn steps() -> impl Strategy<Value = Step> {
     let host = 0..HOSTS;
     prop_oneof![
-        3 => (host.clone(), any::<bool>()).prop_map(|(host, keeps)| Step::Enter { host, keeps }),
+        3 => (host.clone(), any::<bool>()).prop_map(|(host, owns_budget)| Step::Enter { host, owns_budget }),
         6 => host.clone().prop_map(|host| Step::Take { host }),
         3 => (host.clone(), 0..=MOST_TOKENS).prop_map(|(host, used_tokens)| Step::End { host, used_tokens }),
         6 => (host.clone(), fates()).prop_map(|(host, fate)| Step::Write { host, fate }),
@@ -208,7 +210,10 @@
 }
 
 fn ready(world: &mut World, host: usize) -> bool {
-    world.apply(Step::Enter { host, keeps: true });
+    world.apply(Step::Enter {
+        host,
+        owns_budget: true,
+    });
     for _ in 0..3 {
         world.apply(Step::Take { host });
         world.apply(Step::Write {
@@ -268,28 +273,28 @@
     let program = PROGRAM.to_owned();
     let mut store = Store::default();
     let mut keeper = Ledger::new(LedgerOptions::default(), 1);
-    keeper.enter(&program, 2 * MOST_TOKENS, MOST_TOKENS, true, now);
-    assert_eq!(keeper.take(&program, MOST_TOKENS), Need::Write);
+    keeper.add_waiter(&program, 2 * MOST_TOKENS, MOST_TOKENS, true, now);
+    assert_eq!(keeper.take(&program, MOST_TOKENS), Readiness::AwaitWrite);
     for write in keeper.next_writes(16) {
         let answer = store.write(&write);
         keeper.complete(&program, answer);
     }
-    assert_eq!(keeper.take(&program, MOST_TOKENS), Need::Ready);
-    assert!(!keeper.wants_look(&program, now));
+    assert_eq!(keeper.take(&program, MOST_TOKENS), Readiness::Ready);
+    assert!(!keeper.should_poll(&program, now));
 
     let mut other = Ledger::new(LedgerOptions::default(), 2);
-    other.enter(&program, 2 * MOST_TOKENS, MOST_TOKENS, false, now);
+    other.add_waiter(&program, 2 * MOST_TOKENS, MOST_TOKENS, false, now);
     for _ in 0..2 {
-        assert_eq!(other.take(&program, MOST_TOKENS), Need::Write);
+        assert_eq!(other.take(&program, MOST_TOKENS), Readiness::AwaitWrite);
         for write in other.next_writes(16) {
             let answer = store.write(&write);
             other.complete(&program, answer);
         }
     }
-    keeper.complete(&program, Answer::Found(store.stored.clone()));
-    assert!(keeper.wants_look(&program, now));
-    assert!(!keeper.wants_look(&program, now));
-    assert!(keeper.wants_look(&program, now + Duration::from_millis(200)));
+    keeper.complete(&program, StoreResponse::Found(store.stored.clone()));
+    assert!(keeper.should_poll(&program, now));
+    assert!(!keeper.should_poll(&program, now));
+    assert!(keeper.should_poll(&program, now + Duration::from_millis(200)));
 }
 
 #[test]
--- a/crates/burdockroad/tests/gateway_calls.rs
+++ b/crates/burdockroad/tests/gateway_calls.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use burdockroad::gateway::{Account, Directory, Document, EventBuffer, Lookup, Route, RouteKind, Target};
+use burdockroad::gateway::{
+    Account, AccountLookup, Directory, Document, EventBuffer, Route, RouteKind, Target,
+};
 
 fn route(prefix: &str, public: bool) -> Route {
     Route {
@@ -59,11 +61,17 @@
     let public = directory.route("host.example", "/a/b/").expect("a route");
     assert!(matches!(
         directory.account(closed, Some("key")),
-        Lookup::Account(_)
+        AccountLookup::Account(_)
+    ));
+    assert!(matches!(
+        directory.account(closed, Some("no")),
+        AccountLookup::Unknown
+    ));
+    assert!(matches!(directory.account(closed, None), AccountLookup::Unknown));
+    assert!(matches!(
+        directory.account(public, None),
+        AccountLookup::Anonymous
     ));
-    assert!(matches!(directory.account(closed, Some("no")), Lookup::Unknown));
-    assert!(matches!(directory.account(closed, None), Lookup::Unknown));
-    assert!(matches!(directory.account(public, None), Lookup::Anonymous));
 }
 
 #[test]
@@ -86,7 +94,7 @@
     let mut buffer = EventBuffer::after(None);
     let first = buffer.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert!(buffer.has_partial());
-    buffer.drop_partial();
+    buffer.discard_partial();
     // The endpoint that goes on repeats an event that was already passed on.
     let second = buffer.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     assert_eq!([first, second].concat(), b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
@@ -96,6 +104,6 @@
 fn take_rest_releases_an_event_without_its_empty_line() {
     let mut buffer = EventBuffer::after(Some(4));
     assert!(buffer.push(b"id: 5\ndata: a\n").is_empty());
-    assert_eq!(&*buffer.take_rest(), b"id: 5\ndata: a\n");
+    assert_eq!(&*buffer.take_remainder(), b"id: 5\ndata: a\n");
     assert_eq!(buffer.last_id(), Some(5));
 }
--- a/crates/burdockroad/tests/gateway_placement.rs
+++ b/crates/burdockroad/tests/gateway_placement.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use burdockroad::gateway::{
-    BeginGate, Beginning, Endpoint, EndpointCalls, EndpointTable, Failure, NextStep, Outcome, PromptPart,
-    Query, RetryState, RouteKind, next_step,
+    Endpoint, EndpointCalls, EndpointTable, Failure, NextStep, Outcome, PlacementQuery, ProgramStartGate,
+    PromptPart, RetryState, RouteKind, StartDecision, next_step,
 };
 
 const SERVICE: &str = "engine";
@@ -33,8 +33,8 @@
     table
 }
 
-fn query<'a>(parts: &'a [PromptPart], tried: &'a [String]) -> Query<'a> {
-    Query {
+fn query<'a>(parts: &'a [PromptPart], tried: &'a [String]) -> PlacementQuery<'a> {
+    PlacementQuery {
         service: SERVICE,
         failure_domain: "domain",
         parts,
@@ -43,8 +43,8 @@
     }
 }
 
-fn chosen(table: &EndpointTable, parts: &[PromptPart], spread: u64, now: Instant) -> String {
-    let placement = table.choose(query(parts, &[]), spread, now);
+fn chosen(table: &EndpointTable, parts: &[PromptPart], jitter_seed: u64, now: Instant) -> String {
+    let placement = table.choose(query(parts, &[]), jitter_seed, now);
     placement.expect("an endpoint is left").endpoint.id
 }
 
@@ -52,10 +52,10 @@
 fn choose_prefers_the_endpoint_that_holds_the_prompt() {
     let mut table = table(4);
     let parts = [PromptPart { id: 7, tokens: 2000 }];
-    table.begin("endpoint-2", &parts);
-    table.end("endpoint-2");
-    for spread in 0..20 {
-        assert_eq!(chosen(&table, &parts, spread, Instant::now()), "endpoint-2");
+    table.start_call("endpoint-2", &parts);
+    table.end_call("endpoint-2");
+    for jitter_seed in 0..20 {
+        assert_eq!(chosen(&table, &parts, jitter_seed, Instant::now()), "endpoint-2");
     }
 }
 
@@ -67,13 +67,13 @@
         leaving: true,
         ..endpoint(0)
     });
-    table.note_outcome("endpoint-1", Outcome::Failed, now);
+    table.record_outcome("endpoint-1", Outcome::Failed, now);
     for (id, first_byte_ms) in [("endpoint-2", 200), ("endpoint-3", 50)] {
         let first_byte = Duration::from_millis(first_byte_ms);
-        table.note_outcome(id, Outcome::Answered { first_byte }, now);
+        table.record_outcome(id, Outcome::Responded { first_byte }, now);
     }
-    for spread in 0..20 {
-        assert_eq!(chosen(&table, &[], spread, now), "endpoint-3");
+    for jitter_seed in 0..20 {
+        assert_eq!(chosen(&table, &[], jitter_seed, now), "endpoint-3");
     }
 }
 
@@ -81,7 +81,7 @@
 fn choose_uses_a_failing_endpoint_when_no_other_is_left() {
     let now = Instant::now();
     let mut table = table(1);
-    table.note_outcome("endpoint-0", Outcome::Failed, now);
+    table.record_outcome("endpoint-0", Outcome::Failed, now);
     assert_eq!(chosen(&table, &[], 0, now), "endpoint-0");
 }
 
@@ -92,14 +92,14 @@
         id: 7,
         tokens: 50_000,
     }];
-    table.begin("endpoint-0", &parts);
-    table.end("endpoint-0");
+    table.start_call("endpoint-0", &parts);
+    table.end_call("endpoint-0");
     table.insert(Endpoint {
         started_unix_ms: 2,
         ..endpoint(0)
     });
-    table.begin("endpoint-1", &parts);
-    table.end("endpoint-1");
+    table.start_call("endpoint-1", &parts);
+    table.end_call("endpoint-1");
     assert_eq!(chosen(&table, &parts, 0, Instant::now()), "endpoint-1");
 }
 
@@ -110,7 +110,7 @@
     let mut hosts: Vec<EndpointTable> = (0..7).map(|_| table(9)).collect();
     for index in 0..3 {
         for _ in 0..10 {
-            hosts[0].begin(&format!("endpoint-{index}"), &[]);
+            hosts[0].start_call(&format!("endpoint-{index}"), &[]);
         }
     }
     for call in 0..42_u64 {
@@ -119,7 +119,7 @@
         }
         let host = usize::try_from(1 + call % 6).expect("a small index");
         let id = chosen(&hosts[host], &[], call, now);
-        hosts[host].begin(&id, &[]);
+        hosts[host].start_call(&id, &[]);
     }
     let totals = (0..9).map(|index| {
         let id = format!("endpoint-{index}");
@@ -132,7 +132,7 @@
     let told: Vec<_> = hosts.iter().map(EndpointTable::all_in_flight).collect();
     for (to, table) in hosts.iter_mut().enumerate() {
         for (from, in_flight) in told.iter().enumerate().filter(|(from, _)| *from != to) {
-            table.note_peer(&format!("host-{from}"), in_flight, now);
+            table.record_peer(&format!("host-{from}"), in_flight, now);
         }
     }
 }
@@ -156,14 +156,14 @@
         endpoint: format!("endpoint-{index}"),
         calls,
     };
-    table.note_peer(&"a".to_owned(), &[calls(0, 6), calls(7, 9)], now);
-    table.note_peer(&"b".to_owned(), &[calls(0, 3), calls(1, 3)], now);
+    table.record_peer(&"a".to_owned(), &[calls(0, 6), calls(7, 9)], now);
+    table.record_peer(&"b".to_owned(), &[calls(0, 3), calls(1, 3)], now);
     assert!((table.load_per_slot(SERVICE, now) - 12.0 / 24.0).abs() < 1e-9);
     now += Duration::from_millis(500);
-    table.note_peer(&"a".to_owned(), &[calls(1, 3)], now);
+    table.record_peer(&"a".to_owned(), &[calls(1, 3)], now);
     assert!((table.load_per_slot(SERVICE, now) - 9.0 / 24.0).abs() < 1e-9);
     now += Duration::from_millis(500);
-    table.note_peer(&"a".to_owned(), &[calls(1, 3)], now);
+    table.record_peer(&"a".to_owned(), &[calls(1, 3)], now);
     assert!((table.load_per_slot(SERVICE, now) - 3.0 / 24.0).abs() < 1e-9);
 }
 
@@ -180,7 +180,7 @@
     ] {
         for failure in [
             Failure::Unknown,
-            Failure::Gone,
+            Failure::NotListening,
             Failure::Unreachable,
             Failure::Full,
         ] {
@@ -197,13 +197,13 @@
     };
     for failure in [
         Failure::Full,
-        Failure::Gone,
+        Failure::NotListening,
         Failure::Unreachable,
         Failure::WrongEndpoint,
     ] {
         assert_eq!(
             next_step(RouteKind::NonIdempotent, 1, failure, state),
-            NextStep::Elsewhere
+            NextStep::OtherEndpoint
         );
     }
 }
@@ -216,23 +216,29 @@
         endpoints_run: 1,
         ..RetryState::default()
     };
-    assert_eq!(next_step(kind, 1, Failure::Unknown, silent), NextStep::Again);
-    let unreached = RetryState {
+    assert_eq!(
+        next_step(kind, 1, Failure::Unknown, silent),
+        NextStep::SameEndpoint
+    );
+    let unreachable_attempts = RetryState {
         unstarted: 1,
-        unreached: 1,
+        unreachable_attempts: 1,
         ..silent
     };
     assert_eq!(
-        next_step(kind, 1, Failure::Unreachable, unreached),
-        NextStep::Again
+        next_step(kind, 1, Failure::Unreachable, unreachable_attempts),
+        NextStep::SameEndpoint
     );
     let gone = RetryState {
         unstarted: 1,
         endpoints_run: 0,
-        last_is_gone: true,
+        last_endpoint_removed: true,
         ..silent
     };
-    assert_eq!(next_step(kind, 1, Failure::Gone, gone), NextStep::Elsewhere);
+    assert_eq!(
+        next_step(kind, 1, Failure::NotListening, gone),
+        NextStep::OtherEndpoint
+    );
 }
 
 /// Programs that end in time when twice as many begin as the slots can serve; each makes four calls.
@@ -241,7 +247,7 @@
     const CALLS: u32 = 4;
     const CALL_STEPS: u32 = 10;
     const IN_TIME_STEPS: u32 = 60;
-    let mut gate = BeginGate::default();
+    let mut gate = ProgramStartGate::default();
     let mut running: Vec<(u32, u32)> = Vec::new();
     let mut in_time = 0;
     let begun_at = Instant::now();
@@ -250,7 +256,7 @@
         if step.is_multiple_of(2) {
             let load = f64::from(u32::try_from(running.len()).unwrap_or(u32::MAX)) / 10.0;
             let decided = gate.decide(&format!("program-{step}"), load, 1, 0.5, now);
-            if !gated || decided == Beginning::Admitted {
+            if !gated || decided == StartDecision::Admitted {
                 running.push((step, CALLS * CALL_STEPS));
             }
         }
@@ -281,19 +287,19 @@
 #[test]
 fn decide_prefers_urgent_and_returning_programs() {
     let now = Instant::now();
-    let mut gate = BeginGate::default();
+    let mut gate = ProgramStartGate::default();
     let program = "program".to_owned();
     assert!(matches!(
         gate.decide(&program, 0.87, 1, 0.0, now),
-        Beginning::Refused { .. }
+        StartDecision::Refused { .. }
     ));
-    assert_eq!(gate.decide(&program, 0.87, 1, 0.0, now), Beginning::Admitted);
+    assert_eq!(gate.decide(&program, 0.87, 1, 0.0, now), StartDecision::Admitted);
     assert_eq!(
         gate.decide(&"urgent".to_owned(), 0.87, 0, 0.0, now),
-        Beginning::Admitted
+        StartDecision::Admitted
     );
     assert_eq!(
         gate.decide(&"other".to_owned(), 0.8, 1, 0.0, now),
-        Beginning::Admitted
+        StartDecision::Admitted
     );
 }
--- a/crates/burdockroad/tests/gateway_spread.rs
+++ b/crates/burdockroad/tests/gateway_spread.rs
@@ -2,10 +2,10 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use burdockroad::gateway::{HostPlace, has_to_watch, report_targets, watchers};
+use burdockroad::gateway::{HostLocation, report_targets, should_watch, watchers};
 
-fn places(domains: usize, each: usize) -> Vec<HostPlace> {
-    let hosts = (0..domains * each).map(|index| HostPlace {
+fn locations(domains: usize, each: usize) -> Vec<HostLocation> {
+    let hosts = (0..domains * each).map(|index| HostLocation {
         host: format!("host-{index}"),
         failure_domain: format!("domain-{}", index % domains),
     });
@@ -14,12 +14,12 @@
 
 #[test]
 fn watchers_are_few_and_in_different_domains() {
-    let hosts = places(4, 17);
+    let hosts = locations(4, 17);
     let chosen = watchers(&hosts);
     let domains: BTreeSet<&str> = chosen
         .iter()
-        .filter_map(|host| hosts.iter().find(|place| place.host == *host))
-        .map(|place| place.failure_domain.as_str())
+        .filter_map(|host| hosts.iter().find(|location| location.host == *host))
+        .map(|location| location.failure_domain.as_str())
         .collect();
     assert_eq!(chosen.len(), 3);
     assert_eq!(domains.len(), 3);
@@ -27,11 +27,11 @@
 
 #[test]
 fn watchers_without_one_that_is_lost_keep_the_others() {
-    let hosts = places(3, 3);
+    let hosts = locations(3, 3);
     let before = watchers(&hosts);
-    let left: Vec<HostPlace> = hosts
+    let left: Vec<HostLocation> = hosts
         .into_iter()
-        .filter(|place| place.host != before[0])
+        .filter(|location| location.host != before[0])
         .collect();
     let after = watchers(&left);
     assert_eq!(after.len(), 3);
@@ -40,26 +40,26 @@
 
 #[test]
 fn watchers_of_a_host_that_hears_nobody_are_itself() {
-    let alone = places(1, 1);
+    let alone = locations(1, 1);
     assert_eq!(watchers(&alone), ["host-0"]);
 }
 
 /// A host that is cut from those that watch, but hears others which leave watching to them.
 #[test]
 fn has_to_watch_when_no_host_tells_that_it_watches() {
-    let heard = places(3, 3);
-    let chosen = watchers(&heard);
-    let other = heard.iter().find(|place| !chosen.contains(&place.host));
+    let live = locations(3, 3);
+    let chosen = watchers(&live);
+    let other = live.iter().find(|location| !chosen.contains(&location.host));
     let other = &other.expect("some hosts do not watch").host;
-    assert!(!has_to_watch(other, &heard, Some(Duration::from_millis(150))));
-    assert!(has_to_watch(other, &heard, Some(Duration::from_secs(1))));
-    assert!(has_to_watch(other, &heard, None));
-    assert!(has_to_watch(&chosen[0], &heard, Some(Duration::ZERO)));
+    assert!(!should_watch(other, &live, Some(Duration::from_millis(150))));
+    assert!(should_watch(other, &live, Some(Duration::from_secs(1))));
+    assert!(should_watch(other, &live, None));
+    assert!(should_watch(&chosen[0], &live, Some(Duration::ZERO)));
 }
 
 #[test]
 fn report_targets_reach_each_other_domain_through_one_host() {
-    let others = places(4, 17);
+    let others = locations(4, 17);
     let targets = report_targets("domain-0", &others, 5);
     assert_eq!(targets.len(), 17 + 3);
     let next = report_targets("domain-0", &others, 6);
