--- a/crates/burdockroad/src/dispatch.rs
+++ b/crates/burdockroad/src/dispatch.rs
@@ -1,9 +1,9 @@
-//! Slots at endpoints: which call goes next, and where.
+//! Assignment of calls to slots at endpoints.
 //!
-//! A [`Pool`] keeps the calls that wait for one endpoint set and the slots that are taken. It shares
-//! the endpoints between accounts by weight and service received, puts programs that received least
-//! first within an account, and prefers the endpoint that holds a program's prefix. Calls that
-//! cannot have a slot in time are refused when they arrive.
+//! A [`Pool`] contains the waiting calls and the occupied slots of one endpoint set. It shares the endpoints
+//! among accounts by weight and received service, serves the programs of an account in order of least
+//! attained service, and prefers the endpoint that has a program's prefix cached. Calls that cannot get a
+//! slot before their deadline are refused on arrival.
 //!
 //! # Example
 //!
@@ -17,7 +17,7 @@
 //! pool.set_endpoints(vec![EndpointInfo::new("engine-1", 2)], now);
 //! let call = Call::new("account-a", now + Duration::from_secs(1));
 //! let Submitted::Waiting(call_id) = pool.submit(call, now) else {
-//!     panic!("an idle pool takes a call");
+//!     panic!("an idle pool accepts a call");
 //! };
 //! let ticked = pool.tick(now);
 //! assert_eq!(ticked.assignments[0].call_id, call_id);
@@ -38,122 +38,122 @@
 };
 use crate::ids::{AccountId, EndpointId, ProgramId};
 
-/// Name of a waiting call within its pool.
+/// Id of a waiting call within its pool.
 pub type CallId = u64;
 
-/// Name of a taken slot within its pool.
+/// Id of an occupied slot within its pool.
 pub type SlotId = u64;
 
-/// What a call needs.
+/// Requirements of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// The account that the call runs for.
+    /// Client account of the call.
     pub account_id: AccountId,
-    /// The program; none for a call outside a program.
+    /// Program of the call; `None` for a call outside a program.
     pub program_id: Option<ProgramId>,
-    /// Whether the program, or the lone call, has had no call served yet.
+    /// Whether no call of the program has been served yet; also true for a single call.
     pub first: bool,
     /// Estimated tokens of the whole prompt; 0 for a service call.
     pub prompt_tokens: u64,
-    /// Tokens that the engine may generate; 0 for a service call.
+    /// Maximum number of tokens that the engine may generate; 0 for a service call.
     pub max_output_tokens: u64,
-    /// Tokens that the program's calls have had generated so far.
+    /// Tokens generated so far for the program's calls.
     pub attained_tokens: u64,
     /// Endpoint that served the program's last completion.
     pub prefix_endpoint_id: Option<EndpointId>,
     /// Endpoints already tried for this call.
     pub excluded: Vec<EndpointId>,
-    /// When the call must have a slot.
-    pub latest: Instant,
+    /// Time by which the call must have a slot.
+    pub slot_deadline: Instant,
 }
 
-/// An endpoint of a pool.
+/// Endpoint of a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointInfo {
-    /// Name of the endpoint.
+    /// Id of the endpoint.
     pub endpoint_id: EndpointId,
-    /// Calls that it serves at once.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether the endpoint is draining and takes no new calls.
     pub leaving: bool,
 }
 
-/// A call that was given a slot.
+/// Assignment of a slot to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// The call.
+    /// Id of the call.
     pub call_id: CallId,
-    /// The slot.
+    /// Id of the slot.
     pub slot_id: SlotId,
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint_id: EndpointId,
 }
 
-/// A call that was refused after it waited; it did not run.
+/// Refusal of a call after it waited; the call did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// The call.
+    /// Id of the call.
     pub call_id: CallId,
-    /// When a later try may succeed.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
-/// What becomes of a call that arrives.
+/// Result of submitting a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submitted {
-    /// It waits, and a later [`Pool::tick`] settles it.
+    /// The call is waiting; a later [`Pool::tick`] assigns or refuses it.
     Waiting(CallId),
-    /// It may not wait; this is final.
+    /// The call is refused, and this is final.
     Refused {
-        /// What is short.
-        reason: Shortage,
-        /// When a later try may succeed.
+        /// Reason for the refusal.
+        reason: RefusalReason,
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
 
-/// What a refused call would have needed.
+/// Reason for refusing a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shortage {
-    /// No endpoint of the pool takes work.
+pub enum RefusalReason {
+    /// No endpoint of the pool accepts calls.
     NoEndpoint,
-    /// The queue is as long as it may become.
+    /// The queue has reached its maximum length.
     QueueFull,
-    /// The call would have a slot only after its deadline.
+    /// The call would get a slot only after its deadline.
     Deadline,
 }
 
-/// What was seen on a slot.
+/// Result of a call that occupied a slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Tokens of the prompt, as the engine counted them.
+    /// Tokens of the prompt, as counted by the engine.
     pub prompt_tokens: u64,
     /// Tokens of the prompt that the engine had cached.
     pub cached_tokens: u64,
-    /// Tokens that were generated.
+    /// Generated tokens.
     pub output_tokens: u64,
-    /// Time from sending the call to the first byte of its answer.
+    /// Time from sending the call to the first byte of its response.
     pub first_token: Option<Duration>,
     /// Whether the endpoint failed.
     pub failed: bool,
 }
 
-/// What an endpoint says about its load.
+/// Load reported by an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Calls that run.
+    /// Running calls.
     pub running: u32,
-    /// Calls that wait inside the endpoint.
+    /// Calls queued at the endpoint.
     pub waiting: u32,
-    /// Tokens that its prefix cache can hold; 0 when unknown.
+    /// Capacity of its prefix cache in tokens; 0 if unknown.
     pub cache_max_tokens: u64,
-    /// Age of these figures.
+    /// Age of the report.
     pub age: Duration,
 }
 
 impl Call {
-    /// Makes a lone call without tokens.
-    pub fn new(account_id: impl Into<AccountId>, latest: Instant) -> Self {
+    /// Creates a call without a program and without tokens.
+    pub fn new(account_id: impl Into<AccountId>, slot_deadline: Instant) -> Self {
         Self {
             account_id: account_id.into(),
             program_id: None,
@@ -163,13 +163,13 @@
             attained_tokens: 0,
             prefix_endpoint_id: None,
             excluded: Vec::new(),
-            latest,
+            slot_deadline,
         }
     }
 }
 
 impl EndpointInfo {
-    /// Describes an endpoint that takes work.
+    /// Creates an endpoint that accepts calls.
     pub fn new(endpoint_id: impl Into<EndpointId>, slots: u32) -> Self {
         Self {
             endpoint_id: endpoint_id.into(),
@@ -179,13 +179,13 @@
     }
 }
 
-impl Shortage {
-    /// A few words for the caller.
+impl RefusalReason {
+    /// Returns a short description for the caller.
     pub fn reason(self) -> &'static str {
         match self {
-            Self::NoEndpoint => "no endpoint takes work",
-            Self::QueueFull => "too many calls wait",
-            Self::Deadline => "no slot can be had in time",
+            Self::NoEndpoint => "no endpoint accepts calls",
+            Self::QueueFull => "queue is full",
+            Self::Deadline => "no slot available before the deadline",
         }
     }
 }
--- a/crates/burdockroad/src/dispatch/fairness.rs
+++ b/crates/burdockroad/src/dispatch/fairness.rs
@@ -1,8 +1,8 @@
-//! Weighted fair sharing between accounts, by start-time fair queueing.
+//! Weighted fair sharing among accounts by start-time fair queueing.
 //!
-//! Each account has a tag that grows by the service it receives over its weight; the account with the
-//! lowest tag goes next. An account that was idle starts at the tag served last, so it neither saves
-//! up service nor pays for what it took while nobody else waited.
+//! Each account has a tag that increases by the received service divided by its weight. The account with the
+//! lowest tag is served next. An account that was idle resumes at the tag served last, so it neither
+//! accumulates credit nor pays for service that it received while no other account was waiting.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -11,10 +11,10 @@
 
 use crate::{dispatch::CallId, ids::AccountId};
 
-/// Service in thousandths of a generated token.
+/// Service, in thousandths of a generated token.
 pub(super) type Service = u64;
 
-/// Order of the calls of one account; the lowest goes first.
+/// Order of the calls of one account; the lowest value goes first.
 pub(super) type Priority = u64;
 
 /// Service of a prompt token that the engine computes.
@@ -26,23 +26,23 @@
 /// Service of a generated token.
 const OUTPUT_SERVICE: Service = 1_000;
 
-/// Service of a call apart from its tokens.
+/// Service of a call, excluding its tokens.
 const CALL_SERVICE: Service = 10_000;
 
-/// Generated tokens expected of an account's call before any was seen.
-const FIRST_EXPECTED_OUTPUT: f64 = 256.0;
+/// Expected generated tokens of an account's call before the first sample.
+const INITIAL_EXPECTED_OUTPUT: f64 = 256.0;
 
-/// Weight of the latest call in the mean of an account's generated tokens.
+/// Weight of the latest sample in the moving average of an account's generated tokens.
 const OUTPUT_SMOOTHING: f64 = 0.1;
 
-/// Lowest weight of an account, so that its tag stays finite.
+/// Minimum weight of an account, which keeps its tag finite.
 const WEIGHT_MIN: f64 = 0.001;
 
-/// Head start over its arrival that a program loses each time its attained service doubles.
-const ATTAINED_STEP: Duration = Duration::from_millis(400);
+/// Delay of a call's priority for each doubling of its program's attained service.
+const ATTAINED_PENALTY: Duration = Duration::from_millis(400);
 
-/// Attained tokens from which programs are told apart.
-const ATTAINED_UNIT: u64 = 128;
+/// Attained tokens below which programs are not distinguished.
+const ATTAINED_UNIT_TOKENS: u64 = 128;
 
 /// Waiting calls of all accounts.
 #[derive(Clone, Debug, Default)]
@@ -63,12 +63,12 @@
 }
 
 impl FairQueue {
-    /// Calls of an account that wait.
+    /// Returns the number of an account's waiting calls.
     pub(super) fn account_len(&self, account_id: &str) -> usize {
         self.accounts.get(account_id).map_or(0, |row| row.calls.len())
     }
 
-    /// Sets an account's weight; 1 where none was set.
+    /// Sets an account's weight; the default is 1.
     pub(super) fn set_weight(&mut self, account_id: &AccountId, weight: f64) {
         let weight = weight.max(WEIGHT_MIN);
         let row = self.accounts.entry(account_id.clone()).or_default();
@@ -78,12 +78,13 @@
         row.weight = weight;
     }
 
-    /// Share of the pool that an account has while it waits with the others that wait now.
+    /// Returns the share of the pool that an account gets while it competes with the accounts that are
+    /// waiting now.
     pub(super) fn share(&self, account_id: &str) -> f64 {
         let row = self.accounts.get(account_id);
         let weight = row.map_or(1.0, |row| row.weight);
-        let waits = row.is_some_and(|row| !row.calls.is_empty());
-        let others = self.backlogged_weight - if waits { weight } else { 0.0 };
+        let is_waiting = row.is_some_and(|row| !row.calls.is_empty());
+        let others = self.backlogged_weight - if is_waiting { weight } else { 0.0 };
         weight / (weight + others.max(0.0))
     }
 
@@ -113,61 +114,65 @@
         }
     }
 
-    /// The call that goes next.
+    /// Returns the call that goes next.
     pub(super) fn first(&self) -> Option<CallId> {
         let (_, account_id) = self.backlogged.first()?;
         let (_, call_id) = self.accounts.get(account_id)?.calls.first()?;
         Some(*call_id)
     }
 
-    /// Adds service to what an account has received.
+    /// Adds service to an account's received service.
     pub(super) fn charge(&mut self, account_id: &AccountId, service: Service) {
-        self.move_tag(account_id, |row| row.tag.saturating_add(row.tagged(service)));
+        self.update_tag(account_id, |row| {
+            row.tag.saturating_add(row.tag_increment(service))
+        });
     }
 
-    /// Takes back service that was charged and not received.
+    /// Subtracts service that was charged but not received.
     pub(super) fn refund(&mut self, account_id: &AccountId, service: Service) {
-        self.move_tag(account_id, |row| row.tag.saturating_sub(row.tagged(service)));
+        self.update_tag(account_id, |row| {
+            row.tag.saturating_sub(row.tag_increment(service))
+        });
     }
 
-    /// Moves the time of the queue on to the account that is served.
-    pub(super) fn note_served(&mut self, account_id: &str) {
+    /// Advances the virtual time to the tag of the account that is served.
+    pub(super) fn record_served(&mut self, account_id: &str) {
         if let Some(row) = self.accounts.get(account_id) {
             self.virtual_time = self.virtual_time.max(row.tag);
         }
     }
 
-    /// Service that a call is expected to need.
+    /// Returns the expected service of a call.
     pub(super) fn expected_service(
         &self,
         account_id: &str,
         prompt: u64,
-        held: u64,
+        cached: u64,
         max_output: u64,
     ) -> Service {
         let expected = self
             .accounts
             .get(account_id)
-            .map_or(FIRST_EXPECTED_OUTPUT, |row| row.expected_output);
+            .map_or(INITIAL_EXPECTED_OUTPUT, |row| row.expected_output);
         let output = if max_output == 0 {
             0
         } else {
             round(expected).min(max_output)
         };
-        service(prompt, held, output)
+        service(prompt, cached, output)
     }
 
-    /// Takes note of how many tokens a call of an account had generated.
-    pub(super) fn note_output(&mut self, account_id: &str, output_tokens: u64) {
+    /// Records the number of tokens generated for a call of an account.
+    pub(super) fn record_output(&mut self, account_id: &str, output_tokens: u64) {
         if let Some(row) = self.accounts.get_mut(account_id) {
-            row.expected_output += (tokens(output_tokens) - row.expected_output) * OUTPUT_SMOOTHING;
+            row.expected_output += (tokens_as_f64(output_tokens) - row.expected_output) * OUTPUT_SMOOTHING;
         }
     }
 
-    fn move_tag(&mut self, account_id: &AccountId, moved: impl Fn(&AccountRow) -> Service) {
+    fn update_tag(&mut self, account_id: &AccountId, new_tag: impl Fn(&AccountRow) -> Service) {
         let row = self.accounts.entry(account_id.clone()).or_default();
         let old = row.tag;
-        row.tag = moved(row);
+        row.tag = new_tag(row);
         if !row.calls.is_empty() {
             self.backlogged.remove(&(old, account_id.clone()));
             self.backlogged.insert((row.tag, account_id.clone()));
@@ -181,31 +186,32 @@
             weight: 1.0,
             tag: 0,
             calls: BTreeSet::new(),
-            expected_output: FIRST_EXPECTED_OUTPUT,
+            expected_output: INITIAL_EXPECTED_OUTPUT,
         }
     }
 }
 
 impl AccountRow {
-    fn tagged(&self, service: Service) -> Service {
-        round(tokens(service) / self.weight)
+    fn tag_increment(&self, service: Service) -> Service {
+        round(tokens_as_f64(service) / self.weight)
     }
 }
 
-/// Service of a call with these tokens.
+/// Returns the service of a call with the given tokens.
 pub(super) fn service(prompt: u64, cached: u64, output: u64) -> Service {
     let cached = cached.min(prompt);
     CALL_SERVICE + (prompt - cached) * PROMPT_SERVICE + cached * CACHED_SERVICE + output * OUTPUT_SERVICE
 }
 
-/// Order of a call within its account: arrival, put back by what its program attained.
+/// Returns a call's priority within its account: its arrival time, delayed according to its program's
+/// attained service.
 ///
-/// Since the order counts from the arrival, waiting calls age without being looked at again, and a
-/// program is put back at most until its call's deadline.
-pub(super) fn priority(arrived: Duration, latest: Duration, attained_tokens: u64) -> Priority {
-    let doublings = (attained_tokens / ATTAINED_UNIT + 1).ilog2();
-    let put_back = arrived + ATTAINED_STEP * doublings;
-    micros(put_back.min(latest.max(arrived)))
+/// Priorities are based on arrival times, so waiting calls age without being updated. A call is delayed until
+/// its deadline at most.
+pub(super) fn priority(arrived: Duration, slot_deadline: Duration, attained_tokens: u64) -> Priority {
+    let doublings = (attained_tokens / ATTAINED_UNIT_TOKENS + 1).ilog2();
+    let penalized = arrived + ATTAINED_PENALTY * doublings;
+    micros(penalized.min(slot_deadline.max(arrived)))
 }
 
 fn micros(duration: Duration) -> u64 {
@@ -213,7 +219,7 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts of tokens stay far below 2^52")]
-fn tokens(count: u64) -> f64 {
+fn tokens_as_f64(count: u64) -> f64 {
     count as f64
 }
 
--- a/crates/burdockroad/src/dispatch/health.rs
+++ b/crates/burdockroad/src/dispatch/health.rs
@@ -1,8 +1,8 @@
-//! Ejection of endpoints that fail.
+//! Ejection of failing endpoints.
 //!
-//! Failures are counted by account. An endpoint is ejected for everybody only when calls of several
-//! accounts fail, or probes do; failures of one account alone keep only that account away, so that no
-//! account can take an endpoint from the others with calls that make it fail.
+//! Failures are counted per account. An endpoint is ejected for all accounts only if calls of several
+//! accounts or probes fail. If only one account's calls fail, the endpoint is avoided for that account alone,
+//! so an account cannot take an endpoint away from the others by sending calls that make it fail.
 
 use std::{
     collections::BTreeMap,
@@ -11,19 +11,19 @@
 
 use crate::ids::AccountId;
 
-/// Failures in a row after which an endpoint is avoided.
-const FAILURES_MAX: u32 = 3;
+/// Consecutive failures of an account's calls after which the account avoids an endpoint.
+const CONSECUTIVE_FAILURES_MAX: u32 = 3;
 
-/// Accounts that must have seen failures before all are kept away.
+/// Minimum number of accounts with failures for an endpoint to be ejected for all.
 const ACCOUNTS_MIN: usize = 2;
 
-/// Failed probes in a row after which all are kept away.
-const PROBES_MAX: u32 = 3;
+/// Consecutive failed probes after which an endpoint is ejected for all accounts.
+const PROBE_FAILURES_MAX: u32 = 3;
 
-/// Shortest and longest time that an endpoint is avoided.
+/// Minimum and maximum duration of an ejection.
 const EJECTION: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
 
-/// What is known of one endpoint's failures since its last success.
+/// Failures of one endpoint since its last success.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Health {
     failures: BTreeMap<AccountId, AccountFailures>,
@@ -34,12 +34,12 @@
 
 #[derive(Clone, Debug, Default)]
 struct AccountFailures {
-    in_row: u32,
+    consecutive: u32,
     avoided_until: Option<Instant>,
 }
 
 impl Health {
-    /// Whether calls of an account may go to the endpoint.
+    /// Returns whether calls of an account may be sent to the endpoint.
     pub(super) fn admits(&self, account_id: &str, now: Instant) -> bool {
         let avoided = self
             .failures
@@ -48,42 +48,42 @@
         !avoided && !self.is_ejected(now)
     }
 
-    /// Whether the endpoint is kept from all accounts.
+    /// Returns whether the endpoint is ejected for all accounts.
     pub(super) fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the endpoint was ejected and has had no success since.
-    pub(super) fn is_on_trial(&self) -> bool {
+    /// Returns whether the endpoint has been ejected and has had no success since.
+    pub(super) fn is_on_probation(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    pub(super) fn note_success(&mut self) {
+    pub(super) fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    pub(super) fn note_failure(&mut self, account_id: &AccountId, now: Instant) {
+    pub(super) fn record_failure(&mut self, account_id: &AccountId, now: Instant) {
         let failures = self.failures.entry(account_id.clone()).or_default();
-        failures.in_row += 1;
-        if failures.in_row >= FAILURES_MAX {
-            let steps = failures.in_row - FAILURES_MAX;
-            failures.avoided_until = Some(now + ejection_time(steps));
+        failures.consecutive += 1;
+        if failures.consecutive >= CONSECUTIVE_FAILURES_MAX {
+            let doublings = failures.consecutive - CONSECUTIVE_FAILURES_MAX;
+            failures.avoided_until = Some(now + ejection_time(doublings));
         }
-        let total: u32 = self.failures.values().map(|failures| failures.in_row).sum();
-        let several = self.failures.len() >= ACCOUNTS_MIN && total >= FAILURES_MAX;
-        if several || (self.is_on_trial() && self.failures.len() >= ACCOUNTS_MIN) {
+        let total: u32 = self.failures.values().map(|failures| failures.consecutive).sum();
+        let multiple_accounts = self.failures.len() >= ACCOUNTS_MIN && total >= CONSECUTIVE_FAILURES_MAX;
+        if multiple_accounts || (self.is_on_probation() && self.failures.len() >= ACCOUNTS_MIN) {
             self.eject(now);
         }
     }
 
-    /// Takes note of a check that runs for no account.
-    pub(super) fn note_probe(&mut self, succeeded: bool, now: Instant) {
+    /// Records the result of a probe, which belongs to no account.
+    pub(super) fn record_probe(&mut self, succeeded: bool, now: Instant) {
         if succeeded {
             self.probe_failures = 0;
             return;
         }
         self.probe_failures += 1;
-        if self.probe_failures >= PROBES_MAX {
+        if self.probe_failures >= PROBE_FAILURES_MAX {
             self.eject(now);
         }
     }
@@ -97,6 +97,6 @@
     }
 }
 
-fn ejection_time(steps: u32) -> Duration {
-    EJECTION.0.saturating_mul(1 << steps.min(8)).min(EJECTION.1)
+fn ejection_time(doublings: u32) -> Duration {
+    EJECTION.0.saturating_mul(1 << doublings.min(8)).min(EJECTION.1)
 }
--- a/crates/burdockroad/src/dispatch/kv_cache.rs
+++ b/crates/burdockroad/src/dispatch/kv_cache.rs
@@ -1,4 +1,4 @@
-//! What engines hold of programs' prefixes, as far as known, and what to do with it in a tool pause.
+//! Estimated contents of the engines' prefix caches, and what to do with a cached prefix during a tool call.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -7,32 +7,32 @@
 
 use crate::ids::ProgramId;
 
-/// Programs remembered for one endpoint.
+/// Maximum number of programs tracked per endpoint.
 const ENTRIES_MAX: usize = 4_096;
 
-/// Something that an engine says about its prefix cache; late, and with gaps.
+/// Event reported by an engine's prefix cache. Events may be delayed or lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheEvent {
-    /// The engine holds this much of a program's prefix.
+    /// The engine has cached a prefix of a program.
     Stored {
-        /// The program.
+        /// Id of the program.
         program_id: ProgramId,
-        /// Tokens held.
+        /// Cached tokens.
         tokens: u64,
     },
-    /// The engine dropped a program's prefix.
+    /// The engine evicted a program's prefix.
     Removed {
-        /// The program.
+        /// Id of the program.
         program_id: ProgramId,
     },
-    /// The engine dropped everything.
+    /// The engine cleared its cache.
     Cleared,
 }
 
-/// Prefixes that one endpoint is believed to hold, the least recently used first to go.
+/// Estimated contents of one endpoint's prefix cache, with least-recently-used eviction.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Residents {
-    entries: HashMap<ProgramId, Resident>,
+pub(super) struct PrefixCache {
+    entries: HashMap<ProgramId, CachedPrefix>,
     by_use: BTreeMap<u64, ProgramId>,
     next_use: u64,
     tokens: u64,
@@ -40,23 +40,23 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Resident {
+struct CachedPrefix {
     tokens: u64,
-    used: u64,
+    last_use: u64,
 }
 
-impl Residents {
-    /// Tokens believed to be held for a program.
-    pub(super) fn held(&self, program_id: &str) -> u64 {
+impl PrefixCache {
+    /// Returns the estimated number of tokens cached for a program.
+    pub(super) fn cached_tokens(&self, program_id: &str) -> u64 {
         self.entries.get(program_id).map_or(0, |entry| entry.tokens)
     }
 
-    /// Tokens believed to be held for all programs.
+    /// Returns the estimated number of tokens cached for all programs.
     pub(super) fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Tokens that can be held; 0 when unknown.
+    /// Returns the capacity in tokens; 0 if unknown.
     pub(super) fn max_tokens(&self) -> u64 {
         self.max_tokens
     }
@@ -68,17 +68,18 @@
 
     pub(super) fn store(&mut self, program_id: &ProgramId, tokens: u64) {
         self.remove(program_id);
-        let used = self.next_use;
+        let last_use = self.next_use;
         self.next_use += 1;
-        self.entries.insert(program_id.clone(), Resident { tokens, used });
-        self.by_use.insert(used, program_id.clone());
+        self.entries
+            .insert(program_id.clone(), CachedPrefix { tokens, last_use });
+        self.by_use.insert(last_use, program_id.clone());
         self.tokens += tokens;
         self.evict();
     }
 
     pub(super) fn remove(&mut self, program_id: &str) {
         if let Some(entry) = self.entries.remove(program_id) {
-            self.by_use.remove(&entry.used);
+            self.by_use.remove(&entry.last_use);
             self.tokens -= entry.tokens;
         }
     }
@@ -105,33 +106,33 @@
     }
 }
 
-/// What is weighed when a program pauses for a tool.
+/// Costs to compare when a program pauses for a tool call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pause {
-    /// Tokens that the engine holds for the program.
-    pub held_tokens: u64,
-    /// Time until the program's next call, as expected.
-    pub expected: Duration,
-    /// Time to compute the held tokens again.
-    pub recompute: Duration,
-    /// Time to export and later import them; none where the engine cannot.
-    pub transfer: Option<Duration>,
-    /// Time that the engine's memory for these tokens stays in use before another needs it.
-    pub memory_free_for: Duration,
+    /// Tokens that the engine has cached for the program.
+    pub cached_tokens: u64,
+    /// Expected time until the program's next call.
+    pub expected_duration: Duration,
+    /// Time to recompute the cached tokens.
+    pub recompute_time: Duration,
+    /// Time to export and later import the tokens; `None` if the engine cannot do so.
+    pub transfer_time: Option<Duration>,
+    /// Time until the engine needs the tokens' memory for other programs.
+    pub memory_available_for: Duration,
 }
 
-/// What to do with a program's prefix in a pause.
+/// Decision on a program's cached prefix during a pause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PauseDecision {
-    /// Leave it at the engine.
+    /// Keep the prefix in the engine.
     Keep,
-    /// Give it up.
+    /// Evict the prefix.
     Release,
-    /// Move it out of the engine, to bring it back with the next call.
+    /// Export the prefix from the engine, to import it with the next call.
     Export,
 }
 
-/// Weighs keeping a prefix through a pause against moving it out and against computing it again.
+/// Decides whether to keep a prefix during a pause, to export it or to recompute it later.
 ///
 /// # Example
 ///
@@ -141,25 +142,25 @@
 /// use burdockroad::dispatch::kv_cache::{Pause, PauseDecision, decide_pause};
 ///
 /// let short = Pause {
-///     held_tokens: 8_000,
-///     expected: Duration::from_secs(2),
-///     recompute: Duration::from_secs(1),
-///     transfer: None,
-///     memory_free_for: Duration::from_secs(10),
+///     cached_tokens: 8_000,
+///     expected_duration: Duration::from_secs(2),
+///     recompute_time: Duration::from_secs(1),
+///     transfer_time: None,
+///     memory_available_for: Duration::from_secs(10),
 /// };
 /// assert_eq!(decide_pause(short), PauseDecision::Keep);
-/// let long = Pause { expected: Duration::from_secs(600), ..short };
+/// let long = Pause { expected_duration: Duration::from_secs(600), ..short };
 /// assert_eq!(decide_pause(long), PauseDecision::Release);
 /// ```
 pub fn decide_pause(pause: Pause) -> PauseDecision {
-    if pause.held_tokens == 0 {
+    if pause.cached_tokens == 0 {
         return PauseDecision::Release;
     }
-    if pause.expected <= pause.memory_free_for {
+    if pause.expected_duration <= pause.memory_available_for {
         return PauseDecision::Keep;
     }
-    match pause.transfer {
-        Some(transfer) if transfer < pause.recompute => PauseDecision::Export,
+    match pause.transfer_time {
+        Some(transfer_time) if transfer_time < pause.recompute_time => PauseDecision::Export,
         _ => PauseDecision::Release,
     }
 }
--- a/crates/burdockroad/src/dispatch/pool.rs
+++ b/crates/burdockroad/src/dispatch/pool.rs
@@ -1,4 +1,4 @@
-//! The calls that wait for one endpoint set, and the slots that are taken.
+//! Waiting calls and occupied slots of one endpoint set.
 
 use std::{
     cmp::Reverse,
@@ -8,55 +8,55 @@
 
 use crate::{
     dispatch::{
-        Assignment, CacheEvent, Call, CallId, EndpointInfo, LoadReport, Refused, Report, Shortage, SlotId,
-        Submitted,
+        Assignment, CacheEvent, Call, CallId, EndpointInfo, LoadReport, RefusalReason, Refused, Report,
+        SlotId, Submitted,
         fairness::{self, FairQueue, Priority, Service},
         placement::{self, Choice, EndpointRow},
     },
     ids::{AccountId, EndpointId, ProgramId},
 };
 
-/// Calls that may wait in one pool.
+/// Maximum number of waiting calls in one pool.
 const WAITING_MAX: usize = 65_536;
 
-/// Calls that a tick passes over because no endpoint that they may use is free.
-const PASSED_OVER_MAX: usize = 16;
+/// Maximum number of calls that a tick skips because no endpoint that they may use is free.
+const SKIPPED_MAX: usize = 16;
 
-/// Part of its time limit that a program's first call may be expected to wait.
+/// Fraction of the time to its deadline that a program's first call may be expected to wait.
 ///
-/// What programs need that have begun is served before new ones are let in: a program that is refused
-/// in its middle has cost service for nothing.
-const FIRST_CALL_PART: f64 = 0.5;
+/// Calls of running programs take precedence over new programs: a program that is refused midway has consumed
+/// service for nothing.
+const FIRST_CALL_WAIT_FRACTION: f64 = 0.5;
 
-/// When a refused call may be tried again if nothing better is known.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Minimum retry delay of a refused call, also used if no estimate is available.
+const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
-/// Weight of the latest call in the mean time that slots are held.
+/// Weight of the latest sample in the moving average of the service time.
 const TIME_SMOOTHING: f64 = 0.05;
 
-/// Waiting calls, endpoints and slots of one endpoint set.
+/// Waiting calls, endpoints and occupied slots of one endpoint set.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    began_at: Instant,
+    created_at: Instant,
     waiting_max: usize,
     queue: FairQueue,
     calls: HashMap<CallId, WaitingCall>,
-    /// Deadlines of calls; entries of calls that wait no more are passed over.
+    /// Deadlines of calls; entries of calls that no longer wait are skipped.
     deadlines: BinaryHeap<Reverse<(Instant, CallId)>>,
-    /// When parked calls stop waiting for the endpoint that holds their prefix.
+    /// Times at which parked calls stop waiting for the endpoint that has their prefix cached.
     parked_until: BTreeSet<(Instant, CallId)>,
     endpoints: BTreeMap<EndpointId, EndpointRow>,
     slots: HashMap<SlotId, SlotRow>,
     next_call_id: CallId,
     next_slot_id: SlotId,
-    /// Mean time that a slot is held, in seconds.
-    service_s: f64,
+    /// Mean time that a slot is occupied, in seconds.
+    mean_service_s: f64,
 }
 
-/// What a tick decided.
+/// Decisions of a tick.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tick {
-    /// Calls that have a slot now.
+    /// Calls that got a slot.
     pub assignments: Vec<Assignment>,
     /// Calls that are refused.
     pub refused: Vec<Refused>,
@@ -66,17 +66,17 @@
 struct WaitingCall {
     call: Call,
     priority: Priority,
-    place: Place,
+    wait_state: WaitState,
 }
 
-/// Where a waiting call stands.
+/// State of a waiting call.
 #[derive(Clone, Debug)]
-enum Place {
-    /// In the queue, and may wait for the holder of its prefix.
+enum WaitState {
+    /// The call is in the queue and may be parked.
     Queued,
-    /// With the endpoint that holds its prefix.
+    /// The call is parked at the endpoint that has its prefix cached, until the given time.
     Parked(EndpointId, Instant),
-    /// In the queue again, after it has waited for the holder of its prefix.
+    /// The call is in the queue again after it was parked; it is not parked a second time.
     Returned,
 }
 
@@ -91,10 +91,10 @@
 }
 
 impl Pool {
-    /// Makes a pool without endpoints.
+    /// Creates a pool without endpoints.
     pub fn new(now: Instant) -> Self {
         Self {
-            began_at: now,
+            created_at: now,
             waiting_max: WAITING_MAX,
             queue: FairQueue::default(),
             calls: HashMap::new(),
@@ -104,17 +104,17 @@
             slots: HashMap::new(),
             next_call_id: 1,
             next_slot_id: 1,
-            service_s: 0.0,
+            mean_service_s: 0.0,
         }
     }
 
-    /// Sets how many calls may wait.
+    /// Sets the maximum number of waiting calls.
     #[must_use]
     pub fn with_waiting_max(self, waiting_max: usize) -> Self {
         Self { waiting_max, ..self }
     }
 
-    /// Numbers slots from `first`, so that they differ from those of an earlier owner of the pool.
+    /// Sets the first slot id, so that slot ids differ from those of an earlier owner of the pool.
     #[must_use]
     pub fn with_first_slot_id(self, first: SlotId) -> Self {
         Self {
@@ -123,16 +123,16 @@
         }
     }
 
-    /// Sets an account's share of the endpoints, relative to the other accounts' weights.
+    /// Sets an account's weight, which determines its share of the endpoints relative to the other accounts.
     pub fn set_weight(&mut self, account_id: &AccountId, weight: f64) {
         self.queue.set_weight(account_id, weight);
     }
 
-    /// Replaces the endpoints; one that is leaving or missing gets no new work from now on.
+    /// Replaces the endpoints. A draining or removed endpoint gets no new calls from now on.
     pub fn set_endpoints(&mut self, infos: Vec<EndpointInfo>, _now: Instant) {
-        let mut before = std::mem::take(&mut self.endpoints);
+        let mut previous = std::mem::take(&mut self.endpoints);
         for info in infos {
-            let mut row = before
+            let mut row = previous
                 .remove(&info.endpoint_id)
                 .unwrap_or_else(|| EndpointRow::new(&info));
             row.slots = info.slots;
@@ -142,12 +142,12 @@
             }
             self.endpoints.insert(info.endpoint_id, row);
         }
-        for mut row in before.into_values() {
+        for mut row in previous.into_values() {
             self.unpark_all(&mut row);
         }
     }
 
-    /// Takes a call, or refuses it at once when it could not have a slot in time.
+    /// Submits a call. It is refused at once if it could not get a slot before its deadline.
     pub fn submit(&mut self, call: Call, now: Instant) -> Submitted {
         if let Some(refused) = self.refusal(&call, now) {
             return refused;
@@ -155,76 +155,76 @@
         let call_id = self.next_call_id;
         self.next_call_id += 1;
         let priority = fairness::priority(
-            now.saturating_duration_since(self.began_at),
-            call.latest.saturating_duration_since(self.began_at),
+            now.saturating_duration_since(self.created_at),
+            call.slot_deadline.saturating_duration_since(self.created_at),
             call.attained_tokens,
         );
         self.queue.push(&call.account_id, priority, call_id);
-        self.deadlines.push(Reverse((call.latest, call_id)));
-        let place = Place::Queued;
+        self.deadlines.push(Reverse((call.slot_deadline, call_id)));
+        let wait_state = WaitState::Queued;
         self.calls.insert(
             call_id,
             WaitingCall {
                 call,
                 priority,
-                place,
+                wait_state,
             },
         );
         Submitted::Waiting(call_id)
     }
 
-    /// Forgets a waiting call; nothing happens if it waits no more.
+    /// Removes a waiting call; does nothing if the call no longer waits.
     pub fn cancel(&mut self, call_id: CallId) {
-        self.withdraw(call_id);
+        self.remove_waiting(call_id);
     }
 
-    /// Gives free slots out, and refuses calls whose time is over.
+    /// Assigns free slots and refuses calls whose deadline has passed.
     pub fn tick(&mut self, now: Instant) -> Tick {
-        let refused = self.refuse_late(now);
-        self.return_parked(now);
+        let refused = self.refuse_expired(now);
+        self.unpark_expired(now);
         let mut assignments = self.assign_parked(now);
         self.assign_queued(now, &mut assignments);
         Tick { assignments, refused }
     }
 
-    /// When [`tick`](Self::tick) is due even if nothing happens.
+    /// Returns the time at which [`tick`](Self::tick) is due even without an event.
     pub fn wake_at(&self) -> Option<Instant> {
         let deadline = self.deadlines.peek().map(|Reverse((at, _))| *at);
         let parked = self.parked_until.first().map(|(at, _)| *at);
         [deadline, parked].into_iter().flatten().min()
     }
 
-    /// Takes a slot back with what was seen on it; nothing happens for one that is not taken.
+    /// Releases a slot and records the result of its call; does nothing if the slot is not occupied.
     pub fn complete(&mut self, slot_id: SlotId, report: &Report, now: Instant) {
         let Some(slot) = self.slots.remove(&slot_id) else {
             return;
         };
         self.correct_charge(&slot, report);
-        let held_for = now.saturating_duration_since(slot.assigned_at);
+        let service_time = now.saturating_duration_since(slot.assigned_at);
         if !report.failed {
-            self.note_service_time(held_for);
+            self.record_service_time(service_time);
         }
         let Some(row) = self.endpoints.get_mut(&slot.endpoint_id) else {
             return;
         };
         row.remove_in_flight(now);
         if report.failed {
-            row.health.note_failure(&slot.account_id, now);
+            row.health.record_failure(&slot.account_id, now);
             return;
         }
-        row.health.note_success();
-        row.note_times(report, held_for);
+        row.health.record_success();
+        row.record_times(report, service_time);
         if let Some(program_id) = &slot.program_id {
-            row.residents
+            row.prefix_cache
                 .store(program_id, report.prompt_tokens + report.output_tokens);
         }
         let times = row.times;
         for other in self.endpoints.values_mut() {
-            other.assume_times(&times);
+            other.fill_missing_times(&times);
         }
     }
 
-    /// Takes a slot back of which nothing is known, since its host is gone.
+    /// Releases a slot whose host was lost, without a result.
     pub fn reclaim(&mut self, slot_id: SlotId, now: Instant) {
         let Some(slot) = self.slots.remove(&slot_id) else {
             return;
@@ -234,45 +234,45 @@
         }
     }
 
-    /// Takes what an endpoint says about its load, late as it is.
+    /// Records the load reported by an endpoint, which may be out of date.
     pub fn observe_load(&mut self, endpoint_id: &str, report: LoadReport, now: Instant) {
         if let Some(row) = self.endpoints.get_mut(endpoint_id) {
-            row.note_load(report, now);
+            row.record_load(report, now);
         }
     }
 
-    /// Takes the result of a check of an endpoint that ran for no account.
+    /// Records the result of a probe of an endpoint.
     pub fn observe_probe(&mut self, endpoint_id: &str, succeeded: bool, now: Instant) {
         if let Some(row) = self.endpoints.get_mut(endpoint_id) {
-            row.health.note_probe(succeeded, now);
+            row.health.record_probe(succeeded, now);
         }
     }
 
-    /// Takes what an endpoint says about its prefix cache, as a hint.
+    /// Records a prefix cache event of an endpoint, as a hint.
     pub fn observe_cache_event(&mut self, endpoint_id: &str, event: &CacheEvent) {
         let Some(row) = self.endpoints.get_mut(endpoint_id) else {
             return;
         };
         match event {
-            CacheEvent::Stored { program_id, tokens } => row.residents.store(program_id, *tokens),
-            CacheEvent::Removed { program_id } => row.residents.remove(program_id),
-            CacheEvent::Cleared => row.residents.clear(),
+            CacheEvent::Stored { program_id, tokens } => row.prefix_cache.store(program_id, *tokens),
+            CacheEvent::Removed { program_id } => row.prefix_cache.remove(program_id),
+            CacheEvent::Cleared => row.prefix_cache.clear(),
         }
     }
 
-    /// Forgets what endpoints hold for a program that has ended.
-    pub fn forget_program(&mut self, program_id: &str) {
+    /// Removes a completed program from the prefix caches tracked for the endpoints.
+    pub fn evict_program(&mut self, program_id: &str) {
         for row in self.endpoints.values_mut() {
-            row.residents.remove(program_id);
+            row.prefix_cache.remove(program_id);
         }
     }
 
-    /// Calls that wait.
+    /// Returns the number of waiting calls.
     pub fn waiting(&self) -> usize {
         self.calls.len()
     }
 
-    /// Slots that are taken.
+    /// Returns the number of occupied slots.
     pub fn taken(&self) -> usize {
         self.slots.len()
     }
@@ -280,35 +280,37 @@
     fn refusal(&self, call: &Call, now: Instant) -> Option<Submitted> {
         let slots = self.usable_slots(now);
         if slots == 0 {
-            return Some(refused(Shortage::NoEndpoint, RETRY_AFTER));
+            return Some(refused(RefusalReason::NoEndpoint, RETRY_AFTER_MIN));
         }
         if self.is_full(&call.account_id) {
-            return Some(refused(Shortage::QueueFull, self.expected_wait(call, slots)));
+            return Some(refused(RefusalReason::QueueFull, self.expected_wait(call, slots)));
         }
         let wait = self.expected_wait(call, slots);
-        let allowed = call.latest.saturating_duration_since(now);
-        let part = if call.first { FIRST_CALL_PART } else { 1.0 };
-        (wait > allowed.mul_f64(part)).then(|| refused(Shortage::Deadline, wait))
+        let time_left = call.slot_deadline.saturating_duration_since(now);
+        let wait_fraction = if call.first { FIRST_CALL_WAIT_FRACTION } else { 1.0 };
+        (wait > time_left.mul_f64(wait_fraction)).then(|| refused(RefusalReason::Deadline, wait))
     }
 
-    /// Whether an account has no place in the queue; one account cannot fill the places of others.
+    /// Returns whether the queue has no capacity left for an account. One account cannot use up the capacity
+    /// of others.
     fn is_full(&self, account_id: &AccountId) -> bool {
-        let own = self.queue.account_len(account_id);
-        if own >= self.waiting_max {
+        let own_calls = self.queue.account_len(account_id);
+        if own_calls >= self.waiting_max {
             return true;
         }
-        let own_places = tokens(self.waiting_max) * self.queue.share(account_id);
-        self.calls.len() >= self.waiting_max && tokens(own) >= own_places
+        let own_capacity = calls_as_f64(self.waiting_max) * self.queue.share(account_id);
+        self.calls.len() >= self.waiting_max && calls_as_f64(own_calls) >= own_capacity
     }
 
-    /// Time until a call that arrives now would have a slot, if all that wait stay.
+    /// Returns the expected time until a call that arrives now gets a slot, assuming that no waiting call is
+    /// removed.
     fn expected_wait(&self, call: &Call, slots: u32) -> Duration {
         if self.slots.len() + self.calls.len() < usize::try_from(slots).unwrap_or(usize::MAX) {
             return Duration::ZERO;
         }
-        let ahead = tokens(self.queue.account_len(&call.account_id) + 1);
-        let served_per_s = f64::from(slots) * self.queue.share(&call.account_id) / self.service_s;
-        Duration::try_from_secs_f64(ahead / served_per_s).unwrap_or(RETRY_AFTER)
+        let ahead = calls_as_f64(self.queue.account_len(&call.account_id) + 1);
+        let served_per_s = f64::from(slots) * self.queue.share(&call.account_id) / self.mean_service_s;
+        Duration::try_from_secs_f64(ahead / served_per_s).unwrap_or(RETRY_AFTER_MIN)
     }
 
     fn usable_slots(&self, now: Instant) -> u32 {
@@ -316,26 +318,26 @@
         self.endpoints.values().filter(usable).map(|row| row.slots).sum()
     }
 
-    fn refuse_late(&mut self, now: Instant) -> Vec<Refused> {
+    fn refuse_expired(&mut self, now: Instant) -> Vec<Refused> {
         let mut refused = Vec::new();
-        while let Some(&Reverse((latest, call_id))) = self.deadlines.peek() {
-            let waits = self.calls.contains_key(&call_id);
-            if waits && latest > now {
+        while let Some(&Reverse((slot_deadline, call_id))) = self.deadlines.peek() {
+            let is_waiting = self.calls.contains_key(&call_id);
+            if is_waiting && slot_deadline > now {
                 break;
             }
             self.deadlines.pop();
-            if waits {
-                self.withdraw(call_id);
+            if is_waiting {
+                self.remove_waiting(call_id);
                 refused.push(Refused {
                     call_id,
-                    retry_after: RETRY_AFTER,
+                    retry_after: RETRY_AFTER_MIN,
                 });
             }
         }
         refused
     }
 
-    fn return_parked(&mut self, now: Instant) {
+    fn unpark_expired(&mut self, now: Instant) {
         while let Some(&(until, call_id)) = self.parked_until.first()
             && until <= now
         {
@@ -343,7 +345,7 @@
         }
     }
 
-    /// Gives slots that became free to calls that waited for just these endpoints.
+    /// Assigns free slots to the calls parked at their endpoints.
     fn assign_parked(&mut self, now: Instant) -> Vec<Assignment> {
         let mut chosen = Vec::new();
         for (endpoint_id, row) in &self.endpoints {
@@ -358,41 +360,44 @@
     }
 
     fn assign_queued(&mut self, now: Instant, assignments: &mut Vec<Assignment>) {
-        let mut passed_over = Vec::new();
-        while passed_over.len() < PASSED_OVER_MAX
+        let mut skipped = Vec::new();
+        while skipped.len() < SKIPPED_MAX
             && self.endpoints.values().any(|row| row.free_slots(now) > 0)
             && let Some(call_id) = self.queue.first()
         {
             match self.choose(call_id, now) {
                 Choice::Slot(endpoint_id) => assignments.extend(self.assign(call_id, endpoint_id, now)),
                 Choice::Park(endpoint_id, until) => self.park(call_id, endpoint_id, until),
-                Choice::Blocked => passed_over.push(self.pass_over(call_id)),
+                Choice::Blocked => skipped.push(self.remove_skipped(call_id)),
             }
         }
-        for (account_id, priority, call_id) in passed_over {
+        for (account_id, priority, call_id) in skipped {
             self.queue.push(&account_id, priority, call_id);
         }
     }
 
     fn choose(&self, call_id: CallId, now: Instant) -> Choice {
         let waiting = &self.calls[&call_id];
-        let may_park = matches!(waiting.place, Place::Queued);
+        let may_park = matches!(waiting.wait_state, WaitState::Queued);
         placement::choose(&self.endpoints, &waiting.call, may_park, now)
     }
 
     fn assign(&mut self, call_id: CallId, endpoint_id: EndpointId, now: Instant) -> Option<Assignment> {
-        let waiting = self.withdraw(call_id)?;
+        let waiting = self.remove_waiting(call_id)?;
         let row = self.endpoints.get_mut(&endpoint_id)?;
         let call = waiting.call;
-        let held = row.held(&endpoint_id, &call);
-        let charged =
-            self.queue
-                .expected_service(&call.account_id, call.prompt_tokens, held, call.max_output_tokens);
-        self.queue.note_served(&call.account_id);
+        let cached = row.cached_prompt_tokens(&endpoint_id, &call);
+        let charged = self.queue.expected_service(
+            &call.account_id,
+            call.prompt_tokens,
+            cached,
+            call.max_output_tokens,
+        );
+        self.queue.record_served(&call.account_id);
         self.queue.charge(&call.account_id, charged);
         row.add_in_flight(now);
         if let Some(program_id) = &call.program_id {
-            row.residents.store(program_id, call.prompt_tokens);
+            row.prefix_cache.store(program_id, call.prompt_tokens);
         }
         let slot_id = self.next_slot_id;
         self.next_slot_id += 1;
@@ -424,14 +429,16 @@
             row.parked.insert((waiting.priority, call_id));
         }
         self.parked_until.insert((until, call_id));
-        waiting.place = Place::Parked(endpoint_id, until);
+        waiting.wait_state = WaitState::Parked(endpoint_id, until);
     }
 
     fn unpark(&mut self, call_id: CallId) {
         let Some(waiting) = self.calls.get_mut(&call_id) else {
             return;
         };
-        let Place::Parked(endpoint_id, until) = std::mem::replace(&mut waiting.place, Place::Returned) else {
+        let WaitState::Parked(endpoint_id, until) =
+            std::mem::replace(&mut waiting.wait_state, WaitState::Returned)
+        else {
             return;
         };
         self.parked_until.remove(&(until, call_id));
@@ -448,17 +455,17 @@
         }
     }
 
-    fn pass_over(&mut self, call_id: CallId) -> (AccountId, Priority, CallId) {
+    fn remove_skipped(&mut self, call_id: CallId) -> (AccountId, Priority, CallId) {
         let waiting = &self.calls[&call_id];
         let account_id = waiting.call.account_id.clone();
         self.queue.remove(&account_id, waiting.priority, call_id);
         (account_id, waiting.priority, call_id)
     }
 
-    /// Takes a waiting call out of all tables.
-    fn withdraw(&mut self, call_id: CallId) -> Option<WaitingCall> {
+    /// Removes a waiting call from all tables.
+    fn remove_waiting(&mut self, call_id: CallId) -> Option<WaitingCall> {
         let waiting = self.calls.remove(&call_id)?;
-        if let Place::Parked(endpoint_id, until) = &waiting.place {
+        if let WaitState::Parked(endpoint_id, until) = &waiting.wait_state {
             self.parked_until.remove(&(*until, call_id));
             if let Some(row) = self.endpoints.get_mut(endpoint_id) {
                 row.parked.remove(&(waiting.priority, call_id));
@@ -470,46 +477,48 @@
         Some(waiting)
     }
 
-    /// Replaces the service that was expected of a call by what it received.
+    /// Replaces the service that was expected for a call by the service that it received.
     fn correct_charge(&mut self, slot: &SlotRow, report: &Report) {
         let prompt_tokens = if report.prompt_tokens > 0 {
             report.prompt_tokens
         } else {
             slot.prompt_tokens
         };
-        let received = if report.failed {
+        let received_service = if report.failed {
             0
         } else {
             fairness::service(prompt_tokens, report.cached_tokens, report.output_tokens)
         };
-        if received > slot.charged {
-            self.queue.charge(&slot.account_id, received - slot.charged);
+        if received_service > slot.charged {
+            self.queue
+                .charge(&slot.account_id, received_service - slot.charged);
         } else {
-            self.queue.refund(&slot.account_id, slot.charged - received);
+            self.queue
+                .refund(&slot.account_id, slot.charged - received_service);
         }
         if !report.failed {
-            self.queue.note_output(&slot.account_id, report.output_tokens);
+            self.queue.record_output(&slot.account_id, report.output_tokens);
         }
     }
 
-    fn note_service_time(&mut self, held_for: Duration) {
-        let held_s = held_for.as_secs_f64();
-        if self.service_s == 0.0 {
-            self.service_s = held_s;
+    fn record_service_time(&mut self, service_time: Duration) {
+        let sample_s = service_time.as_secs_f64();
+        if self.mean_service_s == 0.0 {
+            self.mean_service_s = sample_s;
         } else {
-            self.service_s += (held_s - self.service_s) * TIME_SMOOTHING;
+            self.mean_service_s += (sample_s - self.mean_service_s) * TIME_SMOOTHING;
         }
     }
 }
 
-fn refused(reason: Shortage, retry_after: Duration) -> Submitted {
+fn refused(reason: RefusalReason, retry_after: Duration) -> Submitted {
     Submitted::Refused {
         reason,
-        retry_after: retry_after.max(RETRY_AFTER),
+        retry_after: retry_after.max(RETRY_AFTER_MIN),
     }
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts of calls stay far below 2^52")]
-fn tokens(count: usize) -> f64 {
+fn calls_as_f64(count: usize) -> f64 {
     count as f64
 }
--- a/crates/burdockroad/src/error.rs
+++ b/crates/burdockroad/src/error.rs
@@ -1,14 +1,14 @@
-//! The error that every fallible function of this crate returns.
+//! Error type of this crate's fallible functions.
 
 use std::{error::Error as StdError, fmt, sync::Arc};
 
 /// Result of a fallible function of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What went wrong, with its chain of causes.
+/// Error with a message and a chain of causes.
 ///
-/// The error is opaque: it is meant to be shown, and to be passed on. Outcomes that a caller has to
-/// tell apart are not errors but typed values, such as [`program::Refusal`](crate::program::Refusal).
+/// The error is opaque: it is meant to be displayed and propagated. Outcomes that a caller must distinguish
+/// are typed values instead of errors, such as [`program::Refusal`](crate::program::Refusal).
 ///
 /// # Example
 ///
@@ -29,7 +29,7 @@
 }
 
 impl Error {
-    /// Makes an error with a message and no cause.
+    /// Creates an error with a message and no cause.
     pub fn new(message: impl Into<String>) -> Self {
         Self {
             inner: Arc::new(Inner {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Puts a cause below this error's message, in place of an earlier cause.
+    /// Sets the cause of the error, replacing an earlier one.
     #[must_use]
     pub fn with_cause(self, cause: impl Into<Box<dyn StdError + Send + Sync>>) -> Self {
         let inner = Inner {
@@ -68,6 +68,6 @@
     }
 }
 
-// The message already contains the causes, so `source` is left out: a reporter that walks the chain
+// The message already includes the causes, so `source` is not implemented: a reporter that walks the chain
 // would print each cause twice.
 impl StdError for Error {}
--- a/crates/burdockroad/src/gateway/placement.rs
+++ b/crates/burdockroad/src/gateway/placement.rs
@@ -362,8 +362,8 @@
     }
 
     fn load(&self, now: Instant) -> u32 {
-        let fresh = self.peer_calls_at.is_some_and(|at| now < at + PEER_LOAD_AGE_MAX);
-        self.in_flight + if fresh { self.peer_calls } else { 0 }
+        let is_recent = self.peer_calls_at.is_some_and(|at| now < at + PEER_LOAD_AGE_MAX);
+        self.in_flight + if is_recent { self.peer_calls } else { 0 }
     }
 
     /// Returns the expected time to the first byte of the response.
--- a/crates/burdockroad/src/ids.rs
+++ b/crates/burdockroad/src/ids.rs
@@ -1,50 +1,50 @@
-//! Names of entities, and the numbers that order them.
+//! Ids and sequence numbers.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Name of a client account, as the document gives it.
+/// Id of a client account, as given in the configuration document.
 pub type AccountId = String;
 
-/// Position of a call in its program, from 1.
+/// Position of a call in its program, starting at 1.
 pub type CallNumber = u32;
 
-/// Version of the configuration document; each accepted change adds one.
+/// Version of the configuration document, incremented by each accepted change.
 pub type DocumentVersion = u64;
 
-/// Name of an endpoint, as the document gives it.
+/// Id of an endpoint, as given in the configuration document.
 pub type EndpointId = String;
 
-/// Number that grows each time a partition changes its owner.
+/// Number that increases with each change of a partition's owner.
 pub type Epoch = u64;
 
-/// Name of a host, as its settings give it.
+/// Id of a host, as given in its settings.
 pub type HostId = String;
 
-/// Random number that tells one run of a daemon from every other run on the same host.
+/// Random number that distinguishes one run of a daemon from all other runs on the same host.
 pub type Incarnation = u64;
 
-/// Public part of a caller's key, safe to log.
+/// Public part of a caller's key, which may be logged.
 pub type KeyId = String;
 
-/// Share of the programs and accounts that has one owner at a time.
+/// Id of a partition: a share of the programs and accounts that has one owner at a time.
 pub type PartitionId = u16;
 
-/// Name of an endpoint set, whose endpoints share one queue.
+/// Id of an endpoint set, whose endpoints share one queue.
 pub type PoolId = String;
 
-/// Name of a program: `p-`, four hexadecimal digits of its partition, `-`, and a random part.
+/// Id of a program: `p-`, four hexadecimal digits of its partition, `-`, and a random part.
 pub type ProgramId = String;
 
-/// Name of a route, as the document gives it.
+/// Id of a route, as given in the configuration document.
 pub type RouteId = String;
 
-/// Position of a segment in a journal, from 1.
+/// Position of a segment in a journal, starting at 1.
 pub type SegmentNumber = u64;
 
-/// Name of a site, as the document gives it.
+/// Id of a site, as given in the configuration document.
 pub type SiteId = String;
 
-/// The partition that a program's id names, if it is well formed.
+/// Returns the partition encoded in a program id, or `None` if the id is malformed.
 ///
 /// # Example
 ///
@@ -61,15 +61,15 @@
     well_formed.then_some(partition)
 }
 
-/// Makes a program's id from its partition and a random part.
+/// Returns a program id with the given partition and random part.
 pub fn program_id(partition: PartitionId, random: &str) -> ProgramId {
     format!("p-{partition:04x}-{random}")
 }
 
-/// Number of partitions; fixed, since program ids carry their partition.
+/// Number of partitions. It is fixed, because program ids contain their partition.
 pub const PARTITIONS: PartitionId = 256;
 
-/// The partition that an account or a pool belongs to; the same on every host.
+/// Returns the partition of an account or a pool, which is the same on every host.
 ///
 /// # Example
 ///
--- a/crates/burdockroad/src/lib.rs
+++ b/crates/burdockroad/src/lib.rs
@@ -1,24 +1,23 @@
-//! Coordination parts of a scheduler for agent programs.
+//! Coordination library for scheduling the calls of agent programs.
 //!
-//! An agent program is a chain of dependent calls to model engines and to plain services. The parts
-//! here decide in which order calls run, within which budget, at which endpoint and for which client
-//! account, and what has to be recorded before a call may leave a host. They open no socket, read no
-//! clock and start no thread: events, the current time and a seeded generator go in, decisions come
-//! out. The daemon `burdockroadd` is one program that carries those decisions out; others can embed
-//! the parts they need.
+//! An agent program is a chain of dependent calls to model engines and plain services. This crate decides in
+//! which order calls run, within which budget, on which endpoint and for which client account, and what must
+//! be recorded before a call may leave a host. It opens no sockets, reads no clock and starts no threads: its
+//! inputs are events, the current time and a seeded random generator, and its outputs are decisions. The
+//! daemon `burdockroadd` carries these decisions out. Other programs can embed the modules that they need.
 //!
 //! # Guide
 //!
-//! * [`program`] keeps the order, history and budget of programs, and writes [`Record`]s of it.
-//! * [`journal`] makes records durable, and reads them back after a host is gone.
-//! * [`dispatch`] gives out slots at endpoints: fairness, placement, health, prefix caches.
-//! * [`membership`] tells which hosts are up, and [`ownership`] which of them serves what.
-//! * [`gateway`] decides for calls that bring their whole history along.
-//! * [`quota`] keeps rate and burst of client accounts over all hosts.
-//! * [`config`] holds the one configuration [`Document`] and its checks.
-//! * [`retry`] decides whether and when a failed call is tried again.
+//! * [`program`] tracks the order, history and budget of programs, and writes [`Record`]s of them.
+//! * [`journal`] makes records durable, and reads them back after a host is lost.
+//! * [`dispatch`] assigns slots at endpoints: fairness, placement, health and prefix caches.
+//! * [`membership`] tracks which hosts are up, and [`ownership`] which host owns each partition.
+//! * [`gateway`] makes decisions for calls whose requests carry the whole program history.
+//! * [`quota`] enforces rate and burst limits of client accounts over all hosts.
+//! * [`config`] contains the configuration [`Document`] and its validation.
+//! * [`retry`] decides whether and when a failed call is retried.
 //!
-//! Entities stand in tables, and systems run over the tables each tick.
+//! Entities are stored as rows of tables, and systems process the tables on each tick.
 
 pub mod config;
 pub mod dispatch;
--- a/crates/burdockroad/src/quota.rs
+++ b/crates/burdockroad/src/quota.rs
@@ -1,9 +1,9 @@
-//! Rate and burst of a client account, kept over all hosts together by granted tokens.
+//! Rate and burst limits of a client account, enforced over all hosts by granting tokens.
 //!
-//! The owner of an account keeps its [`Bucket`] and grants tokens to the other hosts for a short time;
-//! each host keeps a [`Holder`] that spends them. Every token that was granted, has not expired and is
-//! not reported as spent counts as still in the bucket. So what all hosts admit in a window of `w`
-//! seconds stays within `rate_per_s * w + burst`, however late in its life a grant is spent.
+//! The owner of an account has its [`Bucket`] and grants tokens to the other hosts for a limited time. Each
+//! host has a [`Holder`] that spends them. Granted tokens that have neither expired nor been reported as
+//! spent count as still in the bucket. Therefore, the calls that all hosts admit in a window of `w` seconds
+//! never exceed `rate_per_s * w + burst`, regardless of how late in its life a grant is spent.
 //!
 //! # Example
 //!
@@ -17,11 +17,11 @@
 //! let mut holder = Holder::new();
 //!
 //! let later = start + Duration::from_millis(200);
-//! let latest = later + Duration::from_secs(1);
-//! assert_eq!(holder.admit(1, latest, later), Admission::Waiting);
-//! let ask = holder.ask(later).unwrap();
-//! let grant = bucket.grant(&"host-b".to_owned(), &ask, later);
-//! let settled = holder.answered(ask.sequence, grant, later);
+//! let deadline = later + Duration::from_secs(1);
+//! assert_eq!(holder.admit(1, deadline, later), Admission::Waiting);
+//! let token_request = holder.token_request(later).unwrap();
+//! let grant = bucket.grant(&"host-b".to_owned(), &token_request, later);
+//! let settled = holder.answered(token_request.sequence, grant, later);
 //! assert_eq!(settled[0].admission, Admission::Admitted);
 //! ```
 
@@ -35,42 +35,42 @@
     holder::{Admission, Holder, Settled, WaiterId},
 };
 
-/// Time that a grant may be spent in, from when the holder sent the request for it.
+/// Time in which a grant may be spent, starting when the holder sent the request for it.
 ///
-/// A longer one spares requests to the owner; a shorter one makes a takeover of the bucket quicker.
+/// A longer life saves requests to the owner; a shorter one speeds up a takeover of the bucket.
 pub const GRANT_LIFE: Duration = Duration::from_secs(1);
 
-/// What an account may do over all hosts together.
+/// Limits of an account over all hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Calls a second.
+    /// Calls per second.
     pub rate_per_s: f64,
-    /// Calls at once after a pause.
+    /// Calls admitted at once after an idle period.
     pub burst: u32,
 }
 
-/// A holder's request for tokens.
+/// Request of a holder for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
-    /// Grows with each request of the holder for this account.
+pub struct TokenRequest {
+    /// Sequence number, which increases with each request of the holder for this account.
     pub sequence: u64,
-    /// Tokens for calls that wait.
+    /// Tokens for waiting calls.
     pub wanted: u64,
-    /// Tokens for calls that are expected soon.
+    /// Tokens requested ahead for expected calls.
     pub ahead: u64,
-    /// Tokens that the holder has spent since it began.
+    /// Tokens that the holder has spent since it started.
     pub spent_total: u64,
-    /// Tokens that the holder still may spend; it will spend none of earlier requests beside these.
+    /// Tokens that the holder may still spend. It will not spend any other tokens of earlier grants.
     pub unspent: u64,
 }
 
-/// The owner's answer.
+/// Response of the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Tokens granted.
+    /// Granted tokens.
     pub granted: u64,
-    /// Time that they may be spent in, from when the request was sent.
+    /// Time in which the tokens may be spent, starting when the request was sent.
     pub expires_after: Duration,
-    /// Time until the rest of what was wanted can be had; zero when nothing is missing.
+    /// Time until the missing tokens are available; zero if none are missing.
     pub retry_after: Duration,
 }
--- a/crates/burdockroad/src/quota/bucket.rs
+++ b/crates/burdockroad/src/quota/bucket.rs
@@ -1,39 +1,40 @@
-//! The owner's side: one account's bucket.
+//! Owner side: token bucket of one account.
 
 use std::{
     collections::{BTreeMap, VecDeque},
     time::{Duration, Instant},
 };
 
-use crate::quota::{Ask, GRANT_LIFE, Grant, Limits};
+use crate::quota::{GRANT_LIFE, Grant, Limits, TokenRequest};
 
-/// Name of one run of a holding host.
+/// Id of one run of a host that holds tokens.
 pub type HolderId = String;
 
-/// Longest time that a holder is told to wait.
+/// Maximum retry delay returned to a holder.
 const RETRY_AFTER_MAX: Duration = Duration::from_mins(1);
 
-/// One account's tokens, at the account's owner.
+/// Token bucket of one account, at the account's owner.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     limits: Limits,
-    /// Tokens that can be granted.
+    /// Tokens available for grants.
     level: f64,
-    /// Until when `level` has been refilled; in the future while a predecessor's grants may live.
+    /// Time up to which `level` has been refilled. It is in the future while grants of a previous owner may
+    /// be valid.
     refilled_at: Instant,
     holders: BTreeMap<HolderId, HolderRow>,
 }
 
-/// What the owner knows of one holder.
+/// Owner's state for one holder.
 #[derive(Clone, Debug)]
 struct HolderRow {
     sequence: u64,
     spent_total: u64,
-    /// Grants that the holder may still spend, the first to expire in front.
+    /// Grants that the holder may still spend, in order of expiry.
     outstanding: VecDeque<Outstanding>,
-    /// Calls that wait there, as far as known.
+    /// Waiting calls of the holder as of its last request.
     unmet: u64,
-    heard_at: Instant,
+    last_request_at: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -43,10 +44,10 @@
 }
 
 impl Bucket {
-    /// Makes an empty bucket that begins to fill at `ready_at`.
+    /// Creates an empty bucket that starts to fill at `ready_at`.
     ///
-    /// A new owner passes the time at which it became the owner plus [`GRANT_LIFE`], when all grants
-    /// of an earlier owner have expired.
+    /// A new owner passes the time at which it became the owner plus [`GRANT_LIFE`], when all grants of an
+    /// earlier owner have expired.
     pub fn new(limits: Limits, ready_at: Instant) -> Self {
         Self {
             limits,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Changes the limits; what is already granted stays granted and counts against the new burst.
+    /// Changes the limits. Outstanding grants remain valid and count against the new burst.
     pub fn set_limits(&mut self, limits: Limits, now: Instant) {
         self.refill(now);
         self.limits = limits;
@@ -65,48 +66,54 @@
 
     /// Grants tokens to a holder, as far as the bucket has them.
     ///
-    /// A request that arrives twice, or after a later one, gets nothing.
-    pub fn grant(&mut self, holder_id: &HolderId, ask: &Ask, now: Instant) -> Grant {
+    /// A duplicate or reordered request gets no tokens.
+    pub fn grant(&mut self, holder_id: &HolderId, token_request: &TokenRequest, now: Instant) -> Grant {
         self.refill(now);
-        if !self.note_report(holder_id, ask, now) {
+        if !self.record_request(holder_id, token_request, now) {
             return Grant {
                 granted: 0,
                 expires_after: GRANT_LIFE,
                 retry_after: Duration::ZERO,
             };
         }
-        let needed = ask.wanted.min(self.share(holder_id, ask.wanted));
-        let ahead = ask.ahead.min(self.whole_tokens().saturating_sub(needed) / 2);
+        let needed = token_request
+            .wanted
+            .min(self.share(holder_id, token_request.wanted));
+        let ahead = token_request
+            .ahead
+            .min(self.whole_tokens().saturating_sub(needed) / 2);
         let granted = needed + ahead;
-        self.take(holder_id, ask.wanted - needed, granted, now);
+        self.take(holder_id, token_request.wanted - needed, granted, now);
         Grant {
             granted,
             expires_after: GRANT_LIFE,
-            retry_after: self.retry_after(ask.wanted - needed, now),
+            retry_after: self.retry_after(token_request.wanted - needed, now),
         }
     }
 
-    /// Tokens granted that may still be spent.
+    /// Returns the granted tokens that may still be spent.
     pub fn outstanding(&self) -> u64 {
         self.holders.values().map(HolderRow::outstanding_tokens).sum()
     }
 
-    /// Adds what the rate gave since the last call, and drops what has expired.
+    /// Adds the tokens accrued since the last call, and removes expired grants.
     ///
-    /// Each grant counts until its end: dropping it first, and filling its room for the time before its
-    /// end, would let a holder spend it late and have it again at once.
+    /// Each grant counts until it expires. If it were removed first, the bucket would be refilled in its
+    /// place for the time before its expiry, and a holder could spend the grant late and get the same tokens
+    /// again at once.
     fn refill(&mut self, now: Instant) {
-        while let Some(end) = self.first_end().filter(|end| *end <= now) {
-            self.fill(end);
-            self.drop_expired(end);
+        while let Some(expiry) = self.first_expiry().filter(|expiry| *expiry <= now) {
+            self.accrue(expiry);
+            self.remove_expired(expiry);
         }
-        self.fill(now);
-        self.holders
-            .retain(|_, holder| !holder.outstanding.is_empty() || holder.heard_at + 2 * GRANT_LIFE > now);
+        self.accrue(now);
+        self.holders.retain(|_, holder| {
+            !holder.outstanding.is_empty() || holder.last_request_at + 2 * GRANT_LIFE > now
+        });
     }
 
-    /// When the first outstanding grant expires.
-    fn first_end(&self) -> Option<Instant> {
+    /// Returns the time at which the first outstanding grant expires.
+    fn first_expiry(&self) -> Option<Instant> {
         let oldest = self
             .holders
             .values()
@@ -114,20 +121,21 @@
         oldest.map(|grant| grant.expires_at).min()
     }
 
-    fn fill(&mut self, until: Instant) {
+    fn accrue(&mut self, until: Instant) {
         let elapsed = until.saturating_duration_since(self.refilled_at);
         self.level += elapsed.as_secs_f64() * self.limits.rate_per_s;
         self.refilled_at = self.refilled_at.max(until);
         self.cap();
     }
 
-    /// Counts outstanding tokens as still in the bucket, so that they cannot be had twice at once.
+    /// Limits the level to the burst minus the outstanding tokens, so that these cannot be granted twice at
+    /// once.
     fn cap(&mut self) {
-        let room = f64::from(self.limits.burst) - as_tokens(self.outstanding());
-        self.level = self.level.min(room).max(0.0);
+        let capacity = f64::from(self.limits.burst) - as_tokens(self.outstanding());
+        self.level = self.level.min(capacity).max(0.0);
     }
 
-    fn drop_expired(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         for holder in self.holders.values_mut() {
             while holder
                 .outstanding
@@ -139,25 +147,27 @@
         }
     }
 
-    /// Takes note of what a holder spent; false for a request that came late or twice.
-    fn note_report(&mut self, holder_id: &HolderId, ask: &Ask, now: Instant) -> bool {
+    /// Records the spending reported in a request. Returns false for a duplicate or reordered request.
+    fn record_request(&mut self, holder_id: &HolderId, token_request: &TokenRequest, now: Instant) -> bool {
         let Some(holder) = self.holders.get_mut(holder_id) else {
-            self.holders.insert(holder_id.clone(), HolderRow::new(ask, now));
+            self.holders
+                .insert(holder_id.clone(), HolderRow::new(token_request, now));
             return true;
         };
-        if ask.sequence <= holder.sequence {
+        if token_request.sequence <= holder.sequence {
             return false;
         }
-        let unused = holder.settle(ask);
-        holder.heard_at = now;
-        // Tokens that were never spent go back at once. Expired ones do not: the bucket has been
-        // refilled in their place, and giving them back would let them be had twice.
+        let unused = holder.settle(token_request);
+        holder.last_request_at = now;
+        // Tokens that will never be spent return to the bucket at once. Expired tokens do not: the bucket has
+        // been refilled in their place, so returning them would grant them twice.
         self.level += as_tokens(unused);
         self.cap();
         true
     }
 
-    /// Tokens that a holder may get while others wait too, in proportion to what each wants.
+    /// Returns the tokens that a holder may get while others are waiting, in proportion to the tokens that
+    /// each requested.
     fn share(&self, holder_id: &HolderId, wanted: u64) -> u64 {
         let others: u64 = self
             .holders
@@ -166,8 +176,8 @@
             .map(|(_, holder)| holder.unmet)
             .sum();
         let available = self.whole_tokens();
-        let part = available * wanted / (wanted + others).max(1);
-        part.max(available.min(1))
+        let proportional = available * wanted / (wanted + others).max(1);
+        proportional.max(available.min(1))
     }
 
     fn take(&mut self, holder_id: &HolderId, unmet: u64, granted: u64, now: Instant) {
@@ -184,7 +194,7 @@
         }
     }
 
-    /// Time until all calls that wait at any holder could be served.
+    /// Returns the time until all calls waiting at any holder could be served.
     fn retry_after(&self, unmet: u64, now: Instant) -> Duration {
         if unmet == 0 {
             return Duration::ZERO;
@@ -192,19 +202,19 @@
         let backlog: u64 = self
             .holders
             .values()
-            .filter(|holder| holder.heard_at + GRANT_LIFE > now)
+            .filter(|holder| holder.last_request_at + GRANT_LIFE > now)
             .map(|holder| holder.unmet)
             .sum();
         let missing = (as_tokens(backlog) - self.level).max(0.0);
         let wait = Duration::try_from_secs_f64(missing / self.limits.rate_per_s).unwrap_or(RETRY_AFTER_MAX);
-        let not_ready = self.refilled_at.saturating_duration_since(now);
-        (not_ready + wait).min(RETRY_AFTER_MAX)
+        let startup_wait = self.refilled_at.saturating_duration_since(now);
+        (startup_wait + wait).min(RETRY_AFTER_MAX)
     }
 
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a level is within 0 and a burst of 32 bits"
+        reason = "a level lies between 0 and a 32-bit burst"
     )]
     fn whole_tokens(&self) -> u64 {
         self.level.floor() as u64
@@ -212,13 +222,13 @@
 }
 
 impl HolderRow {
-    fn new(ask: &Ask, now: Instant) -> Self {
+    fn new(token_request: &TokenRequest, now: Instant) -> Self {
         Self {
-            sequence: ask.sequence,
-            spent_total: ask.spent_total,
+            sequence: token_request.sequence,
+            spent_total: token_request.spent_total,
             outstanding: VecDeque::new(),
             unmet: 0,
-            heard_at: now,
+            last_request_at: now,
         }
     }
 
@@ -226,21 +236,22 @@
         self.outstanding.iter().map(|grant| grant.tokens).sum()
     }
 
-    /// Leaves only what the holder still may spend, and returns the tokens that it never will.
-    fn settle(&mut self, ask: &Ask) -> u64 {
-        // All spending is put down to grants that have not expired: this gives back too little
-        // rather than too much.
-        let spent = ask.spent_total.saturating_sub(self.spent_total);
+    /// Reduces the outstanding tokens to those that the holder may still spend, and returns the number of
+    /// tokens that it will never spend.
+    fn settle(&mut self, token_request: &TokenRequest) -> u64 {
+        // All spending is attributed to unexpired grants, which returns too few tokens rather than too many.
+        let spent = token_request.spent_total.saturating_sub(self.spent_total);
         let before = self.outstanding_tokens();
-        self.sequence = ask.sequence;
-        self.spent_total = ask.spent_total;
-        self.keep_newest(ask.unspent);
+        self.sequence = token_request.sequence;
+        self.spent_total = token_request.spent_total;
+        self.keep_newest(token_request.unspent);
         before
             .saturating_sub(spent)
             .saturating_sub(self.outstanding_tokens())
     }
 
-    /// Holders spend what expires first, so what is left is of the newest grants.
+    /// Removes the oldest grants until `tokens` are left. Holders spend grants in order of expiry, so the
+    /// tokens left belong to the newest grants.
     fn keep_newest(&mut self, tokens: u64) {
         let mut excess = self.outstanding_tokens().saturating_sub(tokens);
         while excess > 0
--- a/crates/burdockroad/src/quota/holder.rs
+++ b/crates/burdockroad/src/quota/holder.rs
@@ -1,37 +1,37 @@
-//! A host's side: tokens held for one account, and the calls that wait for them.
+//! Host side: tokens granted to one host for one account, and the calls that wait for them.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-use crate::quota::{Ask, Grant};
+use crate::quota::{Grant, TokenRequest};
 
-/// Name of a waiting call, given by whoever asks for its admission.
+/// Id of a waiting call, assigned by the caller of [`Holder::admit`].
 pub type WaiterId = u64;
 
 /// Time after which a request to the owner counts as lost.
-const ASK_TIMEOUT: Duration = Duration::from_millis(250);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time until the owner is asked again after a failed request.
-const FAILED_ASK_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff after a failed request to the owner.
+const FAILED_REQUEST_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Shortest and longest time between two requests while calls wait.
-const ASK_PAUSE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(100));
+/// Minimum and maximum interval between two requests while calls are waiting.
+const REQUEST_INTERVAL: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(100));
 
-/// Time after which spent tokens are reported if no other request reports them.
+/// Delay after which spent tokens are reported if no other request reports them.
 ///
-/// Tokens that the owner believes unspent take up room in the bucket, which then does not refill.
-const REPORT_PAUSE: Duration = Duration::from_millis(50);
+/// Tokens that the owner considers unspent occupy capacity in the bucket, which is then not refilled.
+const REPORT_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest time that a call waits, whatever its own limit.
+/// Maximum time that a call waits, regardless of its deadline.
 const WAIT_MAX: Duration = Duration::from_secs(5);
 
-/// Calls of one account that wait at one host.
+/// Maximum number of waiting calls per account and host.
 const WAITING_MAX: usize = 4_096;
 
-/// Demand for which tokens are asked ahead.
-const AHEAD: Duration = Duration::from_millis(200);
+/// Period of expected demand for which tokens are requested ahead.
+const PREFETCH_WINDOW: Duration = Duration::from_millis(200);
 
 /// Time constant of the demand estimate.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
@@ -39,25 +39,25 @@
 /// Tokens of one account at one host.
 #[derive(Clone, Debug, Default)]
 pub struct Holder {
-    /// Grants, the first to expire in front.
-    grants: VecDeque<Held>,
+    /// Grants, in order of expiry.
+    grants: VecDeque<ActiveGrant>,
     waiting: VecDeque<Waiter>,
     sequence: u64,
     in_flight: Option<InFlight>,
-    ask_at: Option<Instant>,
+    next_request_at: Option<Instant>,
     spent_total: u64,
-    /// When spent tokens have to be reported.
+    /// Time at which spent tokens must be reported.
     report_at: Option<Instant>,
-    /// When the owner expects to have served those that waited when it was asked.
-    ready: Option<Ready>,
-    /// Time between two tokens at the account's rate; zero while it is not known.
-    pace: Duration,
+    /// Owner's estimate of when the calls that were waiting at the last request will be served.
+    serve_estimate: Option<ServeEstimate>,
+    /// Time between two tokens at the account's rate; zero if the rate is unknown.
+    token_interval: Duration,
     owner_failed: bool,
     demand: Demand,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct ActiveGrant {
     expires_at: Instant,
     tokens: u64,
 }
@@ -65,14 +65,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     waiter_id: WaiterId,
-    latest: Instant,
+    deadline: Instant,
 }
 
-/// When the calls that waited at the last answer are expected to have their tokens.
+/// Estimate of when the calls that were waiting at the last response get their tokens.
 #[derive(Clone, Copy, Debug)]
-struct Ready {
+struct ServeEstimate {
     at: Instant,
-    covers: u64,
+    calls: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -82,92 +82,96 @@
     wanted: u64,
 }
 
-/// Calls a second, exponentially averaged.
+/// Calls per second, as an exponential moving average.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
     rate_per_s: f64,
     updated_at: Option<Instant>,
 }
 
-/// What becomes of a call.
+/// Decision on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may run now.
+    /// The call may run now.
     Admitted,
-    /// It waits, in order, and is settled later.
+    /// The call waits, in order of arrival, and is settled later.
     Waiting,
-    /// It may not run; this is final.
+    /// The call must not run, and this is final.
     Refused {
-        /// Whether the account is over its rate; if not, the owner could not be asked.
+        /// Whether the account exceeds its rate; if not, the owner was unreachable.
         over_rate: bool,
-        /// When a later try may succeed.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
 
-/// A call that no longer waits.
+/// Call that no longer waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settled {
-    /// The call.
+    /// Id of the call.
     pub waiter_id: WaiterId,
-    /// Whether it was admitted or refused.
+    /// Whether the call was admitted or refused.
     pub admission: Admission,
 }
 
 impl Holder {
-    /// Makes a holder without tokens.
+    /// Creates a holder without tokens.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes note of the account's rate, which tells how long calls in a queue have to wait.
+    /// Sets the account's rate, which determines the expected wait of queued calls.
     pub fn set_rate(&mut self, rate_per_s: f64) {
-        self.pace = Duration::try_from_secs_f64(1.0 / rate_per_s).unwrap_or(Duration::ZERO);
+        self.token_interval = Duration::try_from_secs_f64(1.0 / rate_per_s).unwrap_or(Duration::ZERO);
     }
 
-    /// Admits a call, lets it wait, or refuses it when its wait would pass `latest`.
-    pub fn admit(&mut self, waiter_id: WaiterId, latest: Instant, now: Instant) -> Admission {
+    /// Admits a call, queues it, or refuses it if it would wait beyond `deadline`.
+    pub fn admit(&mut self, waiter_id: WaiterId, deadline: Instant, now: Instant) -> Admission {
         self.demand.record(now);
-        self.drop_expired(now);
+        self.remove_expired(now);
         if self.waiting.is_empty() && self.spend(now) {
             return Admission::Admitted;
         }
-        let latest = latest.min(now + WAIT_MAX);
+        let deadline = deadline.min(now + WAIT_MAX);
         let wait = self.expected_wait(self.waiting.len() + 1, now);
-        if now + wait > latest || self.waiting.len() >= WAITING_MAX {
+        if now + wait > deadline || self.waiting.len() >= WAITING_MAX {
             return self.refusal(wait);
         }
-        self.waiting.push_back(Waiter { waiter_id, latest });
+        self.waiting.push_back(Waiter { waiter_id, deadline });
         Admission::Waiting
     }
 
-    /// Forgets a call whose caller has gone away.
+    /// Removes a call whose caller has disconnected.
     pub fn cancel(&mut self, waiter_id: WaiterId) {
         self.waiting.retain(|waiter| waiter.waiter_id != waiter_id);
     }
 
-    /// Settles calls that can be admitted now, or can no longer be admitted in time.
+    /// Settles calls that can be admitted now or can no longer be admitted before their deadline.
     pub fn tick(&mut self, now: Instant) -> Vec<Settled> {
-        self.drop_expired(now);
-        self.expire_ask(now);
+        self.remove_expired(now);
+        self.expire_request(now);
         let mut settled = self.admit_waiting(now);
-        settled.extend(self.refuse_late(now));
+        settled.extend(self.refuse_expired(now));
         settled
     }
 
-    /// The request to send to the owner now, if any; only one is under way at a time.
-    pub fn ask(&mut self, now: Instant) -> Option<Ask> {
-        self.drop_expired(now);
-        self.expire_ask(now);
-        if self.in_flight.is_some() || self.ask_at.is_some_and(|ask_at| now < ask_at) {
+    /// Returns the request to send to the owner now, if any. Only one request is in flight at a time.
+    pub fn token_request(&mut self, now: Instant) -> Option<TokenRequest> {
+        self.remove_expired(now);
+        self.expire_request(now);
+        if self.in_flight.is_some()
+            || self
+                .next_request_at
+                .is_some_and(|next_request_at| now < next_request_at)
+        {
             return None;
         }
-        let held = self.held();
-        let expected = self.demand.expected(AHEAD, now);
+        let available_tokens = self.available_tokens();
+        let expected = self.demand.expected(PREFETCH_WINDOW, now);
         let wanted = self.waiting.len() as u64;
-        // Asking for each token that was spent would cost a request a call.
+        // A request for each spent token would cost one request per call.
         let report_due = self.report_at.is_some_and(|report_at| report_at <= now);
-        if wanted == 0 && held >= expected.div_ceil(2) && !report_due {
+        if wanted == 0 && available_tokens >= expected.div_ceil(2) && !report_due {
             return None;
         }
         self.report_at = None;
@@ -177,62 +181,65 @@
             sent_at: now,
             wanted,
         });
-        Some(Ask {
+        Some(TokenRequest {
             sequence: self.sequence,
             wanted,
-            ahead: expected.saturating_sub(held),
+            ahead: expected.saturating_sub(available_tokens),
             spent_total: self.spent_total,
-            unspent: held,
+            unspent: available_tokens,
         })
     }
 
-    /// Takes the owner's answer and settles calls with it.
+    /// Processes the owner's response to a request and settles calls with it.
     ///
-    /// An answer to any request but the one under way is void, since the next request told the owner
-    /// that its tokens will not be spent.
+    /// A response to any request other than the one in flight is ignored, because the next request has
+    /// reported to the owner that its tokens will not be spent.
     pub fn answered(&mut self, sequence: u64, grant: Grant, now: Instant) -> Vec<Settled> {
         let Some(in_flight) = self.take_in_flight(sequence) else {
             return Vec::new();
         };
         self.owner_failed = false;
         let unmet = in_flight.wanted.saturating_sub(grant.granted);
-        self.ready = (unmet > 0).then(|| Ready {
+        self.serve_estimate = (unmet > 0).then(|| ServeEstimate {
             at: now + grant.retry_after,
-            covers: unmet,
+            calls: unmet,
         });
-        let pause = grant.retry_after / u32::try_from(unmet.max(1)).unwrap_or(u32::MAX);
-        self.ask_at = (unmet > 0).then(|| now + pause.clamp(ASK_PAUSE.0, ASK_PAUSE.1));
-        self.keep(in_flight.sent_at + grant.expires_after, grant.granted);
+        let interval = grant.retry_after / u32::try_from(unmet.max(1)).unwrap_or(u32::MAX);
+        self.next_request_at =
+            (unmet > 0).then(|| now + interval.clamp(REQUEST_INTERVAL.0, REQUEST_INTERVAL.1));
+        self.add_grant(in_flight.sent_at + grant.expires_after, grant.granted);
         self.tick(now)
     }
 
-    /// Takes note that the owner did not answer a request, or is no longer the owner.
+    /// Records that the owner did not respond to a request or is no longer the owner.
     pub fn failed(&mut self, sequence: u64, now: Instant) {
         if self.take_in_flight(sequence).is_some() {
-            self.note_failure(now);
+            self.record_failure(now);
         }
     }
 
-    /// When [`tick`](Self::tick) and [`ask`](Self::ask) have to be called next.
+    /// Returns the time at which [`tick`](Self::tick) and [`token_request`](Self::token_request) must be
+    /// called next.
     pub fn wake_at(&self) -> Option<Instant> {
-        let first_latest = self.waiting.iter().map(|waiter| waiter.latest).min();
-        let ask_at = match self.in_flight {
-            Some(in_flight) => Some(in_flight.sent_at + ASK_TIMEOUT),
-            None if self.waiting.is_empty() => self
-                .report_at
-                .map(|at| self.ask_at.map_or(at, |ask_at| ask_at.max(at))),
-            None => self.ask_at,
+        let first_deadline = self.waiting.iter().map(|waiter| waiter.deadline).min();
+        let next_request_at = match self.in_flight {
+            Some(in_flight) => Some(in_flight.sent_at + REQUEST_TIMEOUT),
+            None if self.waiting.is_empty() => self.report_at.map(|at| {
+                self.next_request_at
+                    .map_or(at, |next_request_at| next_request_at.max(at))
+            }),
+            None => self.next_request_at,
         };
-        [first_latest, ask_at].into_iter().flatten().min()
+        [first_deadline, next_request_at].into_iter().flatten().min()
     }
 
-    /// Calls that wait.
+    /// Returns the number of waiting calls.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Tokens that may be spent.
-    pub fn held(&self) -> u64 {
+    /// Returns the number of tokens that may be spent.
+    pub fn available_tokens(&self) -> u64 {
         self.grants.iter().map(|grant| grant.tokens).sum()
     }
 
@@ -245,17 +252,17 @@
             self.grants.pop_front();
         }
         self.spent_total += 1;
-        self.report_at.get_or_insert(now + REPORT_PAUSE);
+        self.report_at.get_or_insert(now + REPORT_DELAY);
         true
     }
 
-    fn keep(&mut self, expires_at: Instant, tokens: u64) {
+    fn add_grant(&mut self, expires_at: Instant, tokens: u64) {
         if tokens > 0 {
-            self.grants.push_back(Held { expires_at, tokens });
+            self.grants.push_back(ActiveGrant { expires_at, tokens });
         }
     }
 
-    fn drop_expired(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         self.grants.retain(|grant| grant.expires_at > now);
     }
 
@@ -270,68 +277,71 @@
         settled
     }
 
-    /// Refuses each call that would be admitted too late, counting only those that stay before it.
-    fn refuse_late(&mut self, now: Instant) -> Vec<Settled> {
-        let mut kept = VecDeque::with_capacity(self.waiting.len());
+    /// Refuses each call that would be admitted after its deadline, given the calls ahead of it that still
+    /// wait.
+    fn refuse_expired(&mut self, now: Instant) -> Vec<Settled> {
+        let mut remaining = VecDeque::with_capacity(self.waiting.len());
         let mut settled = Vec::new();
         for waiter in std::mem::take(&mut self.waiting) {
-            let wait = self.expected_wait(kept.len() + 1, now);
-            if now >= waiter.latest || now + wait > waiter.latest {
+            let wait = self.expected_wait(remaining.len() + 1, now);
+            if now >= waiter.deadline || now + wait > waiter.deadline {
                 settled.push(Settled {
                     waiter_id: waiter.waiter_id,
                     admission: self.refusal(wait),
                 });
             } else {
-                kept.push_back(waiter);
+                remaining.push_back(waiter);
             }
         }
-        self.waiting = kept;
+        self.waiting = remaining;
         settled
     }
 
-    /// Time until the call at a position of the queue gets a token, as far as the owner has told.
+    /// Returns the expected time until the call at a queue position gets a token, based on the owner's last
+    /// estimate.
     ///
-    /// The owner's word covers the calls that waited when it was asked. An owner that is new makes all
-    /// of them wait alike, so its word must not be stretched to a time for each further call.
+    /// The estimate calls the calls that were waiting at the time of the request. All calls wait equally
+    /// long for a new owner, so the estimate must not be scaled by the number of further calls.
     fn expected_wait(&self, position: usize, now: Instant) -> Duration {
-        let Some(ready) = self.ready else {
+        let Some(serve_estimate) = self.serve_estimate else {
             return Duration::ZERO;
         };
-        let further = u64::try_from(position)
+        let extra_calls = u64::try_from(position)
             .unwrap_or(u64::MAX)
-            .saturating_sub(ready.covers);
-        let further = u32::try_from(further).unwrap_or(u32::MAX);
-        ready.at.saturating_duration_since(now) + self.pace.saturating_mul(further)
+            .saturating_sub(serve_estimate.calls);
+        let extra_calls = u32::try_from(extra_calls).unwrap_or(u32::MAX);
+        serve_estimate.at.saturating_duration_since(now) + self.token_interval.saturating_mul(extra_calls)
     }
 
     fn refusal(&self, wait: Duration) -> Admission {
         Admission::Refused {
             over_rate: !self.owner_failed,
-            retry_after: wait.max(ASK_PAUSE.1),
+            retry_after: wait.max(REQUEST_INTERVAL.1),
         }
     }
 
-    fn expire_ask(&mut self, now: Instant) {
+    fn expire_request(&mut self, now: Instant) {
         if let Some(in_flight) = self.in_flight
-            && now >= in_flight.sent_at + ASK_TIMEOUT
+            && now >= in_flight.sent_at + REQUEST_TIMEOUT
         {
             self.in_flight = None;
-            self.note_failure(now);
+            self.record_failure(now);
         }
     }
 
     fn take_in_flight(&mut self, sequence: u64) -> Option<InFlight> {
-        let in_flight = self.in_flight.filter(|ask| ask.sequence == sequence)?;
+        let in_flight = self.in_flight.filter(|request| request.sequence == sequence)?;
         self.in_flight = None;
         Some(in_flight)
     }
 
-    fn note_failure(&mut self, now: Instant) {
+    fn record_failure(&mut self, now: Instant) {
         self.owner_failed = true;
-        // The next request reports them; an owner that is away would be asked over and over.
+        // The next request reports the spent tokens. A separate report would be retried continuously while
+        // the owner is unreachable.
         self.report_at = None;
-        self.ready = None;
-        self.ask_at = Some(now + FAILED_ASK_PAUSE);
+        self.serve_estimate = None;
+        self.next_request_at = Some(now + FAILED_REQUEST_BACKOFF);
     }
 }
 
@@ -349,13 +359,13 @@
         self.rate_per_s * (-age.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp()
     }
 
-    /// Whole calls expected within a time to come.
+    /// Returns the number of whole calls expected within a period.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "a demand is not negative and far below 2^52"
     )]
-    fn expected(&self, within: Duration, now: Instant) -> u64 {
-        (self.decayed(now) * within.as_secs_f64()).floor() as u64
+    fn expected(&self, period: Duration, now: Instant) -> u64 {
+        (self.decayed(now) * period.as_secs_f64()).floor() as u64
     }
 }
--- a/crates/burdockroad/src/retry.rs
+++ b/crates/burdockroad/src/retry.rs
@@ -1,7 +1,8 @@
-//! Whether and when a failed call is tried again.
+//! Retry budgets and backoff of failed calls.
 //!
-//! Each account has a budget of retries on each route. Calls pay into it, retries draw on it, so an
-//! account whose calls all fail adds a bounded share to the load, and uses up nobody else's retries.
+//! Each account has a retry budget on each route. Calls add to the budget and retries withdraw from it. An
+//! account whose calls all fail therefore adds a bounded share to the load, and does not use up the retries
+//! of others.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -9,20 +10,20 @@
 
 use crate::ids::{AccountId, RouteId};
 
-/// How calls are tried again.
+/// Options for retrying calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryOptions {
     /// Retries that each call adds to its budget.
     pub retries_per_call: f64,
-    /// Most retries that a budget holds, and what a new one begins with.
+    /// Maximum number of retries in a budget, and its initial level.
     pub burst: f64,
-    /// Tries of one call, the first included.
+    /// Maximum number of attempts of one call, including the first.
     pub attempts_max: u32,
-    /// Longest wait before the first retry; each further one may wait twice as long.
-    pub first_back_off: Duration,
-    /// Longest wait before any retry.
-    pub longest_back_off: Duration,
-    /// Budgets that are kept; beyond it, those that are full are forgotten.
+    /// Maximum backoff before the first retry; it doubles with each further retry.
+    pub initial_backoff: Duration,
+    /// Maximum backoff before any retry.
+    pub max_backoff: Duration,
+    /// Number of budgets from which full budgets are evicted.
     pub budgets_max: usize,
 }
 
@@ -32,14 +33,14 @@
             retries_per_call: 0.2,
             burst: 10.0,
             attempts_max: 3,
-            first_back_off: Duration::from_millis(20),
-            longest_back_off: Duration::from_secs(1),
+            initial_backoff: Duration::from_millis(20),
+            max_backoff: Duration::from_secs(1),
             budgets_max: 100_000,
         }
     }
 }
 
-/// Budgets of retries, by account and route.
+/// Retry budgets by account and route.
 ///
 /// # Example
 ///
@@ -49,8 +50,8 @@
 /// let options = RetryOptions { burst: 1.0, ..RetryOptions::default() };
 /// let mut budgets = RetryBudgets::new(options);
 /// let (account, route) = ("trust".to_owned(), "planner-llm".to_owned());
-/// assert!(budgets.draw(&account, &route, 1));
-/// assert!(!budgets.draw(&account, &route, 1), "the budget is used up");
+/// assert!(budgets.withdraw(&account, &route, 1));
+/// assert!(!budgets.withdraw(&account, &route, 1), "the budget is exhausted");
 /// ```
 #[derive(Clone, Debug)]
 pub struct RetryBudgets {
@@ -65,7 +66,7 @@
 }
 
 impl RetryBudgets {
-    /// Makes budgets that all begin full.
+    /// Creates retry budgets, all of which start full.
     pub fn new(options: RetryOptions) -> Self {
         Self {
             options,
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Pays one call into its budget.
-    pub fn note_call(&mut self, account_id: &AccountId, route_id: &RouteId) {
+    /// Adds one call's share to its budget.
+    pub fn record_call(&mut self, account_id: &AccountId, route_id: &RouteId) {
         let key = BudgetKey {
             account_id: account_id.clone(),
             route_id: route_id.clone(),
@@ -85,12 +86,13 @@
         }
     }
 
-    /// Draws one retry of a call that was tried `attempts` times; false when it may not be tried again.
-    pub fn draw(&mut self, account_id: &AccountId, route_id: &RouteId, attempts: u32) -> bool {
+    /// Withdraws one retry for a call after `attempts` attempts. Returns false if the call must not be
+    /// retried.
+    pub fn withdraw(&mut self, account_id: &AccountId, route_id: &RouteId, attempts: u32) -> bool {
         if attempts >= self.options.attempts_max {
             return false;
         }
-        self.forget_full();
+        self.evict_full();
         let key = BudgetKey {
             account_id: account_id.clone(),
             route_id: route_id.clone(),
@@ -103,21 +105,22 @@
         true
     }
 
-    /// Time to wait before the retry that follows `attempts` tries, drawn anew each time.
+    /// Returns a random backoff before the retry that follows `attempts` attempts.
     ///
-    /// All of the range is drawn from, so calls that failed together do not come back together.
-    pub fn back_off(&self, attempts: u32, rng: &mut impl Rng) -> Duration {
-        let doubled = 1_u32.checked_shl(attempts.saturating_sub(1)).unwrap_or(u32::MAX);
-        let longest = self
+    /// The backoff is drawn from the full range starting at zero, so calls that failed together are not
+    /// retried together.
+    pub fn backoff(&self, attempts: u32, rng: &mut impl Rng) -> Duration {
+        let factor = 1_u32.checked_shl(attempts.saturating_sub(1)).unwrap_or(u32::MAX);
+        let upper_bound = self
             .options
-            .first_back_off
-            .saturating_mul(doubled)
-            .min(self.options.longest_back_off);
-        longest.mul_f64(rng.random_range(0.0..=1.0))
+            .initial_backoff
+            .saturating_mul(factor)
+            .min(self.options.max_backoff);
+        upper_bound.mul_f64(rng.random_range(0.0..=1.0))
     }
 
-    /// Forgets budgets that are as a new one would be, once there are many.
-    fn forget_full(&mut self) {
+    /// Evicts full budgets, which equal new ones, once there are `budgets_max` budgets.
+    fn evict_full(&mut self) {
         if self.levels.len() >= self.options.budgets_max {
             let burst = self.options.burst;
             self.levels.retain(|_, level| *level < burst);
--- a/crates/burdockroad/tests/dispatch.rs
+++ b/crates/burdockroad/tests/dispatch.rs
@@ -6,7 +6,7 @@
 };
 
 use burdockroad::dispatch::{
-    Assignment, CacheEvent, Call, CallId, EndpointInfo, LoadReport, Pool, Report, Shortage, Submitted,
+    Assignment, CacheEvent, Call, CallId, EndpointInfo, LoadReport, Pool, RefusalReason, Report, Submitted,
 };
 use proptest::{
     prelude::*,
@@ -20,12 +20,12 @@
     pool
 }
 
-fn completion(account_id: &str, program_id: &str, prompt_tokens: u64, latest: Instant) -> Call {
+fn completion(account_id: &str, program_id: &str, prompt_tokens: u64, slot_deadline: Instant) -> Call {
     Call {
         program_id: Some(program_id.to_owned()),
         prompt_tokens,
         max_output_tokens: 100,
-        ..Call::new(account_id, latest)
+        ..Call::new(account_id, slot_deadline)
     }
 }
 
@@ -56,7 +56,7 @@
 /// Calls served for each account out of `rounds` full batches, with all of them waiting.
 fn served(weights: &[(&str, f64, u32)], rounds: u32) -> BTreeMap<String, u32> {
     let now = Instant::now();
-    let latest = now + Duration::from_hours(1);
+    let slot_deadline = now + Duration::from_hours(1);
     let mut pool = pool(&[("engine-1", 4)], now);
     let mut owners = BTreeMap::new();
     for (account_id, weight, calls) in weights {
@@ -64,7 +64,7 @@
         for _ in 0..*calls {
             let call = Call {
                 max_output_tokens: 100,
-                ..Call::new(*account_id, latest)
+                ..Call::new(*account_id, slot_deadline)
             };
             owners.insert(submitted(&mut pool, call, now), *account_id);
         }
@@ -97,11 +97,11 @@
 #[test]
 fn tick_least_attained_first() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1)], now);
     let attained = |attained_tokens| Call {
         attained_tokens,
-        ..Call::new("a", latest)
+        ..Call::new("a", slot_deadline)
     };
     let long = submitted(&mut pool, attained(50_000), now);
     let new = submitted(&mut pool, attained(0), now + Duration::from_millis(1));
@@ -117,10 +117,15 @@
 #[test]
 fn tick_prefix_holder() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1), ("engine-2", 1)], now);
-    let home = serve(&mut pool, completion("a", "p", 4_000, latest), report(4_000), now);
-    let again = || completion("a", "p", 4_200, latest);
+    let home = serve(
+        &mut pool,
+        completion("a", "p", 4_000, slot_deadline),
+        report(4_000),
+        now,
+    );
+    let again = || completion("a", "p", 4_200, slot_deadline);
 
     let now = now + Duration::from_secs(2);
     let call_id = submitted(&mut pool, again(), now);
@@ -148,7 +153,7 @@
 #[test]
 fn tick_after_cache_event() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 4), ("engine-2", 4)], now);
     let program_id = "p".to_owned();
     for endpoint_id in ["engine-1", "engine-2"] {
@@ -157,7 +162,7 @@
             tokens: 3_000,
         };
         pool.observe_cache_event(endpoint_id, &stored);
-        submitted(&mut pool, completion("a", "p", 3_000, latest), now);
+        submitted(&mut pool, completion("a", "p", 3_000, slot_deadline), now);
         assert_eq!(pool.tick(now).assignments[0].endpoint_id, endpoint_id);
         let removed = CacheEvent::Removed {
             program_id: program_id.clone(),
@@ -169,12 +174,17 @@
 #[test]
 fn tick_leaving_endpoint() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1), ("engine-2", 1)], now);
-    let home = serve(&mut pool, completion("a", "p", 4_000, latest), report(4_000), now);
-    submitted(&mut pool, completion("a", "p", 4_000, latest), now);
+    let home = serve(
+        &mut pool,
+        completion("a", "p", 4_000, slot_deadline),
+        report(4_000),
+        now,
+    );
+    submitted(&mut pool, completion("a", "p", 4_000, slot_deadline), now);
     pool.tick(now);
-    submitted(&mut pool, completion("a", "p", 4_000, latest), now);
+    submitted(&mut pool, completion("a", "p", 4_000, slot_deadline), now);
     assert_eq!(pool.tick(now).assignments, []);
 
     let infos = ["engine-1", "engine-2"].map(|id| EndpointInfo {
@@ -187,11 +197,11 @@
     assert_ne!(moved[0].endpoint_id, home.endpoint_id);
 
     pool.set_endpoints(Vec::new(), now);
-    let refused = pool.submit(Call::new("a", latest), now);
+    let refused = pool.submit(Call::new("a", slot_deadline), now);
     assert!(matches!(
         refused,
         Submitted::Refused {
-            reason: Shortage::NoEndpoint,
+            reason: RefusalReason::NoEndpoint,
             ..
         }
     ));
@@ -200,14 +210,14 @@
 #[test]
 fn submit_past_deadline() {
     let now = Instant::now();
-    let latest = now + Duration::from_secs(10);
+    let slot_deadline = now + Duration::from_secs(10);
     let mut pool = pool(&[("engine-1", 1)], now);
-    serve(&mut pool, Call::new("a", latest), Report::default(), now);
+    serve(&mut pool, Call::new("a", slot_deadline), Report::default(), now);
     let outcomes: Vec<_> = (0..30)
-        .map(|_| pool.submit(Call::new("a", latest), now))
+        .map(|_| pool.submit(Call::new("a", slot_deadline), now))
         .collect();
     let refused = outcomes.iter().position(|outcome| {
-        matches!(outcome, Submitted::Refused { reason: Shortage::Deadline, retry_after } if *retry_after >= Duration::from_secs(1))
+        matches!(outcome, Submitted::Refused { reason: RefusalReason::Deadline, retry_after } if *retry_after >= Duration::from_secs(1))
     });
     // One call takes a second, and first calls may be expected to wait for half of the ten.
     assert!(
@@ -216,12 +226,12 @@
     );
     // Another account has its own share of the endpoint.
     assert!(matches!(
-        pool.submit(Call::new("b", latest), now),
+        pool.submit(Call::new("b", slot_deadline), now),
         Submitted::Waiting(_)
     ));
 
     pool.tick(now);
-    let late = pool.tick(latest);
+    let late = pool.tick(slot_deadline);
     assert!(late.assignments.is_empty());
     assert_eq!(late.refused.len(), pool_waiting(&outcomes));
     assert_eq!(pool.waiting(), 0);
@@ -238,22 +248,22 @@
 #[test]
 fn submit_full_queue() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1)], now).with_waiting_max(10);
     for _ in 0..10 {
-        submitted(&mut pool, Call::new("flooding", latest), now);
+        submitted(&mut pool, Call::new("flooding", slot_deadline), now);
     }
     let full = |outcome| {
         matches!(
             outcome,
             Submitted::Refused {
-                reason: Shortage::QueueFull,
+                reason: RefusalReason::QueueFull,
                 ..
             }
         )
     };
-    assert!(full(pool.submit(Call::new("flooding", latest), now)));
-    assert!(!full(pool.submit(Call::new("other", latest), now)));
+    assert!(full(pool.submit(Call::new("flooding", slot_deadline), now)));
+    assert!(!full(pool.submit(Call::new("other", slot_deadline), now)));
 }
 
 #[test]
@@ -268,12 +278,12 @@
     ];
     for (failures, probes, a_admitted, b_admitted) in cases {
         let now = Instant::now();
-        let latest = now + Duration::from_mins(1);
+        let slot_deadline = now + Duration::from_mins(1);
         let mut pool = pool(&[("engine-1", 10)], now);
         let slots: Vec<_> = failures
             .iter()
             .map(|account_id| {
-                submitted(&mut pool, Call::new(*account_id, latest), now);
+                submitted(&mut pool, Call::new(*account_id, slot_deadline), now);
                 pool.tick(now).assignments[0].slot_id
             })
             .collect();
@@ -288,7 +298,7 @@
             pool.observe_probe("engine-1", false, now);
         }
         for (account_id, admitted) in [("a", a_admitted), ("b", b_admitted)] {
-            pool.submit(Call::new(account_id, latest), now);
+            pool.submit(Call::new(account_id, slot_deadline), now);
             let assigned = !pool.tick(now).assignments.is_empty();
             assert_eq!(assigned, admitted, "{failures:?} {probes} {account_id}");
         }
@@ -302,10 +312,10 @@
 #[test]
 fn observe_load_lagged() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 4)], now);
     for _ in 0..2 {
-        submitted(&mut pool, Call::new("a", latest), now);
+        submitted(&mut pool, Call::new("a", slot_deadline), now);
     }
     assert_eq!(pool.tick(now).assignments.len(), 2);
     let report = |running, age| LoadReport {
@@ -317,7 +327,7 @@
     let later = now + Duration::from_secs(2);
     pool.observe_load("engine-1", report(3, Duration::from_secs(1)), later);
     for _ in 0..4 {
-        submitted(&mut pool, Call::new("a", latest), later);
+        submitted(&mut pool, Call::new("a", slot_deadline), later);
     }
     assert_eq!(pool.tick(later).assignments.len(), 1);
     // The report is older than our third call, which it does not count.
@@ -379,8 +389,8 @@
             now += Duration::from_millis(pause_ms);
             match step {
                 Step::Submit { account, program, wait_ms } => {
-                    let latest = now + Duration::from_millis(wait_ms);
-                    let call = completion(&account.to_string(), &program.to_string(), 2_000, latest);
+                    let slot_deadline = now + Duration::from_millis(wait_ms);
+                    let call = completion(&account.to_string(), &program.to_string(), 2_000, slot_deadline);
                     if let Submitted::Waiting(call_id) = pool.submit(call, now) {
                         prop_assert!(waiting.insert(call_id));
                     }
--- a/crates/burdockroad/tests/quota.rs
+++ b/crates/burdockroad/tests/quota.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use burdockroad::quota::{Admission, Ask, Bucket, GRANT_LIFE, Grant, Holder, Limits};
+use burdockroad::quota::{Admission, Bucket, GRANT_LIFE, Grant, Holder, Limits, TokenRequest};
 use proptest::{
     prelude::*,
     test_runner::{Config, RngSeed},
@@ -30,7 +30,7 @@
 struct Request {
     host: usize,
     owner: usize,
-    ask: Ask,
+    token_request: TokenRequest,
 }
 
 struct Answer {
@@ -89,8 +89,8 @@
 
     fn calls(&mut self, host: usize, count: u8) {
         for waiter_id in 0..count {
-            let latest = self.now + Duration::from_secs(3);
-            if self.holders[host].admit(u64::from(waiter_id), latest, self.now) == Admission::Admitted {
+            let deadline = self.now + Duration::from_secs(3);
+            if self.holders[host].admit(u64::from(waiter_id), deadline, self.now) == Admission::Admitted {
                 self.admitted_at.push(self.now);
             }
         }
@@ -100,9 +100,13 @@
     fn tick(&mut self, host: usize) {
         let settled = self.holders[host].tick(self.now);
         self.count(&settled);
-        if let Some(ask) = self.holders[host].ask(self.now) {
+        if let Some(token_request) = self.holders[host].token_request(self.now) {
             let owner = self.owner;
-            self.requests.push(Request { host, owner, ask });
+            self.requests.push(Request {
+                host,
+                owner,
+                token_request,
+            });
         }
     }
 
@@ -112,12 +116,17 @@
         }
         let index = index % self.requests.len();
         if !matches!(fate, Fate::Lost) {
-            let Request { host, owner, ask } = self.requests[index];
+            let Request {
+                host,
+                owner,
+                token_request,
+            } = self.requests[index];
             // An owner that was replaced no longer holds its lease.
-            let grant = (owner == self.owner).then(|| self.bucket.grant(&host.to_string(), &ask, self.now));
+            let grant =
+                (owner == self.owner).then(|| self.bucket.grant(&host.to_string(), &token_request, self.now));
             self.answers.push(Answer {
                 host,
-                sequence: ask.sequence,
+                sequence: token_request.sequence,
                 grant,
             });
         }
@@ -260,8 +269,8 @@
     for at_ms in 0..10_000 {
         fleet.now = start + Duration::from_millis(at_ms);
         if at_ms * calls_per_s / 1_000 != (at_ms + 1) * calls_per_s / 1_000 {
-            let latest = fleet.now + Duration::from_millis(500);
-            match fleet.holders[0].admit(at_ms, latest, fleet.now) {
+            let deadline = fleet.now + Duration::from_millis(500);
+            match fleet.holders[0].admit(at_ms, deadline, fleet.now) {
                 Admission::Admitted => fleet.admitted_at.push(fleet.now),
                 Admission::Waiting => {}
                 refusal @ Admission::Refused { .. } => fleet.refused.push(refusal),
@@ -307,16 +316,16 @@
         burst: 3,
     });
     fleet.now += Duration::from_secs(3);
-    let latest = fleet.now + Duration::from_secs(1);
+    let deadline = fleet.now + Duration::from_secs(1);
     for waiter_id in 1..=3 {
         assert_eq!(
-            fleet.holders[0].admit(waiter_id, latest, fleet.now),
+            fleet.holders[0].admit(waiter_id, deadline, fleet.now),
             Admission::Waiting
         );
     }
-    let ask = fleet.holders[0].ask(fleet.now).expect("calls wait");
-    let grant = fleet.bucket.grant(&"0".to_owned(), &ask, fleet.now);
-    let settled = fleet.holders[0].answered(ask.sequence, grant, fleet.now);
+    let token_request = fleet.holders[0].token_request(fleet.now).expect("calls wait");
+    let grant = fleet.bucket.grant(&"0".to_owned(), &token_request, fleet.now);
+    let settled = fleet.holders[0].answered(token_request.sequence, grant, fleet.now);
     let order: Vec<_> = settled.iter().map(|call| call.waiter_id).collect();
     assert_eq!(order, [1, 2, 3]);
 }
@@ -337,15 +346,21 @@
             holder.admit(waiter_id, fleet.now + Duration::from_secs(4), fleet.now);
         }
     }
-    let ask = first.ask(fleet.now).expect("calls wait");
-    let granted = fleet.bucket.grant(&"first".to_owned(), &ask, fleet.now).granted;
+    let token_request = first.token_request(fleet.now).expect("calls wait");
+    let granted = fleet
+        .bucket
+        .grant(&"first".to_owned(), &token_request, fleet.now)
+        .granted;
     assert_eq!(
         granted, 9,
         "the whole bucket, to be spent at any time in the grant's life"
     );
     let end = fleet.now + GRANT_LIFE;
-    let ask = second.ask(end).expect("calls wait");
-    let granted = fleet.bucket.grant(&"second".to_owned(), &ask, end).granted;
+    let token_request = second.token_request(end).expect("calls wait");
+    let granted = fleet
+        .bucket
+        .grant(&"second".to_owned(), &token_request, end)
+        .granted;
     assert_eq!(granted, 0, "the first nine may have been spent a moment ago");
 }
 
@@ -355,17 +370,17 @@
     let mut holder = Holder::new();
     holder.set_rate(200.0);
     let start = Instant::now();
-    let latest = start + Duration::from_secs(10);
-    assert_eq!(holder.admit(1, latest, start), Admission::Waiting);
-    let ask = holder.ask(start).expect("a call waits");
+    let deadline = start + Duration::from_secs(10);
+    assert_eq!(holder.admit(1, deadline, start), Admission::Waiting);
+    let token_request = holder.token_request(start).expect("a call waits");
     let grant = Grant {
         granted: 0,
         expires_after: Duration::from_secs(1),
         retry_after: Duration::from_millis(1_500),
     };
-    assert_eq!(holder.answered(ask.sequence, grant, start), []);
+    assert_eq!(holder.answered(token_request.sequence, grant, start), []);
     for waiter_id in 2..=20 {
-        let admission = holder.admit(waiter_id, latest, start);
+        let admission = holder.admit(waiter_id, deadline, start);
         assert_eq!(admission, Admission::Waiting, "call {waiter_id}");
     }
     let soon = start + Duration::from_secs(1);
@@ -377,11 +392,11 @@
 fn admit_owner_silent() {
     let mut holder = Holder::new();
     let start = Instant::now();
-    let latest = start + Duration::from_secs(1);
-    assert_eq!(holder.admit(1, latest, start), Admission::Waiting);
-    assert!(holder.ask(start).is_some());
+    let deadline = start + Duration::from_secs(1);
+    assert_eq!(holder.admit(1, deadline, start), Admission::Waiting);
+    assert!(holder.token_request(start).is_some());
     assert_eq!(holder.tick(start + Duration::from_millis(900)), []);
-    let settled = holder.tick(latest);
+    let settled = holder.tick(deadline);
     assert!(matches!(
         settled[0].admission,
         Admission::Refused { over_rate: false, .. }
--- a/crates/burdockroad/tests/retry.rs
+++ b/crates/burdockroad/tests/retry.rs
@@ -17,9 +17,9 @@
     let (account, route) = names();
     let mut retries = 0;
     for _ in 0..1_000 {
-        budgets.note_call(&account, &route);
+        budgets.record_call(&account, &route);
         let mut attempts = 1;
-        while budgets.draw(&account, &route, attempts) {
+        while budgets.withdraw(&account, &route, attempts) {
             attempts += 1;
             retries += 1;
         }
@@ -39,14 +39,14 @@
     };
     let mut budgets = RetryBudgets::new(options);
     let (account, route) = names();
-    while budgets.draw(&account, &route, 1) {}
+    while budgets.withdraw(&account, &route, 1) {}
     let other = "harrowfield".to_owned();
     assert!(
-        budgets.draw(&other, &route, 1),
+        budgets.withdraw(&other, &route, 1),
         "one account's failures leave the others' retries"
     );
     assert!(
-        budgets.draw(&account, &"drafting".to_owned(), 1),
+        budgets.withdraw(&account, &"drafting".to_owned(), 1),
         "and those on its other routes"
     );
 }
@@ -59,7 +59,7 @@
     });
     let (account, route) = names();
     let allowed: Vec<bool> = (1..=4)
-        .map(|attempts| budgets.draw(&account, &route, attempts))
+        .map(|attempts| budgets.withdraw(&account, &route, attempts))
         .collect();
     assert_eq!(allowed, [true, true, false, false]);
 }
@@ -70,9 +70,9 @@
     let budgets = RetryBudgets::new(options);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for attempts in [1, 2, 3, 40] {
-        let doubled = options.first_back_off * 2_u32.pow(attempts.min(10) - 1);
-        let longest = doubled.min(options.longest_back_off);
-        let waits: Vec<Duration> = (0..200).map(|_| budgets.back_off(attempts, &mut rng)).collect();
+        let doubled = options.initial_backoff * 2_u32.pow(attempts.min(10) - 1);
+        let longest = doubled.min(options.max_backoff);
+        let waits: Vec<Duration> = (0..200).map(|_| budgets.backoff(attempts, &mut rng)).collect();
         assert!(
             waits.iter().all(|wait| *wait <= longest),
             "after {attempts} tries"
