--- a/crates/burdockroad/src/gateway/budget.rs
+++ b/crates/burdockroad/src/gateway/budget.rs
@@ -251,12 +251,12 @@
     }
 
     /// Records the result of a write or a read.
-    pub fn complete(&mut self, program: &ProgramId, answer: StoreResponse) {
+    pub fn complete(&mut self, program: &ProgramId, response: StoreResponse) {
         let incarnation = self.incarnation;
         let Some(row) = self.rows.get_mut(program) else {
             return;
         };
-        match answer {
+        match response {
             StoreResponse::Written(revision) => row.on_written(revision),
             StoreResponse::Found(found) => row.on_found(found, incarnation),
             StoreResponse::Indeterminate => row.on_indeterminate(),
--- a/crates/burdockroad/src/gateway/placement.rs
+++ b/crates/burdockroad/src/gateway/placement.rs
@@ -28,7 +28,7 @@
 /// Time to compute one prompt token that the endpoint has not cached, in milliseconds.
 const PROMPT_TOKEN_MS: f64 = 0.008;
 
-/// Maximum random addition to the expected time, as a fraction of it.
+/// Maximum random addition to the expected time, as a fraction of the endpoint's mean time.
 const JITTER_FRACTION: f64 = 0.06;
 
 /// Additional time of a call to another failure domain, in milliseconds.
@@ -250,11 +250,11 @@
             .filter(|row| row.endpoint.service == query.service)
             .filter(|row| !row.endpoint.leaving && !query.tried.contains(&row.endpoint.id))
             .filter(|row| row.in_flight < query.in_flight_max);
-        let candidates_by_cost = candidates.map(|row| {
-            let cost_ms = row.cost_ms(&query, service_mean_ms, now) + row.jitter_ms(jitter_seed);
-            (row.is_ejected(now), cost_ms, row)
+        let estimates = candidates.map(|row| {
+            let estimate_ms = row.estimate_ms(&query, service_mean_ms, now) + row.jitter_ms(jitter_seed);
+            (row.is_ejected(now), estimate_ms, row)
         });
-        let best = candidates_by_cost.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        let best = estimates.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         best.map(|(_, expected_ms, row)| Placement {
             endpoint: row.endpoint.clone(),
             expected_ms,
@@ -367,7 +367,7 @@
     }
 
     /// Returns the expected time to the first byte of the response.
-    fn cost_ms(&self, query: &PlacementQuery<'_>, service_mean_ms: f64, now: Instant) -> f64 {
+    fn estimate_ms(&self, query: &PlacementQuery<'_>, service_mean_ms: f64, now: Instant) -> f64 {
         let mean_ms = self.decayed_mean_ms(service_mean_ms, now);
         let slots = f64::from(self.endpoint.slots.max(1));
         let load = f64::from(self.load(now));
--- a/crates/burdockroad/tests/dispatch.rs
+++ b/crates/burdockroad/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which call gets a slot, and where.
+//! Assignment of calls to slots.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -36,7 +36,7 @@
     }
 }
 
-/// Runs one call to its end, so that the pool learns from it.
+/// Runs one call to completion, so that the pool records its result.
 fn serve(pool: &mut Pool, call: Call, report: Report, now: Instant) -> Assignment {
     submitted(pool, call, now);
     let assignment = pool.tick(now).assignments.remove(0);
@@ -53,7 +53,7 @@
     }
 }
 
-/// Calls served for each account out of `rounds` full batches, with all of them waiting.
+/// Returns the calls served per account in `rounds` full batches, with all calls waiting from the start.
 fn served(weights: &[(&str, f64, u32)], rounds: u32) -> BTreeMap<String, u32> {
     let now = Instant::now();
     let slot_deadline = now + Duration::from_hours(1);
@@ -108,18 +108,18 @@
     let aged = now + Duration::from_secs(10);
     let first = pool.tick(aged).assignments.remove(0);
     assert_eq!(first.call_id, new);
-    // A program that arrives much later does not pass one that has waited.
+    // A program that arrives much later does not overtake one that has waited.
     submitted(&mut pool, attained(0), aged);
     pool.complete(first.slot_id, &Report::default(), aged);
     assert_eq!(pool.tick(aged).assignments[0].call_id, long);
 }
 
 #[test]
-fn tick_prefix_holder() {
+fn tick_prefers_endpoint_with_cached_prefix() {
     let now = Instant::now();
     let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1), ("engine-2", 1)], now);
-    let home = serve(
+    let cached_on = serve(
         &mut pool,
         completion("a", "p", 4_000, slot_deadline),
         report(4_000),
@@ -132,22 +132,23 @@
     let assignment = pool.tick(now).assignments.remove(0);
     assert_eq!(
         (assignment.call_id, &assignment.endpoint_id),
-        (call_id, &home.endpoint_id)
+        (call_id, &cached_on.endpoint_id)
     );
 
-    // Its holder is busy, and computing 4,000 tokens again takes longer than one call.
+    // The endpoint with the cached prefix is busy, and recomputing 4,000 tokens takes longer than one call.
     submitted(&mut pool, again(), now);
     assert_eq!(pool.tick(now).assignments, []);
-    // A second one would wait for two calls, still less than the four seconds; a fifth one not.
+    // A second call would wait for two calls, which is still less than the four seconds of recomputing the
+    // prefix. A fifth call would wait longer.
     for _ in 0..4 {
         submitted(&mut pool, again(), now);
     }
     let elsewhere = pool.tick(now).assignments.remove(0);
-    assert_ne!(elsewhere.endpoint_id, home.endpoint_id);
+    assert_ne!(elsewhere.endpoint_id, cached_on.endpoint_id);
 
-    // The parked ones come first when the holder is free.
+    // Parked calls come first when their endpoint is free.
     pool.complete(assignment.slot_id, &report(4_200), now);
-    assert_eq!(pool.tick(now).assignments[0].endpoint_id, home.endpoint_id);
+    assert_eq!(pool.tick(now).assignments[0].endpoint_id, cached_on.endpoint_id);
 }
 
 #[test]
@@ -176,7 +177,7 @@
     let now = Instant::now();
     let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1), ("engine-2", 1)], now);
-    let home = serve(
+    let cached_on = serve(
         &mut pool,
         completion("a", "p", 4_000, slot_deadline),
         report(4_000),
@@ -188,13 +189,13 @@
     assert_eq!(pool.tick(now).assignments, []);
 
     let infos = ["engine-1", "engine-2"].map(|id| EndpointInfo {
-        leaving: id == home.endpoint_id,
+        leaving: id == cached_on.endpoint_id,
         ..EndpointInfo::new(id, 1)
     });
     pool.set_endpoints(infos.to_vec(), now);
     let moved = pool.tick(now).assignments;
     assert_eq!(moved.len(), 1);
-    assert_ne!(moved[0].endpoint_id, home.endpoint_id);
+    assert_ne!(moved[0].endpoint_id, cached_on.endpoint_id);
 
     pool.set_endpoints(Vec::new(), now);
     let refused = pool.submit(Call::new("a", slot_deadline), now);
@@ -219,7 +220,8 @@
     let refused = outcomes.iter().position(|outcome| {
         matches!(outcome, Submitted::Refused { reason: RefusalReason::Deadline, retry_after } if *retry_after >= Duration::from_secs(1))
     });
-    // One call takes a second, and first calls may be expected to wait for half of the ten.
+    // One call takes a second, and a first call may be expected to wait for half of the ten seconds to its
+    // deadline.
     assert!(
         refused.is_some_and(|index| (4..=6).contains(&index)),
         "{outcomes:?}"
@@ -233,12 +235,13 @@
     pool.tick(now);
     let late = pool.tick(slot_deadline);
     assert!(late.assignments.is_empty());
-    assert_eq!(late.refused.len(), pool_waiting(&outcomes));
+    assert_eq!(late.refused.len(), queued_calls(&outcomes));
     assert_eq!(pool.waiting(), 0);
 }
 
-/// Calls of these that wait after one of them and none of another account got the slot.
-fn pool_waiting(outcomes: &[Submitted]) -> usize {
+/// Returns the number of queued calls in `outcomes`. The queued call of account `b` makes up for the call that got
+/// the slot.
+fn queued_calls(outcomes: &[Submitted]) -> usize {
     let waiting = outcomes
         .iter()
         .filter(|outcome| matches!(outcome, Submitted::Waiting(_)));
@@ -268,7 +271,8 @@
 
 #[test]
 fn complete_failures() {
-    // Failing calls by account and failed probes; whether each of two accounts may still use it.
+    // Accounts of the failed calls, number of failed probes, and whether accounts `a` and `b` may still use the
+    // endpoint.
     let cases: [(&[&str], u32, bool, bool); 5] = [
         (&["a", "a"], 0, true, true),
         (&["a", "a", "a", "a", "a", "a"], 0, false, true),
@@ -302,7 +306,7 @@
             let assigned = !pool.tick(now).assignments.is_empty();
             assert_eq!(assigned, admitted, "{failures:?} {probes} {account_id}");
         }
-        // Everybody may try again later.
+        // All accounts may use the endpoint again after the ejection.
         let later = now + Duration::from_secs(40);
         pool.submit(Call::new("b", later + Duration::from_secs(1)), later);
         assert!(!pool.tick(later).assignments.is_empty(), "{failures:?} {probes}");
@@ -310,7 +314,7 @@
 }
 
 #[test]
-fn observe_load_lagged() {
+fn observe_load_delayed() {
     let now = Instant::now();
     let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 4)], now);
@@ -323,14 +327,14 @@
         age,
         ..LoadReport::default()
     };
-    // Three calls while two of them were ours: one is of somebody else, and one slot is left.
+    // Three calls are reported and two of them are from this pool, so one is from outside and one slot is left.
     let later = now + Duration::from_secs(2);
     pool.observe_load("engine-1", report(3, Duration::from_secs(1)), later);
     for _ in 0..4 {
         submitted(&mut pool, Call::new("a", slot_deadline), later);
     }
     assert_eq!(pool.tick(later).assignments.len(), 1);
-    // The report is older than our third call, which it does not count.
+    // The report is older than the pool's third call and does not include it.
     pool.observe_load("engine-1", report(2, Duration::from_secs(1)), later);
     assert_eq!(pool.tick(later).assignments.len(), 1);
 }
@@ -376,7 +380,8 @@
         ..Config::default()
     })]
 
-    /// Each call is settled once, and no endpoint gets more calls than slots, or any when leaving.
+    /// Checks that each call is settled exactly once, that no endpoint gets more calls than slots, and that a
+    /// leaving endpoint gets none.
     #[test]
     fn tick_settles_once(steps in prop::collection::vec((0..200_u64, step()), 10..300)) {
         let mut now = Instant::now();
--- a/crates/burdockroad/tests/gateway_allowance.rs
+++ b/crates/burdockroad/tests/gateway_allowance.rs
@@ -1,11 +1,11 @@
-//! An account's rate over several hosts that tell each other what they admitted.
+//! Rate limit of an account over several hosts that report their admitted calls to each other.
 
 use std::time::{Duration, Instant};
 
 use burdockroad::gateway::{AccountUsage, Admission, RateLimiter, UsageReport};
 
 const HOSTS: usize = 7;
-/// Calls a second, and calls at once.
+/// Rate in calls per second; also the burst.
 const RATE: usize = 60;
 const RATE_PER_S: f64 = 60.0;
 const BURST: f64 = 60.0;
@@ -14,7 +14,7 @@
 const REPORT_STEPS: u64 = 30;
 
 struct Hosts {
-    tables: Vec<RateLimiter>,
+    limiters: Vec<RateLimiter>,
     account: String,
     now: Instant,
     steps: u64,
@@ -26,14 +26,14 @@
     fn new() -> Self {
         let now = Instant::now();
         let account = "account".to_owned();
-        let tables = (0..HOSTS).map(|this| {
+        let limiters = (0..HOSTS).map(|this| {
             let mut rate_limiter = RateLimiter::new(now);
-            rate_limiter.set_peers((0..HOSTS).filter(|other| *other != this).map(name));
+            rate_limiter.set_peers((0..HOSTS).filter(|other| *other != this).map(host_id));
             rate_limiter.set_accounts([(&account, RATE_PER_S, BURST)]);
             rate_limiter
         });
         Self {
-            tables: tables.collect(),
+            limiters: limiters.collect(),
             account: "account".to_owned(),
             now,
             steps: 0,
@@ -42,38 +42,39 @@
         }
     }
 
-    /// Lets time pass; `calls` arrive at each host in turn, `heard` says whose reports reach whom.
-    fn step(&mut self, calls: &[usize], starts_program: bool, heard: impl Fn(usize, usize) -> bool) {
+    /// Advances the time by one step. One call arrives at each host in `calls`. `is_delivered` returns whether a
+    /// report from one host reaches another.
+    fn step(&mut self, calls: &[usize], starts_program: bool, is_delivered: impl Fn(usize, usize) -> bool) {
         self.now += STEP;
         self.steps += 1;
         for host in calls {
-            let admission = self.tables[*host].admit(&self.account, starts_program, self.now);
+            let admission = self.limiters[*host].admit(&self.account, starts_program, self.now);
             if admission == Admission::Admitted {
                 self.admitted_at.push(self.now);
             }
         }
         if self.steps.is_multiple_of(REPORT_STEPS) {
-            self.report(heard);
+            self.report(is_delivered);
         }
     }
 
-    fn report(&mut self, heard: impl Fn(usize, usize) -> bool) {
+    fn report(&mut self, is_delivered: impl Fn(usize, usize) -> bool) {
         for from in 0..HOSTS {
-            let report = self.tables[from].report(&name(from), self.incarnations[from], self.now);
+            let report = self.limiters[from].report(&host_id(from), self.incarnations[from], self.now);
             for to in 0..HOSTS {
-                if from != to && heard(from, to) {
-                    self.tables[to].record_report(&report, self.now);
+                if from != to && is_delivered(from, to) {
+                    self.limiters[to].record_report(&report, self.now);
                 }
             }
         }
     }
 
-    /// Starts a host's process anew.
+    /// Restarts a host's process.
     fn restart(&mut self, host: usize) {
         let mut rate_limiter = RateLimiter::new(self.now);
-        rate_limiter.set_peers((0..HOSTS).filter(|other| *other != host).map(name));
+        rate_limiter.set_peers((0..HOSTS).filter(|other| *other != host).map(host_id));
         rate_limiter.set_accounts([(&self.account, RATE_PER_S, BURST)]);
-        self.tables[host] = rate_limiter;
+        self.limiters[host] = rate_limiter;
         self.incarnations[host] += 1;
     }
 
@@ -83,7 +84,7 @@
         }
     }
 
-    fn most_in_a_window(&self) -> usize {
+    fn max_calls_in_window(&self) -> usize {
         let counts = self.admitted_at.iter().map(|from| {
             let within = self
                 .admitted_at
@@ -95,35 +96,35 @@
     }
 }
 
-fn name(host: usize) -> String {
+fn host_id(host: usize) -> String {
     format!("host-{host}")
 }
 
-/// What the rule allows in a window, with its tolerance.
-fn allowed() -> usize {
+/// Returns the maximum number of calls in a window, including the tolerance.
+fn max_allowed_calls() -> usize {
     let limit = RATE * 5 + RATE;
     limit * 11 / 10 + 20
 }
 
 #[test]
-fn flood_over_all_hosts_keeps_the_rate() {
+fn admit_flood_over_all_hosts_stays_within_rate() {
     let mut hosts = Hosts::new();
     hosts.idle(Duration::from_secs(10));
     for step in 0..2400_usize {
-        // About seven times the rate, unevenly over the hosts.
+        // About seven times the rate, unevenly distributed over the hosts.
         let calls = [step % HOSTS, (step * step) % 3];
         hosts.step(&calls, false, |_, _| true);
     }
     assert!(
-        hosts.most_in_a_window() <= allowed(),
+        hosts.max_calls_in_window() <= max_allowed_calls(),
         "{}",
-        hosts.most_in_a_window()
+        hosts.max_calls_in_window()
     );
     assert!(hosts.admitted_at.len() >= RATE * 12 * 8 / 10);
 }
 
 #[test]
-fn flood_with_a_host_cut_off_keeps_the_rate() {
+fn admit_flood_with_partitioned_host_stays_within_rate() {
     let mut hosts = Hosts::new();
     hosts.idle(Duration::from_secs(10));
     for step in 0..2400_usize {
@@ -131,30 +132,30 @@
         hosts.step(&calls, false, |from, to| from != 0 && to != 0);
     }
     assert!(
-        hosts.most_in_a_window() <= allowed(),
+        hosts.max_calls_in_window() <= max_allowed_calls(),
         "{}",
-        hosts.most_in_a_window()
+        hosts.max_calls_in_window()
     );
 }
 
 #[test]
-fn start_after_a_restart_gives_no_burst() {
+fn new_after_restart_grants_no_burst() {
     let mut hosts = Hosts::new();
-    let begun_at = hosts.now;
+    let started_at = hosts.now;
     for step in 0..200_usize {
         hosts.step(&[step % HOSTS, (step + 3) % HOSTS], false, |_, _| true);
     }
     let first_second = hosts
         .admitted_at
         .iter()
-        .filter(|at| **at < begun_at + Duration::from_secs(1));
+        .filter(|at| **at < started_at + Duration::from_secs(1));
     assert!(first_second.count() <= RATE + 20);
 }
 
-/// A host that is restarted under the usual load, after its peers have admitted for long: it knows what is left
-/// as soon as it has heard of them, and refuses nothing that the account's rate allows.
+/// Guards against refusals by a host that restarts under normal load. Once its longer-running peers have
+/// reported, it must use their level and refuse no call that the account's rate allows.
 #[test]
-fn start_after_a_restart_takes_over_what_others_know() {
+fn record_report_after_restart_adopts_peer_level() {
     let mut hosts = Hosts::new();
     hosts.idle(Duration::from_secs(5));
     for step in 0..4000_usize {
@@ -175,14 +176,14 @@
     assert_eq!(hosts.admitted_at.len() - admitted_before, 20);
 }
 
-/// A peer whose process began anew after this one counts from nothing, also for accounts that its first
-/// report does not name.
+/// A peer that restarts counts from zero. All of its calls must be counted, including those of accounts that
+/// are missing from its first report.
 #[test]
-fn note_report_of_a_restarted_peer_counts_all_of_its_calls() {
+fn record_report_of_restarted_peer_counts_all_calls() {
     let mut now = Instant::now();
     let account = "account".to_owned();
     let mut rate_limiter = RateLimiter::new(now);
-    rate_limiter.set_peers([name(1)]);
+    rate_limiter.set_peers([host_id(1)]);
     rate_limiter.set_accounts([(&account, RATE_PER_S, BURST)]);
     let used = |admitted| AccountUsage {
         account: account.clone(),
@@ -192,35 +193,35 @@
         ..AccountUsage::default()
     };
     let report = |incarnation, uptime, accounts| UsageReport {
-        host: name(1),
+        host: host_id(1),
         incarnation,
         uptime,
         accounts,
     };
     now += Duration::from_secs(5);
     rate_limiter.record_report(&report(1, Duration::from_secs(5), vec![used(500)]), now);
-    let before = rate_limiter.report(&name(0), 1, now).accounts[0].level;
+    let before = rate_limiter.report(&host_id(0), 1, now).accounts[0].level;
     rate_limiter.record_report(&report(2, Duration::ZERO, Vec::new()), now);
     rate_limiter.record_report(&report(2, Duration::ZERO, vec![used(40)]), now);
-    let after = rate_limiter.report(&name(0), 1, now).accounts[0].level;
+    let after = rate_limiter.report(&host_id(0), 1, now).accounts[0].level;
     assert!((before - after - 40.0).abs() < 1e-9, "{before} {after}");
 }
 
 #[test]
-fn admit_keeps_the_last_part_for_programs_that_have_begun() {
+fn admit_reserves_capacity_for_running_programs() {
     let mut hosts = Hosts::new();
     hosts.idle(Duration::from_secs(10));
     for _ in 0..400 {
         hosts.step(&[0], true, |_, _| true);
     }
-    let new = hosts.tables[0].admit(&hosts.account, true, hosts.now);
-    let running = hosts.tables[0].admit(&hosts.account, false, hosts.now);
+    let new = hosts.limiters[0].admit(&hosts.account, true, hosts.now);
+    let running = hosts.limiters[0].admit(&hosts.account, false, hosts.now);
     assert!(matches!(new, Admission::Refused { retry_after } if retry_after > Duration::ZERO));
     assert_eq!(running, Admission::Admitted);
 }
 
 #[test]
-fn admit_without_a_rate_always_admits() {
+fn admit_without_rate_always_admits() {
     let now = Instant::now();
     let mut rate_limiter = RateLimiter::new(now);
     for _ in 0..1000 {
@@ -231,42 +232,42 @@
     }
 }
 
-/// Calls of one program, one after the other.
+/// Sequential calls of one program.
 const PROGRAM_CALLS: usize = 10;
 const CALL_TIME: Duration = Duration::from_millis(150);
-/// Time from its first attempt within which a program is of use to its caller.
-const PROGRAM_TIME: Duration = Duration::from_millis(2300);
-/// Times that one call of a program is sent before the program fails.
-const SENDS_MAX: usize = 4;
+/// Time from its first attempt within which a program must finish to be useful.
+const PROGRAM_DEADLINE: Duration = Duration::from_millis(2300);
+/// Attempts of one call after which the program fails.
+const ATTEMPTS_MAX: usize = 4;
 
 struct Program {
     host: usize,
-    began_at: Instant,
+    started_at: Instant,
     calls_left: usize,
-    sends: usize,
+    attempts: usize,
     next_at: Instant,
 }
 
-/// Plays programs of one account over all hosts and counts those that end in time; `told_apart` says whether
-/// the hosts tell calls that begin a program from others.
-fn programs_in_time(programs_per_s: f64, play: Duration, told_apart: bool) -> usize {
+/// Simulates programs of one account over all hosts and returns the number that finish in time.
+/// `is_start_marked` sets whether the hosts distinguish calls that start a program.
+fn programs_in_time(programs_per_s: f64, duration: Duration, is_start_marked: bool) -> usize {
     let mut hosts = Hosts::new();
     hosts.idle(Duration::from_secs(5));
     let mut running: Vec<Program> = Vec::new();
     let mut in_time = 0;
-    let mut due = 0.0;
-    let mut begun = 0;
-    let ends_at = hosts.now + play;
-    while hosts.now < ends_at {
-        due += programs_per_s * STEP.as_secs_f64();
-        while due >= 1.0 {
-            due -= 1.0;
-            begun += 1;
+    let mut due_programs = 0.0;
+    let mut started_programs = 0;
+    let end = hosts.now + duration;
+    while hosts.now < end {
+        due_programs += programs_per_s * STEP.as_secs_f64();
+        while due_programs >= 1.0 {
+            due_programs -= 1.0;
+            started_programs += 1;
             running.push(Program {
-                host: begun % HOSTS,
-                began_at: hosts.now,
+                host: started_programs % HOSTS,
+                started_at: hosts.now,
                 calls_left: PROGRAM_CALLS,
-                sends: 0,
+                attempts: 0,
                 next_at: hosts.now,
             });
         }
@@ -276,21 +277,21 @@
                 return true;
             }
             if program.calls_left == 0 {
-                in_time += usize::from(now <= program.began_at + PROGRAM_TIME);
+                in_time += usize::from(now <= program.started_at + PROGRAM_DEADLINE);
                 return false;
             }
-            let starts_program = told_apart && program.calls_left == PROGRAM_CALLS;
-            match hosts.tables[program.host].admit(&hosts.account, starts_program, now) {
+            let starts_program = is_start_marked && program.calls_left == PROGRAM_CALLS;
+            match hosts.limiters[program.host].admit(&hosts.account, starts_program, now) {
                 Admission::Admitted => {
                     program.calls_left -= 1;
-                    program.sends = 0;
+                    program.attempts = 0;
                     program.next_at = now + CALL_TIME;
                     true
                 }
                 Admission::Refused { retry_after } => {
-                    program.sends += 1;
+                    program.attempts += 1;
                     program.next_at = now + retry_after;
-                    program.sends < SENDS_MAX
+                    program.attempts < ATTEMPTS_MAX
                 }
             }
         });
@@ -299,17 +300,20 @@
     in_time
 }
 
-/// Seven times an account's usual programs: those that begin are given what they need to end, rather than all
-/// of them a part of it.
+/// Guards against a flood in which every program is admitted in part and none finishes. With seven times an
+/// account's usual programs, running programs must get the calls that they need to finish.
 #[test]
-fn flood_of_programs_lets_those_end_that_begin() {
-    let play = Duration::from_secs(20);
-    let with = programs_in_time(26.0, play, true);
-    let without = programs_in_time(26.0, play, false);
-    assert!(with * 2 > without * 3, "{with} told apart, {without} not");
+fn admit_program_flood_favors_running_programs() {
+    let duration = Duration::from_secs(20);
+    let marked = programs_in_time(26.0, duration, true);
+    let unmarked = programs_in_time(26.0, duration, false);
+    assert!(
+        marked * 2 > unmarked * 3,
+        "{marked} with marked starts, {unmarked} without"
+    );
 }
 
-/// The same flood, against what the account's rate would let end.
+/// Compares the same flood with the number of programs that the account's rate allows to finish.
 #[test]
 fn flood_of_programs_ends_most_that_the_rate_allows() {
     let in_time = programs_in_time(26.0, Duration::from_secs(20), true);
@@ -318,7 +322,10 @@
 }
 
 #[test]
-fn usual_programs_are_all_served() {
+fn admit_usual_programs_serves_all() {
     let in_time = programs_in_time(3.7, Duration::from_secs(20), true);
-    assert!(in_time >= 66, "{in_time} of 74, the last of them cut by the end");
+    assert!(
+        in_time >= 66,
+        "{in_time} of 74 programs finished in time; the last ones exceed the simulated time"
+    );
 }
--- a/crates/burdockroad/tests/gateway_budget.rs
+++ b/crates/burdockroad/tests/gateway_budget.rs
@@ -1,4 +1,4 @@
-//! Budgets over several hosts, with lost replies, late writes and hosts that are killed.
+//! Budgets over several hosts, with lost responses, delayed writes and killed hosts.
 
 use std::time::{Duration, Instant};
 
@@ -10,16 +10,16 @@
 
 const HOSTS: usize = 3;
 const BUDGET_TOKENS: u64 = 1300;
-const MOST_TOKENS: u64 = 288;
+const MAX_TOKENS: u64 = 288;
 const PROGRAM: &str = "program";
 
-/// What becomes of a write.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Answered,
-    ReplyLost,
+enum WriteOutcome {
+    Responded,
+    ResponseLost,
     NeverArrives,
-    ArrivesLate,
+    Delayed,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -27,9 +27,9 @@
     Enter { host: usize, owns_budget: bool },
     Take { host: usize },
     End { host: usize, used_tokens: u64 },
-    Write { host: usize, fate: Fate },
-    LateArrives,
-    LookAgain { host: usize },
+    Write { host: usize, outcome: WriteOutcome },
+    DelayedArrives,
+    Poll { host: usize },
     Release { host: usize },
     Kill { host: usize },
 }
@@ -39,7 +39,7 @@
 struct Store {
     stored: Option<VersionedBudget>,
     revision: i64,
-    late: Vec<BudgetWrite>,
+    delayed: Vec<BudgetWrite>,
 }
 
 impl Store {
@@ -63,28 +63,28 @@
     waiting: usize,
 }
 
-struct World {
+struct Cluster {
     hosts: Vec<Host>,
     store: Store,
     incarnation: u64,
-    handed_out_tokens: u64,
+    generated_tokens: u64,
     now: Instant,
 }
 
-impl World {
+impl Cluster {
     fn new() -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             hosts: Vec::new(),
             store: Store::default(),
             incarnation: 0,
-            handed_out_tokens: 0,
+            generated_tokens: 0,
             now: Instant::now(),
         };
         for _ in 0..HOSTS {
-            let host = world.start();
-            world.hosts.push(host);
+            let host = cluster.start();
+            cluster.hosts.push(host);
         }
-        world
+        cluster
     }
 
     fn start(&mut self) -> Host {
@@ -104,13 +104,13 @@
             Step::Enter { host, owns_budget } => {
                 let host = &mut self.hosts[host];
                 host.ledger
-                    .add_waiter(&program, BUDGET_TOKENS, MOST_TOKENS, owns_budget, now);
+                    .add_waiter(&program, BUDGET_TOKENS, MAX_TOKENS, owns_budget, now);
                 host.waiting += 1;
             }
             Step::Take { host } => {
                 let host = &mut self.hosts[host];
-                if host.waiting > 0 && host.ledger.take(&program, MOST_TOKENS) == Readiness::Ready {
-                    host.ledger.remove_waiter(&program, MOST_TOKENS);
+                if host.waiting > 0 && host.ledger.take(&program, MAX_TOKENS) == Readiness::Ready {
+                    host.ledger.remove_waiter(&program, MAX_TOKENS);
                     host.waiting -= 1;
                     host.running += 1;
                 }
@@ -119,17 +119,17 @@
                 let host = &mut self.hosts[host];
                 if host.running > 0 {
                     host.running -= 1;
-                    self.handed_out_tokens += used_tokens;
-                    host.ledger.settle(&program, MOST_TOKENS, used_tokens, now);
+                    self.generated_tokens += used_tokens;
+                    host.ledger.settle(&program, MAX_TOKENS, used_tokens, now);
                 }
             }
-            Step::Write { host, fate } => self.write(host, fate),
-            Step::LateArrives => {
-                if let Some(write) = self.store.late.pop() {
+            Step::Write { host, outcome } => self.write(host, outcome),
+            Step::DelayedArrives => {
+                if let Some(write) = self.store.delayed.pop() {
                     self.store.write(&write);
                 }
             }
-            Step::LookAgain { host } => {
+            Step::Poll { host } => {
                 let found = self.store.stored.clone();
                 self.hosts[host]
                     .ledger
@@ -141,44 +141,44 @@
                 ledger.settle_due(now);
             }
             Step::Kill { host } => {
-                // Its callers may have been handed all that its running calls could generate.
-                self.handed_out_tokens += self.hosts[host].running as u64 * MOST_TOKENS;
+                // The callers may have received all tokens that the host's running calls could generate.
+                self.generated_tokens += self.hosts[host].running as u64 * MAX_TOKENS;
                 self.hosts[host] = self.start();
             }
         }
     }
 
-    fn write(&mut self, host: usize, fate: Fate) {
+    fn write(&mut self, host: usize, outcome: WriteOutcome) {
         for write in self.hosts[host].ledger.next_writes(8) {
-            let answer = match fate {
-                Fate::Answered => self.store.write(&write),
-                Fate::ReplyLost => {
+            let response = match outcome {
+                WriteOutcome::Responded => self.store.write(&write),
+                WriteOutcome::ResponseLost => {
                     self.store.write(&write);
                     StoreResponse::Indeterminate
                 }
-                Fate::NeverArrives => StoreResponse::Indeterminate,
-                Fate::ArrivesLate => {
-                    self.store.late.push(write.clone());
+                WriteOutcome::NeverArrives => StoreResponse::Indeterminate,
+                WriteOutcome::Delayed => {
+                    self.store.delayed.push(write.clone());
                     StoreResponse::Indeterminate
                 }
             };
-            self.hosts[host].ledger.complete(&write.program, answer);
+            self.hosts[host].ledger.complete(&write.program, response);
         }
     }
 
-    /// Tokens handed out, and those that running calls may still hand out.
+    /// Returns the generated tokens plus those that running calls may still generate.
     fn committed_tokens(&self) -> u64 {
         let running: usize = self.hosts.iter().map(|host| host.running).sum();
-        self.handed_out_tokens + running as u64 * MOST_TOKENS
+        self.generated_tokens + running as u64 * MAX_TOKENS
     }
 }
 
-fn fates() -> impl Strategy<Value = Fate> {
+fn outcomes() -> impl Strategy<Value = WriteOutcome> {
     prop_oneof![
-        4 => Just(Fate::Answered),
-        1 => Just(Fate::ReplyLost),
-        1 => Just(Fate::NeverArrives),
-        1 => Just(Fate::ArrivesLate),
+        4 => Just(WriteOutcome::Responded),
+        1 => Just(WriteOutcome::ResponseLost),
+        1 => Just(WriteOutcome::NeverArrives),
+        1 => Just(WriteOutcome::Delayed),
     ]
 }
 
@@ -187,10 +187,10 @@
     prop_oneof![
         3 => (host.clone(), any::<bool>()).prop_map(|(host, owns_budget)| Step::Enter { host, owns_budget }),
         6 => host.clone().prop_map(|host| Step::Take { host }),
-        3 => (host.clone(), 0..=MOST_TOKENS).prop_map(|(host, used_tokens)| Step::End { host, used_tokens }),
-        6 => (host.clone(), fates()).prop_map(|(host, fate)| Step::Write { host, fate }),
-        1 => Just(Step::LateArrives),
-        1 => host.clone().prop_map(|host| Step::LookAgain { host }),
+        3 => (host.clone(), 0..=MAX_TOKENS).prop_map(|(host, used_tokens)| Step::End { host, used_tokens }),
+        6 => (host.clone(), outcomes()).prop_map(|(host, outcome)| Step::Write { host, outcome }),
+        1 => Just(Step::DelayedArrives),
+        1 => host.clone().prop_map(|host| Step::Poll { host }),
         1 => host.clone().prop_map(|host| Step::Release { host }),
         1 => host.prop_map(|host| Step::Kill { host }),
     ]
@@ -200,117 +200,118 @@
     #![proptest_config(Config { cases: 2000, rng_seed: RngSeed::Fixed(7), ..Config::default() })]
 
     #[test]
-    fn budget_is_kept_under_faults(steps in proptest::collection::vec(steps(), 1..120)) {
-        let mut world = World::new();
+    fn take_under_faults_never_exceeds_budget(steps in proptest::collection::vec(steps(), 1..120)) {
+        let mut cluster = Cluster::new();
         for step in steps {
-            world.apply(step);
-            prop_assert!(world.committed_tokens() <= BUDGET_TOKENS, "after {step:?}");
+            cluster.apply(step);
+            prop_assert!(cluster.committed_tokens() <= BUDGET_TOKENS, "after {step:?}");
         }
     }
 }
 
-fn ready(world: &mut World, host: usize) -> bool {
-    world.apply(Step::Enter {
+fn start_call(cluster: &mut Cluster, host: usize) -> bool {
+    cluster.apply(Step::Enter {
         host,
         owns_budget: true,
     });
     for _ in 0..3 {
-        world.apply(Step::Take { host });
-        world.apply(Step::Write {
+        cluster.apply(Step::Take { host });
+        cluster.apply(Step::Write {
             host,
-            fate: Fate::Answered,
+            outcome: WriteOutcome::Responded,
         });
     }
-    world.hosts[host].running > 0
+    cluster.hosts[host].running > 0
 }
 
 #[test]
-fn keeper_serves_usual_program_with_few_writes() {
-    let mut world = World::new();
+fn take_by_owner_needs_few_writes() {
+    let mut cluster = Cluster::new();
     for _ in 0..6 {
-        assert!(ready(&mut world, 0));
-        world.apply(Step::End {
+        assert!(start_call(&mut cluster, 0));
+        cluster.apply(Step::End {
             host: 0,
             used_tokens: 72,
         });
     }
     assert!(
-        world.store.revision <= 2,
+        cluster.store.revision <= 2,
         "{} writes for six calls",
-        world.store.revision
+        cluster.store.revision
     );
 }
 
 #[test]
-fn lost_keeper_leaves_half_of_the_budget() {
-    let mut world = World::new();
-    assert!(ready(&mut world, 0));
-    world.apply(Step::Kill { host: 0 });
-    assert!(ready(&mut world, 1));
+fn take_after_owner_loss_has_half_of_budget() {
+    let mut cluster = Cluster::new();
+    assert!(start_call(&mut cluster, 0));
+    cluster.apply(Step::Kill { host: 0 });
+    assert!(start_call(&mut cluster, 1));
 }
 
 #[test]
-fn spent_budget_is_refused_after_restart() {
-    let mut world = World::new();
-    while ready(&mut world, 0) {
-        world.apply(Step::End {
+fn take_after_restart_refuses_spent_budget() {
+    let mut cluster = Cluster::new();
+    while start_call(&mut cluster, 0) {
+        cluster.apply(Step::End {
             host: 0,
-            used_tokens: MOST_TOKENS,
+            used_tokens: MAX_TOKENS,
         });
     }
     for host in 0..HOSTS {
-        world.apply(Step::Kill { host });
+        cluster.apply(Step::Kill { host });
     }
-    assert!(!ready(&mut world, 1));
-    assert!(world.handed_out_tokens <= BUDGET_TOKENS);
+    assert!(!start_call(&mut cluster, 1));
+    assert!(cluster.generated_tokens <= BUDGET_TOKENS);
 }
 
-/// A program that never ends asks for tokens again and again while its own calls take all that is left: only
-/// other hosts' holds are a reason to read its budget, once for all calls that wait.
+/// Guards against needless polls of the store. A program that never ends keeps requesting tokens while its own
+/// calls have reserved the whole remaining budget. Only reservations of other hosts are a reason to poll, and
+/// one poll serves all waiting calls.
 #[test]
-fn wants_look_only_while_other_hosts_hold_tokens() {
+fn should_poll_only_with_reservations_of_other_hosts() {
     let now = Instant::now();
     let program = PROGRAM.to_owned();
     let mut store = Store::default();
-    let mut keeper = Ledger::new(LedgerOptions::default(), 1);
-    keeper.add_waiter(&program, 2 * MOST_TOKENS, MOST_TOKENS, true, now);
-    assert_eq!(keeper.take(&program, MOST_TOKENS), Readiness::AwaitWrite);
-    for write in keeper.next_writes(16) {
-        let answer = store.write(&write);
-        keeper.complete(&program, answer);
+    let mut owner = Ledger::new(LedgerOptions::default(), 1);
+    owner.add_waiter(&program, 2 * MAX_TOKENS, MAX_TOKENS, true, now);
+    assert_eq!(owner.take(&program, MAX_TOKENS), Readiness::AwaitWrite);
+    for write in owner.next_writes(16) {
+        let response = store.write(&write);
+        owner.complete(&program, response);
     }
-    assert_eq!(keeper.take(&program, MOST_TOKENS), Readiness::Ready);
-    assert!(!keeper.should_poll(&program, now));
+    assert_eq!(owner.take(&program, MAX_TOKENS), Readiness::Ready);
+    assert!(!owner.should_poll(&program, now));
 
     let mut other = Ledger::new(LedgerOptions::default(), 2);
-    other.add_waiter(&program, 2 * MOST_TOKENS, MOST_TOKENS, false, now);
+    other.add_waiter(&program, 2 * MAX_TOKENS, MAX_TOKENS, false, now);
     for _ in 0..2 {
-        assert_eq!(other.take(&program, MOST_TOKENS), Readiness::AwaitWrite);
+        assert_eq!(other.take(&program, MAX_TOKENS), Readiness::AwaitWrite);
         for write in other.next_writes(16) {
-            let answer = store.write(&write);
-            other.complete(&program, answer);
+            let response = store.write(&write);
+            other.complete(&program, response);
         }
     }
-    keeper.complete(&program, StoreResponse::Found(store.stored.clone()));
-    assert!(keeper.should_poll(&program, now));
-    assert!(!keeper.should_poll(&program, now));
-    assert!(keeper.should_poll(&program, now + Duration::from_millis(200)));
+    owner.complete(&program, StoreResponse::Found(store.stored.clone()));
+    assert!(owner.should_poll(&program, now));
+    assert!(!owner.should_poll(&program, now));
+    assert!(owner.should_poll(&program, now + Duration::from_millis(200)));
 }
 
 #[test]
-fn release_idle_gives_back_what_no_call_uses() {
-    let mut world = World::new();
-    assert!(ready(&mut world, 0));
-    world.apply(Step::End {
+fn release_idle_returns_unused_tokens() {
+    let mut cluster = Cluster::new();
+    assert!(start_call(&mut cluster, 0));
+    cluster.apply(Step::End {
         host: 0,
         used_tokens: 10,
     });
-    world.apply(Step::Release { host: 0 });
-    world.apply(Step::Write {
+    cluster.apply(Step::Release { host: 0 });
+    cluster.apply(Step::Write {
         host: 0,
-        fate: Fate::Answered,
+        outcome: WriteOutcome::Responded,
     });
-    let stored = world.store.stored.expect("the budget is stored").budget;
+    let stored = cluster.store.stored.expect("the budget is stored").budget;
     assert_eq!(stored.spent_tokens, 10);
     assert_eq!(stored.held_tokens(), 0);
 }
--- a/crates/burdockroad/tests/gateway_calls.rs
+++ b/crates/burdockroad/tests/gateway_calls.rs
@@ -1,4 +1,4 @@
-//! Routes and accounts of calls, and streams that are cut into events.
+//! Lookup of routes and accounts, and splitting of streams into events.
 
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn route_takes_the_longest_prefix() {
+fn route_selects_longest_prefix() {
     let directory = directory();
     let found = |path| {
         directory
@@ -55,19 +55,19 @@
 }
 
 #[test]
-fn account_needs_a_known_key_unless_the_route_is_public() {
+fn account_requires_valid_key_unless_route_is_public() {
     let directory = directory();
-    let closed = directory.route("host.example", "/a/").expect("a route");
+    let private = directory.route("host.example", "/a/").expect("a route");
     let public = directory.route("host.example", "/a/b/").expect("a route");
     assert!(matches!(
-        directory.account(closed, Some("key")),
+        directory.account(private, Some("key")),
         AccountLookup::Account(_)
     ));
     assert!(matches!(
-        directory.account(closed, Some("no")),
+        directory.account(private, Some("no")),
         AccountLookup::Unknown
     ));
-    assert!(matches!(directory.account(closed, None), AccountLookup::Unknown));
+    assert!(matches!(directory.account(private, None), AccountLookup::Unknown));
     assert!(matches!(
         directory.account(public, None),
         AccountLookup::Anonymous
@@ -75,33 +75,33 @@
 }
 
 #[test]
-fn push_releases_whole_events_however_they_are_cut() {
+fn push_returns_complete_events_for_any_chunk_size() {
     let text = b"id: 1\ndata: a\n\nweight: 2\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\n";
     for size in 1..text.len() {
         let mut buffer = EventBuffer::after(None);
-        let mut released = Vec::new();
+        let mut returned = Vec::new();
         for chunk in text.chunks(size) {
-            released.extend_from_slice(&buffer.push(chunk));
+            returned.extend_from_slice(&buffer.push(chunk));
         }
-        assert_eq!(released, text, "in chunks of {size}");
+        assert_eq!(returned, text, "in chunks of {size} bytes");
         assert_eq!(buffer.last_id(), Some(3));
         assert_eq!(buffer.released(), 3);
     }
 }
 
 #[test]
-fn push_after_a_cut_joins_at_the_end_of_an_event() {
+fn push_after_discard_resumes_at_event_boundary() {
     let mut buffer = EventBuffer::after(None);
     let first = buffer.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert!(buffer.has_partial());
     buffer.discard_partial();
-    // The endpoint that goes on repeats an event that was already passed on.
+    // The endpoint that resumes the stream repeats an event that was already returned.
     let second = buffer.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     assert_eq!([first, second].concat(), b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
 }
 
 #[test]
-fn take_rest_releases_an_event_without_its_empty_line() {
+fn take_remainder_returns_event_without_empty_line() {
     let mut buffer = EventBuffer::after(Some(4));
     assert!(buffer.push(b"id: 5\ndata: a\n").is_empty());
     assert_eq!(&*buffer.take_remainder(), b"id: 5\ndata: a\n");
--- a/crates/burdockroad/tests/gateway_placement.rs
+++ b/crates/burdockroad/tests/gateway_placement.rs
@@ -1,4 +1,4 @@
-//! Choice of endpoints, retries, and which programs begin under load.
+//! Choice of endpoints, retries, and admission of programs under load.
 
 use std::time::{Duration, Instant};
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn choose_prefers_the_endpoint_that_holds_the_prompt() {
+fn choose_prefers_endpoint_with_cached_prompt() {
     let mut table = table(4);
     let parts = [PromptPart { id: 7, tokens: 2000 }];
     table.start_call("endpoint-2", &parts);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn choose_passes_over_endpoints_that_are_leaving_failing_or_slow() {
+fn choose_skips_leaving_failing_and_slow_endpoints() {
     let now = Instant::now();
     let mut table = table(4);
     table.insert(Endpoint {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn choose_uses_a_failing_endpoint_when_no_other_is_left() {
+fn choose_falls_back_to_failing_endpoint() {
     let now = Instant::now();
     let mut table = table(1);
     table.record_outcome("endpoint-0", Outcome::Failed, now);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn insert_of_a_new_run_forgets_what_was_held() {
+fn insert_of_new_run_clears_cached_parts() {
     let mut table = table(2);
     let parts = [PromptPart {
         id: 7,
@@ -103,9 +103,9 @@
     assert_eq!(chosen(&table, &parts, 0, Instant::now()), "endpoint-1");
 }
 
-/// Largest number of calls at one endpoint when six hosts place calls beside a host that has filled three
-/// of nine endpoints.
-fn busiest_beside_a_busy_host(reports: bool) -> u32 {
+/// Returns the maximum number of calls at one endpoint when six hosts place calls after another host has put ten
+/// calls on each of three of the nine endpoints.
+fn max_calls_beside_loaded_host(reports: bool) -> u32 {
     let now = Instant::now();
     let mut hosts: Vec<EndpointTable> = (0..7).map(|_| table(9)).collect();
     for index in 0..3 {
@@ -129,27 +129,27 @@
 }
 
 fn exchange_reports(hosts: &mut [EndpointTable], now: Instant) {
-    let told: Vec<_> = hosts.iter().map(EndpointTable::all_in_flight).collect();
+    let reports: Vec<_> = hosts.iter().map(EndpointTable::all_in_flight).collect();
     for (to, table) in hosts.iter_mut().enumerate() {
-        for (from, in_flight) in told.iter().enumerate().filter(|(from, _)| *from != to) {
+        for (from, in_flight) in reports.iter().enumerate().filter(|(from, _)| *from != to) {
             table.record_peer(&format!("host-{from}"), in_flight, now);
         }
     }
 }
 
 #[test]
-fn note_peer_keeps_hosts_from_crowding_one_endpoint() {
-    let with = busiest_beside_a_busy_host(true);
-    let without = busiest_beside_a_busy_host(false);
-    assert!(with <= 12, "{with} calls at an endpoint of 12 slots");
+fn record_peer_prevents_overload_of_one_endpoint() {
+    let shared = max_calls_beside_loaded_host(true);
+    let unshared = max_calls_beside_loaded_host(false);
+    assert!(shared <= 12, "{shared} calls at an endpoint with 12 slots");
     assert!(
-        without > 12,
-        "{without} calls without reports: the load does not press"
+        unshared > 12,
+        "{unshared} calls without reports: the load is too low to show the effect of reports"
     );
 }
 
 #[test]
-fn note_peer_counts_the_latest_word_of_each_host_that_is_heard() {
+fn record_peer_counts_latest_report_of_each_live_host() {
     let mut table = table(2);
     let mut now = Instant::now();
     let calls = |index: usize, calls| EndpointCalls {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn next_step_never_repeats_what_may_have_run_once() {
+fn next_step_never_retries_non_idempotent_call_that_may_have_run() {
     let state = RetryState {
         unknown: 1,
         endpoints_run: 1,
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn next_step_goes_elsewhere_when_nothing_ran() {
+fn next_step_selects_other_endpoint_if_call_did_not_run() {
     let state = RetryState {
         unstarted: 1,
         ..RetryState::default()
@@ -209,39 +209,40 @@
 }
 
 #[test]
-fn next_step_stays_at_the_endpoint_that_has_begun() {
+fn next_step_retries_endpoint_on_which_call_may_run() {
     let kind = RouteKind::Streaming { resumable: true };
-    let silent = RetryState {
+    let unresponsive = RetryState {
         unknown: 1,
         endpoints_run: 1,
         ..RetryState::default()
     };
     assert_eq!(
-        next_step(kind, 1, Failure::Unknown, silent),
+        next_step(kind, 1, Failure::Unknown, unresponsive),
         NextStep::SameEndpoint
     );
     let unreachable_attempts = RetryState {
         unstarted: 1,
         unreachable_attempts: 1,
-        ..silent
+        ..unresponsive
     };
     assert_eq!(
         next_step(kind, 1, Failure::Unreachable, unreachable_attempts),
         NextStep::SameEndpoint
     );
-    let gone = RetryState {
+    let removed = RetryState {
         unstarted: 1,
         endpoints_run: 0,
         last_endpoint_removed: true,
-        ..silent
+        ..unresponsive
     };
     assert_eq!(
-        next_step(kind, 1, Failure::NotListening, gone),
+        next_step(kind, 1, Failure::NotListening, removed),
         NextStep::OtherEndpoint
     );
 }
 
-/// Programs that end in time when twice as many begin as the slots can serve; each makes four calls.
+/// Returns the number of programs that finish in time when twice as many start as the slots can serve. Each
+/// program makes four calls.
 fn programs_in_time(gated: bool) -> usize {
     const SLOTS: usize = 10;
     const CALLS: u32 = 4;
@@ -250,38 +251,38 @@
     let mut gate = ProgramStartGate::default();
     let mut running: Vec<(u32, u32)> = Vec::new();
     let mut in_time = 0;
-    let begun_at = Instant::now();
+    let started_at = Instant::now();
     for step in 0..400_u32 {
-        let now = begun_at + Duration::from_millis(20) * step;
+        let now = started_at + Duration::from_millis(20) * step;
         if step.is_multiple_of(2) {
             let load = f64::from(u32::try_from(running.len()).unwrap_or(u32::MAX)) / 10.0;
-            let decided = gate.decide(&format!("program-{step}"), load, 1, 0.5, now);
-            if !gated || decided == StartDecision::Admitted {
+            let decision = gate.decide(&format!("program-{step}"), load, 1, 0.5, now);
+            if !gated || decision == StartDecision::Admitted {
                 running.push((step, CALLS * CALL_STEPS));
             }
         }
-        for (_, work) in running.iter_mut().take(SLOTS) {
-            *work -= 1;
+        for (_, steps_left) in running.iter_mut().take(SLOTS) {
+            *steps_left -= 1;
         }
-        // A slot goes to whoever waited longest for its next call.
+        // Slots are assigned to the programs that have waited longest for their next call.
         let split = running.len().min(SLOTS);
         if step.is_multiple_of(CALL_STEPS) {
             running.rotate_left(split);
         }
         in_time += running
             .iter()
-            .filter(|(begun, work)| *work == 0 && step - begun <= IN_TIME_STEPS)
+            .filter(|(started, steps_left)| *steps_left == 0 && step - started <= IN_TIME_STEPS)
             .count();
-        running.retain(|(_, work)| *work > 0);
+        running.retain(|(_, steps_left)| *steps_left > 0);
     }
     in_time
 }
 
 #[test]
-fn decide_lets_more_programs_end_in_time_under_a_burst() {
-    let with = programs_in_time(true);
-    let without = programs_in_time(false);
-    assert!(with > without * 2, "{with} with the gate, {without} without");
+fn decide_under_burst_increases_programs_in_time() {
+    let gated = programs_in_time(true);
+    let ungated = programs_in_time(false);
+    assert!(gated > ungated * 2, "{gated} with the gate, {ungated} without");
 }
 
 #[test]
--- a/crates/burdockroad/tests/gateway_spread.rs
+++ b/crates/burdockroad/tests/gateway_spread.rs
@@ -1,11 +1,11 @@
-//! Which hosts watch the store, and which a report is sent to.
+//! Choice of the hosts that watch the store, and of the recipients of a report.
 
 use std::{collections::BTreeSet, time::Duration};
 
 use burdockroad::gateway::{HostLocation, report_targets, should_watch, watchers};
 
-fn locations(domains: usize, each: usize) -> Vec<HostLocation> {
-    let hosts = (0..domains * each).map(|index| HostLocation {
+fn locations(domains: usize, per_domain: usize) -> Vec<HostLocation> {
+    let hosts = (0..domains * per_domain).map(|index| HostLocation {
         host: format!("host-{index}"),
         failure_domain: format!("domain-{}", index % domains),
     });
@@ -13,52 +13,53 @@
 }
 
 #[test]
-fn watchers_are_few_and_in_different_domains() {
+fn watchers_are_in_different_domains() {
     let hosts = locations(4, 17);
-    let chosen = watchers(&hosts);
-    let domains: BTreeSet<&str> = chosen
+    let selected = watchers(&hosts);
+    let domains: BTreeSet<&str> = selected
         .iter()
         .filter_map(|host| hosts.iter().find(|location| location.host == *host))
         .map(|location| location.failure_domain.as_str())
         .collect();
-    assert_eq!(chosen.len(), 3);
+    assert_eq!(selected.len(), 3);
     assert_eq!(domains.len(), 3);
 }
 
 #[test]
-fn watchers_without_one_that_is_lost_keep_the_others() {
+fn watchers_after_loss_keep_the_others() {
     let hosts = locations(3, 3);
     let before = watchers(&hosts);
-    let left: Vec<HostLocation> = hosts
+    let remaining: Vec<HostLocation> = hosts
         .into_iter()
         .filter(|location| location.host != before[0])
         .collect();
-    let after = watchers(&left);
+    let after = watchers(&remaining);
     assert_eq!(after.len(), 3);
     assert!(after.contains(&before[1]) && after.contains(&before[2]));
 }
 
 #[test]
-fn watchers_of_a_host_that_hears_nobody_are_itself() {
+fn watchers_without_peers_is_own_host() {
     let alone = locations(1, 1);
     assert_eq!(watchers(&alone), ["host-0"]);
 }
 
-/// A host that is cut from those that watch, but hears others which leave watching to them.
+/// Covers a host that is partitioned from the watchers but receives reports from hosts that leave watching to
+/// them.
 #[test]
-fn has_to_watch_when_no_host_tells_that_it_watches() {
+fn should_watch_without_recent_announcement() {
     let live = locations(3, 3);
-    let chosen = watchers(&live);
-    let other = live.iter().find(|location| !chosen.contains(&location.host));
-    let other = &other.expect("some hosts do not watch").host;
+    let selected = watchers(&live);
+    let other = live.iter().find(|location| !selected.contains(&location.host));
+    let other = &other.expect("a host that is not a watcher").host;
     assert!(!should_watch(other, &live, Some(Duration::from_millis(150))));
     assert!(should_watch(other, &live, Some(Duration::from_secs(1))));
     assert!(should_watch(other, &live, None));
-    assert!(should_watch(&chosen[0], &live, Some(Duration::ZERO)));
+    assert!(should_watch(&selected[0], &live, Some(Duration::ZERO)));
 }
 
 #[test]
-fn report_targets_reach_each_other_domain_through_one_host() {
+fn report_targets_has_one_host_per_remote_domain() {
     let others = locations(4, 17);
     let targets = report_targets("domain-0", &others, 5);
     assert_eq!(targets.len(), 17 + 3);
--- a/crates/burdockroad/tests/quota.rs
+++ b/crates/burdockroad/tests/quota.rs
@@ -1,4 +1,4 @@
-//! What all hosts admit together, under lost, late and repeated messages and changing owners.
+//! Calls admitted by all hosts together, under lost, delayed and duplicated messages and changes of the owner.
 
 use std::time::{Duration, Instant};
 
@@ -10,43 +10,43 @@
 
 const HOSTS: usize = 3;
 
-/// One event; messages wait until a step delivers, repeats or loses them.
+/// Step of the simulation. Messages are queued until a step delivers, duplicates or loses them.
 #[derive(Clone, Debug)]
 enum Step {
     Calls { host: usize, count: u8 },
-    Request { index: usize, fate: Fate },
-    Answer { index: usize, fate: Fate },
+    Request { index: usize, delivery: Delivery },
+    Response { index: usize, delivery: Delivery },
     Tick { host: usize },
     OwnerChanges,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Delivery {
     Delivered,
-    Repeated,
+    Duplicated,
     Lost,
 }
 
-struct Request {
+struct PendingRequest {
     host: usize,
     owner: usize,
     token_request: TokenRequest,
 }
 
-struct Answer {
+struct PendingResponse {
     host: usize,
     sequence: u64,
     grant: Option<Grant>,
 }
 
-struct Fleet {
+struct Cluster {
     now: Instant,
     limits: Limits,
     bucket: Bucket,
     owner: usize,
     holders: Vec<Holder>,
-    requests: Vec<Request>,
-    answers: Vec<Answer>,
+    requests: Vec<PendingRequest>,
+    responses: Vec<PendingResponse>,
     admitted_at: Vec<Instant>,
     refused: Vec<Admission>,
 }
@@ -57,7 +57,7 @@
     holder
 }
 
-impl Fleet {
+impl Cluster {
     fn new(limits: Limits) -> Self {
         let now = Instant::now();
         Self {
@@ -67,7 +67,7 @@
             owner: 0,
             holders: vec![holder(limits); HOSTS],
             requests: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             admitted_at: Vec::new(),
             refused: Vec::new(),
         }
@@ -77,8 +77,8 @@
         self.now += pause;
         match *step {
             Step::Calls { host, count } => self.calls(host, count),
-            Step::Request { index, fate } => self.request(index, fate),
-            Step::Answer { index, fate } => self.answer(index, fate),
+            Step::Request { index, delivery } => self.request(index, delivery),
+            Step::Response { index, delivery } => self.response(index, delivery),
             Step::Tick { host } => self.tick(host),
             Step::OwnerChanges => {
                 self.owner += 1;
@@ -102,7 +102,7 @@
         self.count(&settled);
         if let Some(token_request) = self.holders[host].token_request(self.now) {
             let owner = self.owner;
-            self.requests.push(Request {
+            self.requests.push(PendingRequest {
                 host,
                 owner,
                 token_request,
@@ -110,51 +110,51 @@
         }
     }
 
-    fn request(&mut self, index: usize, fate: Fate) {
+    fn request(&mut self, index: usize, delivery: Delivery) {
         if self.requests.is_empty() {
             return;
         }
         let index = index % self.requests.len();
-        if !matches!(fate, Fate::Lost) {
-            let Request {
+        if !matches!(delivery, Delivery::Lost) {
+            let PendingRequest {
                 host,
                 owner,
                 token_request,
             } = self.requests[index];
-            // An owner that was replaced no longer holds its lease.
+            // An owner that was replaced no longer has its lease.
             let grant =
                 (owner == self.owner).then(|| self.bucket.grant(&host.to_string(), &token_request, self.now));
-            self.answers.push(Answer {
+            self.responses.push(PendingResponse {
                 host,
                 sequence: token_request.sequence,
                 grant,
             });
         }
-        if !matches!(fate, Fate::Repeated) {
+        if !matches!(delivery, Delivery::Duplicated) {
             self.requests.remove(index);
         }
     }
 
-    fn answer(&mut self, index: usize, fate: Fate) {
-        if self.answers.is_empty() {
+    fn response(&mut self, index: usize, delivery: Delivery) {
+        if self.responses.is_empty() {
             return;
         }
-        let index = index % self.answers.len();
-        let Answer {
+        let index = index % self.responses.len();
+        let PendingResponse {
             host,
             sequence,
             grant,
-        } = self.answers[index];
-        match (fate, grant) {
-            (Fate::Lost, _) => {}
+        } = self.responses[index];
+        match (delivery, grant) {
+            (Delivery::Lost, _) => {}
             (_, None) => self.holders[host].failed(sequence, self.now),
             (_, Some(grant)) => {
                 let settled = self.holders[host].answered(sequence, grant, self.now);
                 self.count(&settled);
             }
         }
-        if !matches!(fate, Fate::Repeated) {
-            self.answers.remove(index);
+        if !matches!(delivery, Delivery::Duplicated) {
+            self.responses.remove(index);
         }
     }
 
@@ -168,35 +168,35 @@
     }
 }
 
-/// Most calls by which any window passes the limits; a bucket that is drained by every call and
-/// starts full falls below zero just when some window does.
+/// Returns the maximum number of calls by which any window exceeds the limits. A bucket that starts full and is
+/// drained by every call falls below zero exactly if some window exceeds the limits.
 fn excess(admitted_at: &[Instant], limits: Limits) -> f64 {
     let burst = f64::from(limits.burst);
     let mut level = burst;
-    let mut worst = 0.0_f64;
+    let mut max_excess = 0.0_f64;
     let mut previous = admitted_at.first().copied();
     for &at in admitted_at {
         let elapsed = at.duration_since(previous.unwrap_or(at)).as_secs_f64();
         level = (level + elapsed * limits.rate_per_s).min(burst) - 1.0;
-        worst = worst.max(-level);
+        max_excess = max_excess.max(-level);
         previous = Some(at);
     }
-    worst
+    max_excess
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        8 => Just(Fate::Delivered),
-        2 => Just(Fate::Repeated),
-        1 => Just(Fate::Lost),
+        8 => Just(Delivery::Delivered),
+        2 => Just(Delivery::Duplicated),
+        1 => Just(Delivery::Lost),
     ]
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => (0..HOSTS, 1..12_u8).prop_map(|(host, count)| Step::Calls { host, count }),
-        8 => (0..4_usize, fate()).prop_map(|(index, fate)| Step::Request { index, fate }),
-        8 => (0..4_usize, fate()).prop_map(|(index, fate)| Step::Answer { index, fate }),
+        8 => (0..4_usize, delivery()).prop_map(|(index, delivery)| Step::Request { index, delivery }),
+        8 => (0..4_usize, delivery()).prop_map(|(index, delivery)| Step::Response { index, delivery }),
         4 => (0..HOSTS).prop_map(|host| Step::Tick { host }),
         1 => Just(Step::OwnerChanges),
     ]
@@ -230,70 +230,70 @@
     #![proptest_config(config())]
 
     #[test]
-    fn grant_every_window(limits in limits(), steps in steps()) {
-        let mut fleet = Fleet::new(limits);
+    fn grant_limits_every_window(limits in limits(), steps in steps()) {
+        let mut cluster = Cluster::new(limits);
         for (pause, step) in &steps {
-            fleet.run(*pause, step);
+            cluster.run(*pause, step);
         }
-        prop_assert!(excess(&fleet.admitted_at, limits) < 1e-6);
+        prop_assert!(excess(&cluster.admitted_at, limits) < 1e-6);
     }
 
     #[test]
     fn set_limits_every_window(old in limits(), new in limits(), before in steps(), after in steps()) {
-        let mut fleet = Fleet::new(old);
+        let mut cluster = Cluster::new(old);
         for (pause, step) in &before {
-            fleet.run(*pause, step);
+            cluster.run(*pause, step);
         }
-        let calls_before = fleet.admitted_at.len();
-        fleet.limits = new;
-        fleet.bucket.set_limits(new, fleet.now);
-        let settled_at = fleet.now + GRANT_LIFE;
+        let calls_before = cluster.admitted_at.len();
+        cluster.limits = new;
+        cluster.bucket.set_limits(new, cluster.now);
+        let settled_at = cluster.now + GRANT_LIFE;
         for (pause, step) in &after {
-            fleet.run(*pause, step);
+            cluster.run(*pause, step);
         }
         let larger = Limits {
             rate_per_s: old.rate_per_s.max(new.rate_per_s),
             burst: old.burst.max(new.burst),
         };
-        let later = fleet.admitted_at.partition_point(|&at| at < settled_at);
-        prop_assert!(excess(&fleet.admitted_at[..calls_before], old) < 1e-6);
-        prop_assert!(excess(&fleet.admitted_at, larger) < 1e-6);
-        prop_assert!(excess(&fleet.admitted_at[later..], new) < 1e-6);
+        let later = cluster.admitted_at.partition_point(|&at| at < settled_at);
+        prop_assert!(excess(&cluster.admitted_at[..calls_before], old) < 1e-6);
+        prop_assert!(excess(&cluster.admitted_at, larger) < 1e-6);
+        prop_assert!(excess(&cluster.admitted_at[later..], new) < 1e-6);
     }
 }
 
-/// Sends calls evenly at one host for ten seconds, with an owner that answers at once.
-fn run_alone(limits: Limits, calls_per_s: u64) -> (usize, Vec<Admission>) {
-    let mut fleet = Fleet::new(limits);
-    let start = fleet.now;
+/// Sends evenly spaced calls to one host for ten seconds, with an owner that responds at once.
+fn run_single_host(limits: Limits, calls_per_s: u64) -> (usize, Vec<Admission>) {
+    let mut cluster = Cluster::new(limits);
+    let start = cluster.now;
     for at_ms in 0..10_000 {
-        fleet.now = start + Duration::from_millis(at_ms);
+        cluster.now = start + Duration::from_millis(at_ms);
         if at_ms * calls_per_s / 1_000 != (at_ms + 1) * calls_per_s / 1_000 {
-            let deadline = fleet.now + Duration::from_millis(500);
-            match fleet.holders[0].admit(at_ms, deadline, fleet.now) {
-                Admission::Admitted => fleet.admitted_at.push(fleet.now),
+            let deadline = cluster.now + Duration::from_millis(500);
+            match cluster.holders[0].admit(at_ms, deadline, cluster.now) {
+                Admission::Admitted => cluster.admitted_at.push(cluster.now),
                 Admission::Waiting => {}
-                refusal @ Admission::Refused { .. } => fleet.refused.push(refusal),
+                refusal @ Admission::Refused { .. } => cluster.refused.push(refusal),
             }
         }
-        let settled = fleet.holders[0].tick(fleet.now);
-        fleet.count(&settled);
-        fleet.tick(0);
-        fleet.request(0, Fate::Delivered);
-        fleet.answer(0, Fate::Delivered);
+        let settled = cluster.holders[0].tick(cluster.now);
+        cluster.count(&settled);
+        cluster.tick(0);
+        cluster.request(0, Delivery::Delivered);
+        cluster.response(0, Delivery::Delivered);
     }
-    (fleet.admitted_at.len(), fleet.refused)
+    (cluster.admitted_at.len(), cluster.refused)
 }
 
 #[test]
-fn admit_inside_rate() {
+fn admit_within_rate() {
     let limits = Limits {
         rate_per_s: 50.0,
         burst: 10,
     };
-    let (admitted, refused) = run_alone(limits, 48);
+    let (admitted, refused) = run_single_host(limits, 48);
     assert_eq!(refused, Vec::new());
-    assert!(admitted >= 478, "admitted {admitted} of 480");
+    assert!(admitted >= 478, "admitted {admitted} of 480 calls");
 }
 
 #[test]
@@ -302,77 +302,81 @@
         rate_per_s: 50.0,
         burst: 10,
     };
-    let (admitted, refused) = run_alone(limits, 250);
+    let (admitted, refused) = run_single_host(limits, 250);
     assert!((490..=510).contains(&admitted), "admitted {admitted}");
     assert!(refused.len() >= 1_900, "refused {}", refused.len());
-    let final_and_dated = |refusal: &Admission| matches!(refusal, Admission::Refused { over_rate: true, retry_after } if *retry_after > Duration::ZERO);
-    assert!(refused.iter().all(final_and_dated));
+    let is_over_rate_with_retry = |refusal: &Admission| matches!(refusal, Admission::Refused { over_rate: true, retry_after } if *retry_after > Duration::ZERO);
+    assert!(refused.iter().all(is_over_rate_with_retry));
 }
 
 #[test]
 fn admit_in_order() {
-    let mut fleet = Fleet::new(Limits {
+    let mut cluster = Cluster::new(Limits {
         rate_per_s: 1.0,
         burst: 3,
     });
-    fleet.now += Duration::from_secs(3);
-    let deadline = fleet.now + Duration::from_secs(1);
+    cluster.now += Duration::from_secs(3);
+    let deadline = cluster.now + Duration::from_secs(1);
     for waiter_id in 1..=3 {
         assert_eq!(
-            fleet.holders[0].admit(waiter_id, deadline, fleet.now),
+            cluster.holders[0].admit(waiter_id, deadline, cluster.now),
             Admission::Waiting
         );
     }
-    let token_request = fleet.holders[0].token_request(fleet.now).expect("calls wait");
-    let grant = fleet.bucket.grant(&"0".to_owned(), &token_request, fleet.now);
-    let settled = fleet.holders[0].answered(token_request.sequence, grant, fleet.now);
+    let token_request = cluster.holders[0]
+        .token_request(cluster.now)
+        .expect("calls are waiting");
+    let grant = cluster.bucket.grant(&"0".to_owned(), &token_request, cluster.now);
+    let settled = cluster.holders[0].answered(token_request.sequence, grant, cluster.now);
     let order: Vec<_> = settled.iter().map(|call| call.waiter_id).collect();
     assert_eq!(order, [1, 2, 3]);
 }
 
-/// A grant that is spent at the end of its life leaves no room that was filled while it was held.
+/// Guards against granting tokens twice: a grant that is spent just before it expires must not leave room that
+/// was refilled while it was outstanding.
 #[test]
 fn grant_spent_late() {
     let limits = Limits {
         rate_per_s: 9.0,
         burst: 9,
     };
-    let mut fleet = Fleet::new(limits);
-    let start = fleet.now;
+    let mut cluster = Cluster::new(limits);
+    let start = cluster.now;
     let (mut first, mut second) = (holder(limits), holder(limits));
-    fleet.now = start + Duration::from_secs(1);
+    cluster.now = start + Duration::from_secs(1);
     for holder in [&mut first, &mut second] {
         for waiter_id in 0..9 {
-            holder.admit(waiter_id, fleet.now + Duration::from_secs(4), fleet.now);
+            holder.admit(waiter_id, cluster.now + Duration::from_secs(4), cluster.now);
         }
     }
-    let token_request = first.token_request(fleet.now).expect("calls wait");
-    let granted = fleet
+    let token_request = first.token_request(cluster.now).expect("calls are waiting");
+    let granted = cluster
         .bucket
-        .grant(&"first".to_owned(), &token_request, fleet.now)
+        .grant(&"first".to_owned(), &token_request, cluster.now)
         .granted;
     assert_eq!(
         granted, 9,
-        "the whole bucket, to be spent at any time in the grant's life"
+        "the whole bucket is granted and may be spent until the grant expires"
     );
-    let end = fleet.now + GRANT_LIFE;
-    let token_request = second.token_request(end).expect("calls wait");
-    let granted = fleet
+    let end = cluster.now + GRANT_LIFE;
+    let token_request = second.token_request(end).expect("calls are waiting");
+    let granted = cluster
         .bucket
         .grant(&"second".to_owned(), &token_request, end)
         .granted;
-    assert_eq!(granted, 0, "the first nine may have been spent a moment ago");
+    assert_eq!(granted, 0, "the first nine tokens may have been spent just now");
 }
 
-/// An owner that is new lets all calls wait alike: none of those inside the rate is refused.
+/// Guards against refusals right after a change of the owner. A new owner makes all calls wait equally long, so
+/// none of the calls within the rate may be refused.
 #[test]
-fn admit_while_owner_is_new() {
+fn admit_with_new_owner() {
     let mut holder = Holder::new();
     holder.set_rate(200.0);
     let start = Instant::now();
     let deadline = start + Duration::from_secs(10);
     assert_eq!(holder.admit(1, deadline, start), Admission::Waiting);
-    let token_request = holder.token_request(start).expect("a call waits");
+    let token_request = holder.token_request(start).expect("a call is waiting");
     let grant = Grant {
         granted: 0,
         expires_after: Duration::from_secs(1),
@@ -383,13 +387,13 @@
         let admission = holder.admit(waiter_id, deadline, start);
         assert_eq!(admission, Admission::Waiting, "call {waiter_id}");
     }
-    let soon = start + Duration::from_secs(1);
-    let refused = holder.admit(21, soon, start);
+    let early_deadline = start + Duration::from_secs(1);
+    let refused = holder.admit(21, early_deadline, start);
     assert!(matches!(refused, Admission::Refused { .. }), "{refused:?}");
 }
 
 #[test]
-fn admit_owner_silent() {
+fn admit_owner_unresponsive() {
     let mut holder = Holder::new();
     let start = Instant::now();
     let deadline = start + Duration::from_secs(1);
--- a/crates/burdockroad/tests/retry.rs
+++ b/crates/burdockroad/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Budgets and waits of retries.
+//! Retry budgets and backoff.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn draw_all_calls_fail() {
+fn withdraw_all_calls_fail() {
     let options = RetryOptions::default();
     let mut budgets = RetryBudgets::new(options);
     let (account, route) = names();
@@ -24,7 +24,7 @@
             retries += 1;
         }
     }
-    // A fifth of the calls, and what the budget began with.
+    // One retry per five calls, plus the initial level of the budget.
     assert!(
         (200..=210).contains(&retries),
         "{retries} retries of 1,000 failed calls"
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn draw_other_account_or_route() {
+fn withdraw_other_account_or_route() {
     let options = RetryOptions {
         burst: 2.0,
         ..RetryOptions::default()
@@ -43,16 +43,16 @@
     let other = "harrowfield".to_owned();
     assert!(
         budgets.withdraw(&other, &route, 1),
-        "one account's failures leave the others' retries"
+        "failures of one account must not use up retries of others"
     );
     assert!(
         budgets.withdraw(&account, &"drafting".to_owned(), 1),
-        "and those on its other routes"
+        "nor its own retries on other routes"
     );
 }
 
 #[test]
-fn draw_attempts_max() {
+fn withdraw_attempts_max() {
     let mut budgets = RetryBudgets::new(RetryOptions {
         attempts_max: 3,
         ..RetryOptions::default()
@@ -65,19 +65,21 @@
 }
 
 #[test]
-fn back_off_spread_and_bounded() {
+fn backoff_spread_and_bounded() {
     let options = RetryOptions::default();
     let budgets = RetryBudgets::new(options);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for attempts in [1, 2, 3, 40] {
-        let doubled = options.initial_backoff * 2_u32.pow(attempts.min(10) - 1);
-        let longest = doubled.min(options.max_backoff);
-        let waits: Vec<Duration> = (0..200).map(|_| budgets.backoff(attempts, &mut rng)).collect();
+        let unbounded = options.initial_backoff * 2_u32.pow(attempts.min(10) - 1);
+        let upper_bound = unbounded.min(options.max_backoff);
+        let backoffs: Vec<Duration> = (0..200).map(|_| budgets.backoff(attempts, &mut rng)).collect();
         assert!(
-            waits.iter().all(|wait| *wait <= longest),
-            "after {attempts} tries"
+            backoffs.iter().all(|backoff| *backoff <= upper_bound),
+            "after {attempts} attempts"
+        );
+        let (low, high) = (upper_bound.mul_f64(0.25), upper_bound.mul_f64(0.75));
+        assert!(
+            backoffs.iter().any(|backoff| *backoff < low) && backoffs.iter().any(|backoff| *backoff > high)
         );
-        let (low, high) = (longest.mul_f64(0.25), longest.mul_f64(0.75));
-        assert!(waits.iter().any(|wait| *wait < low) && waits.iter().any(|wait| *wait > high));
     }
 }
