--- a/crates/burdockroad/src/gateway/placement.rs
+++ b/crates/burdockroad/src/gateway/placement.rs
@@ -1,8 +1,8 @@
 //! Choice of a call's endpoint among all endpoints of its service.
 //!
 //! Load pattern: calls of programs whose prompts grow, on endpoints of different speed, some of them slow,
-//! failing or with an empty cache, while other hosts place calls on the same endpoints. The expected time of
-//! the call is computed for each endpoint, and the shortest is chosen.
+//! failing or cold, while other hosts place calls on the same endpoints. The expected time of the call is
+//! computed for each endpoint, and the shortest is chosen.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
--- a/crates/burdockroad/src/gateway/rate_limit.rs
+++ b/crates/burdockroad/src/gateway/rate_limit.rs
@@ -177,13 +177,13 @@
             self.round += 1;
             self.round_started_at = now;
         }
-        for used in &report.accounts {
-            let Some(bucket) = self.buckets.get_mut(&used.account) else {
+        for usage in &report.accounts {
+            let Some(bucket) = self.buckets.get_mut(&usage.account) else {
                 continue;
             };
-            bucket.record_peer_usage(report, used, started_later);
+            bucket.record_peer_usage(report, usage, started_later);
             if peer_is_older && uptime < STARTUP_SYNC_PERIOD {
-                bucket.adopt_level(used.level);
+                bucket.adopt_level(usage.level);
             }
         }
     }
--- a/crates/burdockroad/src/gateway/rate_limit/bucket.rs
+++ b/crates/burdockroad/src/gateway/rate_limit/bucket.rs
@@ -152,7 +152,7 @@
     /// Returns this host's share of the demand reported by the live hosts.
     fn own_share(&self, live_hosts: usize) -> f64 {
         let equal_share = 1.0 / hosts_as_f64(live_hosts.max(1));
-        let others: f64 = self.peers.values().map(|used| used.demand_per_s).sum();
+        let others: f64 = self.peers.values().map(|usage| usage.demand_per_s).sum();
         // The lower bound leaves room for callers that have just connected to this host.
         let all = self.demand_per_s + others;
         if all < 1.0 {
@@ -197,7 +197,7 @@
         self.count()
     }
 
-    /// Admits another program if running programs leave room for it; nothing is counted.
+    /// Decides whether running programs leave room for another program, without counting it.
     pub(super) fn admit_if_room(&self, low_watermark: f64) -> Admission {
         let excess_per_s = self.expected_per_s() - self.rate_per_s * START_RATE_FRACTION;
         let expected_shortfall = (excess_per_s * START_HORIZON_S).max(0.0);
@@ -227,7 +227,7 @@
     /// with the usual rate of a program. Both averages decay with the same time constant, so a program's
     /// weight does not depend on its age.
     fn expected_per_s(&self) -> f64 {
-        let others: f64 = self.peers.values().map(|used| used.expected_per_s).sum();
+        let others: f64 = self.peers.values().map(|usage| usage.expected_per_s).sum();
         self.running_per_s + self.started_per_s * PROGRAM_CALLS_PER_S + others
     }
 
@@ -249,21 +249,21 @@
     pub(super) fn record_peer_usage(
         &mut self,
         report: &UsageReport,
-        used: &AccountUsage,
+        reported: &AccountUsage,
         started_later: bool,
     ) {
         let previous = self.peers.get(&report.host);
         let counted = match previous {
             Some(previous) if previous.incarnation == report.incarnation => previous.admitted,
             _ if started_later => 0,
-            _ => used.admitted,
+            _ => reported.admitted,
         };
-        self.level -= calls_as_f64(used.admitted.saturating_sub(counted));
+        self.level -= calls_as_f64(reported.admitted.saturating_sub(counted));
         let usage = PeerUsage {
             incarnation: report.incarnation,
-            admitted: used.admitted,
-            demand_per_s: used.demand_per_s,
-            expected_per_s: used.running_per_s + used.started_per_s * PROGRAM_CALLS_PER_S,
+            admitted: reported.admitted,
+            demand_per_s: reported.demand_per_s,
+            expected_per_s: reported.running_per_s + reported.started_per_s * PROGRAM_CALLS_PER_S,
         };
         self.peers.insert(report.host.clone(), usage);
     }
