--- a/crates/burdockroad/src/gateway/events.rs
+++ b/crates/burdockroad/src/gateway/events.rs
@@ -58,12 +58,12 @@
         ready.freeze()
     }
 
-    /// Returns the id of the last event returned.
+    /// Returns the id of the last event released to the caller.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Returns the number of events with an id that were returned.
+    /// Returns the number of events with an id released to the caller.
     pub fn released(&self) -> u64 {
         self.released
     }
--- a/crates/burdockroad/src/quota/bucket.rs
+++ b/crates/burdockroad/src/quota/bucket.rs
@@ -32,7 +32,7 @@
     spent_total: u64,
     /// Grants that the holder may still spend, in order of expiry.
     outstanding: VecDeque<Outstanding>,
-    /// Waiting calls of the holder as of its last request.
+    /// Calls still waiting at the holder after its last grant.
     unmet: u64,
     last_request_at: Instant,
 }
