--- a/crates/burdockroad-gateway/src/attempt.rs
+++ b/crates/burdockroad-gateway/src/attempt.rs
@@ -9,7 +9,8 @@
 use burdockroad::{
     EndpointId,
     gateway::{
-        Account, Endpoint, Failure, NextStep, Outcome, Placement, Query, RetryState, Route, next_step,
+        Account, Endpoint, Failure, NextStep, Outcome, Placement, PlacementQuery, RetryState, Route,
+        next_step,
     },
 };
 use bytes::Bytes;
@@ -141,8 +142,8 @@
             };
             self.count(failure, &placement.endpoint);
             match next_step(self.route.kind, self.route.endpoints_max, failure, self.retries) {
-                NextStep::Elsewhere => {}
-                NextStep::Again => self.next_endpoint = Some(placement.endpoint),
+                NextStep::OtherEndpoint => {}
+                NextStep::SameEndpoint => self.next_endpoint = Some(placement.endpoint),
                 NextStep::Refuse => return Err(Refusal::NoEndpoint(FULL_RETRY_AFTER)),
                 NextStep::GiveUp => return Err(self.give_up_refusal()),
             }
@@ -158,11 +159,11 @@
         self.count(Failure::Unknown, &endpoint);
         let kind = self.route.kind;
         match next_step(kind, self.route.endpoints_max, Failure::Unknown, self.retries) {
-            NextStep::Again => {
+            NextStep::SameEndpoint => {
                 self.next_endpoint = Some(endpoint);
                 true
             }
-            NextStep::Elsewhere => true,
+            NextStep::OtherEndpoint => true,
             NextStep::Refuse | NextStep::GiveUp => false,
         }
     }
@@ -181,10 +182,10 @@
     fn end_attempt(&mut self, outcome: Outcome) -> Option<Endpoint> {
         let endpoint = self.current.take()?;
         let mut tables = self.shared.tables();
-        tables.endpoints.end(&endpoint.id);
+        tables.endpoints.end_call(&endpoint.id);
         tables
             .endpoints
-            .note_outcome(&endpoint.id, outcome, Instant::now());
+            .record_outcome(&endpoint.id, outcome, Instant::now());
         Some(endpoint)
     }
 
@@ -197,7 +198,7 @@
                 load: 0,
             });
         }
-        let query = Query {
+        let query = PlacementQuery {
             service: &self.service,
             failure_domain: &self.shared.failure_domain,
             parts: &self.head.prompt_parts,
@@ -238,13 +239,13 @@
         self.shared
             .tables()
             .endpoints
-            .begin(&endpoint.id, &self.head.prompt_parts);
+            .start_call(&endpoint.id, &self.head.prompt_parts);
         self.current = Some(endpoint.clone());
         let sent_at = Instant::now();
         let result = self.exchange(endpoint, last_event).await;
         let now = Instant::now();
         let outcome = match &result {
-            Ok(_) => Outcome::Answered {
+            Ok(_) => Outcome::Responded {
                 first_byte: now.saturating_duration_since(sent_at),
             },
             Err(Failure::Full) => Outcome::Full,
@@ -253,9 +254,9 @@
         };
         if let Ok(opened) = &result {
             let mut tables = self.shared.tables();
-            tables.endpoints.note_outcome(&endpoint.id, outcome, now);
+            tables.endpoints.record_outcome(&endpoint.id, outcome, now);
             if let Some(load) = opened.head.load {
-                tables.endpoints.note_load(&endpoint.id, load, now);
+                tables.endpoints.record_load(&endpoint.id, load, now);
             }
         } else {
             self.end_attempt(outcome);
@@ -281,7 +282,7 @@
         metrics::counter!("burdockroad_endpoint_connections_total").increment(1);
         let connecting = connect(endpoint.address, self.time_left()).await;
         let connection = connecting.map_err(|error| match error.kind() {
-            io::ErrorKind::ConnectionRefused => Failure::Gone,
+            io::ErrorKind::ConnectionRefused => Failure::NotListening,
             _ => Failure::Unreachable,
         })?;
         match self.send(connection, request).await? {
@@ -295,7 +296,7 @@
         mut connection: Connection,
         request: Request<Full<Bytes>>,
     ) -> Result<SendOutcome, Failure> {
-        let head_timeout = if self.route.kind.may_repeat() {
+        let head_timeout = if self.route.kind.may_retry() {
             HEAD_TIMEOUT.min(self.time_left())
         } else {
             self.time_left()
@@ -392,20 +393,20 @@
         match failure {
             Failure::Unknown => {
                 self.retries.unknown += 1;
-                self.retries.last_is_gone = false;
-                self.retries.unreached = 0;
+                self.retries.last_endpoint_removed = false;
+                self.retries.unreachable_attempts = 0;
                 if !may_have_run_here {
                     self.possibly_ran_on.push(endpoint.id.clone());
                     self.retries.endpoints_run += 1;
                 }
             }
-            Failure::Gone | Failure::WrongEndpoint | Failure::Unreachable | Failure::Full => {
+            Failure::NotListening | Failure::WrongEndpoint | Failure::Unreachable | Failure::Full => {
                 self.retries.unstarted += 1;
                 if may_have_run_here && failure == Failure::Unreachable {
-                    self.retries.unreached += 1;
+                    self.retries.unreachable_attempts += 1;
                 }
-                if may_have_run_here && matches!(failure, Failure::Gone | Failure::WrongEndpoint) {
-                    self.retries.last_is_gone = true;
+                if may_have_run_here && matches!(failure, Failure::NotListening | Failure::WrongEndpoint) {
+                    self.retries.last_endpoint_removed = true;
                     self.retries.endpoints_run = self.retries.endpoints_run.saturating_sub(1);
                 }
             }
--- a/crates/burdockroad-gateway/src/budgets.rs
+++ b/crates/burdockroad-gateway/src/budgets.rs
@@ -14,7 +14,7 @@
 
 use burdockroad::{
     HostId, ProgramId,
-    gateway::{Beginning, Need},
+    gateway::{Readiness, StartDecision},
     ownership::rendezvous_order,
 };
 use serde::{Deserialize, Serialize};
@@ -308,7 +308,7 @@
     if first == shared.host {
         return None;
     }
-    let is_live = shared.tables().allowances.is_heard(&first, Instant::now());
+    let is_live = shared.tables().rate_limiter.is_live(&first, Instant::now());
     is_live
         .then(|| peers.get(&first).map(|peer| peer.address))
         .flatten()
@@ -350,7 +350,7 @@
 /// Returns the refusal for a program that has not started and must not start now.
 fn check_program_start(shared: &Shared, request: &ReservationRequest) -> Option<ReservationResponse> {
     let mut tables = shared.tables();
-    if tables.ledger.knows(&request.program) {
+    if tables.ledger.is_tracked(&request.program) {
         return None;
     }
     let now = Instant::now();
@@ -366,8 +366,8 @@
         now,
     );
     match start_decision {
-        Beginning::Admitted => None,
-        Beginning::Refused { retry_after } => Some(ReservationResponse::Deferred(retry_after)),
+        StartDecision::Admitted => None,
+        StartDecision::Refused { retry_after } => Some(ReservationResponse::Deferred(retry_after)),
     }
 }
 
@@ -384,7 +384,7 @@
         self.shared
             .tables()
             .ledger
-            .leave(&request.program, request.max_tokens);
+            .remove_waiter(&request.program, request.max_tokens);
     }
 }
 
@@ -401,8 +401,8 @@
     }
     let starts_program = {
         let mut tables = shared.tables();
-        let starts_program = !tables.ledger.knows(program);
-        tables.ledger.enter(
+        let starts_program = !tables.ledger.is_tracked(program);
+        tables.ledger.add_waiter(
             program,
             request.budget_tokens,
             request.max_tokens,
@@ -418,21 +418,23 @@
         let need = shared.tables().ledger.take(program, request.max_tokens);
         let time_left = deadline.saturating_duration_since(Instant::now());
         match need {
-            Need::Ready => return ReservationResponse::Reserved { starts_program },
-            Need::Spent => return ReservationResponse::BudgetExhausted,
-            Need::Room if time_left.is_zero() => return ReservationResponse::FullyReserved,
-            Need::Write if store_writes_are_failing(shared) => return ReservationResponse::StoreUnavailable,
-            Need::Write if time_left.is_zero() => return ReservationResponse::StoreTimeout,
-            Need::Room => {
+            Readiness::Ready => return ReservationResponse::Reserved { starts_program },
+            Readiness::Spent => return ReservationResponse::BudgetExhausted,
+            Readiness::AwaitRoom if time_left.is_zero() => return ReservationResponse::FullyReserved,
+            Readiness::AwaitWrite if store_writes_are_failing(shared) => {
+                return ReservationResponse::StoreUnavailable;
+            }
+            Readiness::AwaitWrite if time_left.is_zero() => return ReservationResponse::StoreTimeout,
+            Readiness::AwaitRoom => {
                 // Calls of this host trigger the notification when they release tokens. Tokens released by
                 // other hosts are only visible in the store.
                 let _ended = timeout(time_left.min(BUDGET_RECHECK_INTERVAL), changed).await;
-                let is_recheck_due = shared.tables().ledger.wants_look(program, Instant::now());
+                let is_recheck_due = shared.tables().ledger.should_poll(program, Instant::now());
                 if is_recheck_due {
                     refresh_budget(shared, program).await;
                 }
             }
-            Need::Write => {
+            Readiness::AwaitWrite => {
                 shared.reservation_requested.notify_one();
                 // On a timeout, the next iteration returns the error.
                 let _ended = timeout(time_left, changed).await;
--- a/crates/burdockroad-gateway/src/call.rs
+++ b/crates/burdockroad-gateway/src/call.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use burdockroad::gateway::{Account, Admission, CallerLimits, Directory, Lookup, Route, Target};
+use burdockroad::gateway::{Account, AccountLookup, Admission, CallerLimits, Directory, Route, Target};
 use bytes::Bytes;
 use http::{Request, Response, header, request::Parts};
 use http_body::Body;
@@ -126,9 +126,9 @@
         .ok_or(Refusal::InvalidHead("host"))?;
     let route = directory.route(host, parts.uri.path()).ok_or(Refusal::NoRoute)?;
     let account = match directory.account(route, head.api_key.as_deref()) {
-        Lookup::Account(account) => Some(account),
-        Lookup::Anonymous => None,
-        Lookup::Unknown => return Err(Refusal::UnknownKey),
+        AccountLookup::Account(account) => Some(account),
+        AccountLookup::Anonymous => None,
+        AccountLookup::Unknown => return Err(Refusal::UnknownKey),
     };
     let rate_status = match &account {
         Some(account) => count_against_rate(&mut tables, head, route, account)?,
@@ -161,9 +161,9 @@
 ) -> Result<RateStatus, Refusal> {
     let now = Instant::now();
     let program = head.program.as_ref();
-    let new_program = program.filter(|program| !tables.recent_programs.is_known(&program.id, now));
+    let new_program = program.filter(|program| !tables.recent_programs.is_running(&program.id, now));
     if route.kind.is_stream() && new_program.is_some_and(|program| program.budget_tokens.is_some()) {
-        let start_after = match tables.allowances.may_begin(&account.name, now) {
+        let start_after = match tables.rate_limiter.may_start_program(&account.name, now) {
             Admission::Admitted => None,
             Admission::Refused { retry_after } => Some(retry_after),
         };
@@ -181,11 +181,12 @@
     starts_program: bool,
 ) -> Result<(), Refusal> {
     let now = Instant::now();
-    if let Admission::Refused { retry_after } = tables.allowances.admit(&account.name, starts_program, now) {
+    if let Admission::Refused { retry_after } = tables.rate_limiter.admit(&account.name, starts_program, now)
+    {
         return Err(Refusal::OverRate(retry_after));
     }
     if let Some(program) = &head.program {
-        tables.recent_programs.note(&program.id, now);
+        tables.recent_programs.record_call(&program.id, now);
     }
     Ok(())
 }
--- a/crates/burdockroad-gateway/src/feed.rs
+++ b/crates/burdockroad-gateway/src/feed.rs
@@ -53,7 +53,7 @@
         }
         let accounts = directory.document().accounts.iter().flatten();
         let rates = accounts.map(|account| (&account.name, account.rate_per_s, account.burst));
-        tables.allowances.set_accounts(rates);
+        tables.rate_limiter.set_accounts(rates);
         tables.directory = Some(directory);
         tables.directory_applied_at = Some(Instant::now());
         drop(tables);
@@ -205,8 +205,8 @@
         }
         expire_remote_reservations(&shared, now);
         let mut tables = shared.tables();
-        tables.recent_programs.forget_old(now);
-        tables.start_gate.forget_old(now);
+        tables.recent_programs.evict_expired(now);
+        tables.start_gate.evict_expired(now);
         drop(tables);
         shared.pool.remove_expired(now);
     }
--- a/crates/burdockroad-gateway/src/follow.rs
+++ b/crates/burdockroad-gateway/src/follow.rs
@@ -12,7 +12,7 @@
     time::{Duration, Instant},
 };
 
-use burdockroad::gateway::{HostPlace, has_to_watch};
+use burdockroad::gateway::{HostLocation, should_watch};
 use burdockroad_daemon::platform::{Entry, Revision, StoreError};
 use serde::{Deserialize, Serialize};
 use tokio::time::{sleep, timeout};
@@ -120,7 +120,7 @@
     if now < shared.started_at + FIRST_REPORTS_TIME {
         return false;
     }
-    let mut live_hosts = vec![HostPlace {
+    let mut live_hosts = vec![HostLocation {
         host: shared.host.clone(),
         failure_domain: shared.failure_domain.clone(),
     }];
@@ -128,15 +128,15 @@
     let tables = shared.tables();
     let others = peers
         .iter()
-        .filter(|(host, _)| tables.allowances.is_heard(host, now));
-    live_hosts.extend(others.map(|(host, peer)| HostPlace {
+        .filter(|(host, _)| tables.rate_limiter.is_live(host, now));
+    live_hosts.extend(others.map(|(host, peer)| HostLocation {
         host: host.clone(),
         failure_domain: peer.failure_domain.clone(),
     }));
     let announced = tables.announced_ranges.get(prefix);
     let announcement_age = announced.map(|announced| now.saturating_duration_since(announced.announced_at));
     drop(tables);
-    has_to_watch(&shared.host, &live_hosts, announcement_age)
+    should_watch(&shared.host, &live_hosts, announcement_age)
 }
 
 /// Returns the ranges that this host watches and announces, each with the revision of its last change.
--- a/crates/burdockroad-gateway/src/hosts.rs
+++ b/crates/burdockroad-gateway/src/hosts.rs
@@ -93,7 +93,7 @@
         let hosts = peers.len() + 1;
         let changed = tables.host_count != hosts;
         tables.host_count = hosts;
-        tables.allowances.set_peers(peers);
+        tables.rate_limiter.set_peers(peers);
         if changed {
             tables.ledger.release_idle(Instant::now());
         }
--- a/crates/burdockroad-gateway/src/reports.rs
+++ b/crates/burdockroad-gateway/src/reports.rs
@@ -15,7 +15,7 @@
 
 use burdockroad::{
     EndpointId, HostId,
-    gateway::{EndpointCalls, HostPlace, HostUse, UseReport, report_targets},
+    gateway::{AccountUsage, EndpointCalls, HostLocation, UsageReport, report_targets},
 };
 use burdockroad_daemon::platform::Revision;
 use serde::{Deserialize, Serialize};
@@ -83,7 +83,7 @@
     #[serde(rename = "r")]
     running_per_s: f32,
     #[serde(rename = "b")]
-    begun_per_s: f32,
+    started_per_s: f32,
     #[serde(rename = "l")]
     level: f32,
 }
@@ -125,9 +125,9 @@
 /// Returns the addresses of the hosts in this failure domain, and of the forwarding hosts in the others.
 fn addresses(shared: &Shared, round_number: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
     let peers = shared.peers.borrow();
-    let locations: Vec<HostPlace> = peers
+    let locations: Vec<HostLocation> = peers
         .iter()
-        .map(|(host, peer)| HostPlace {
+        .map(|(host, peer)| HostLocation {
             host: host.clone(),
             failure_domain: peer.failure_domain.clone(),
         })
@@ -189,10 +189,10 @@
         .record_peer(address, report.has_direct_store_access, now);
     let mut tables = shared.tables();
     if let Some(in_flight) = report.calls() {
-        tables.endpoints.note_peer(&report.host, &in_flight, now);
+        tables.endpoints.record_peer(&report.host, &in_flight, now);
     }
     let is_newer = tables.record_ranges(&report.ranges, address, now);
-    tables.allowances.note_report(&report.decode(), now);
+    tables.rate_limiter.record_report(&report.decode(), now);
     drop(tables);
     if is_newer {
         shared.range_announced.notify_waiters();
@@ -231,20 +231,20 @@
         Some(calls.collect())
     }
 
-    fn decode(self) -> UseReport {
+    fn decode(self) -> UsageReport {
         let accounts = self.accounts.into_iter();
-        let accounts = accounts.map(|used| HostUse {
+        let accounts = accounts.map(|used| AccountUsage {
             account: used.account,
             admitted: used.admitted,
             demand_per_s: f64::from(used.demand_per_s),
             running_per_s: f64::from(used.running_per_s),
-            begun_per_s: f64::from(used.begun_per_s),
+            started_per_s: f64::from(used.started_per_s),
             level: f64::from(used.level),
         });
-        UseReport {
+        UsageReport {
             host: self.host,
             incarnation: self.incarnation,
-            running_for: Duration::from_millis(self.running_ms),
+            uptime: Duration::from_millis(self.running_ms),
             accounts: accounts.collect(),
         }
     }
@@ -257,7 +257,7 @@
     let has_direct_store_access = shared.store.is_served_directly();
     let mut tables = shared.tables();
     let now = Instant::now();
-    let report = tables.allowances.report(&shared.host, shared.incarnation, now);
+    let report = tables.rate_limiter.report(&shared.host, shared.incarnation, now);
     let in_flight = tables.endpoints.all_in_flight();
     drop(tables);
     let used = report.accounts.iter().filter(|used| used.demand_per_s > 0.01);
@@ -295,14 +295,14 @@
 /// Builds one datagram of a report.
 fn wire_report(
     host: &HostId,
-    report: &UseReport,
+    report: &UsageReport,
     has_direct_store_access: bool,
     accounts: Vec<WireUse>,
 ) -> WireReport {
     WireReport {
         host: host.clone(),
         incarnation: report.incarnation,
-        running_ms: u64::try_from(report.running_for.as_millis()).unwrap_or(u64::MAX),
+        running_ms: u64::try_from(report.uptime.as_millis()).unwrap_or(u64::MAX),
         has_direct_store_access,
         in_flight: None,
         ranges: Vec::new(),
@@ -329,13 +329,13 @@
 }
 
 #[expect(clippy::cast_possible_truncation, reason = "demand and level are estimates")]
-fn wire_use(used: &HostUse) -> WireUse {
+fn wire_use(used: &AccountUsage) -> WireUse {
     WireUse {
         account: used.account.clone(),
         admitted: used.admitted,
         demand_per_s: used.demand_per_s as f32,
         running_per_s: used.running_per_s as f32,
-        begun_per_s: used.begun_per_s as f32,
+        started_per_s: used.started_per_s as f32,
         level: used.level as f32,
     }
 }
--- a/crates/burdockroad-gateway/src/reservations.rs
+++ b/crates/burdockroad-gateway/src/reservations.rs
@@ -8,7 +8,7 @@
 
 use burdockroad::{
     Incarnation, ProgramId,
-    gateway::{Answer, BudgetWrite, Holder, StoredBudget, Versioned},
+    gateway::{BudgetWrite, HostReservation, StoreResponse, StoredBudget, VersionedBudget},
 };
 use burdockroad_daemon::platform::{Entry, StoreError};
 use bytes::Bytes;
@@ -76,7 +76,10 @@
     };
     let entry = snapshot.entries.iter().find(|entry| entry.key == key);
     let budget = entry.map(|entry| decode_budget(shared, entry));
-    shared.tables().ledger.complete(program, Answer::Found(budget));
+    shared
+        .tables()
+        .ledger
+        .complete(program, StoreResponse::Found(budget));
 }
 
 /// Writes reservations until the host stops.
@@ -152,7 +155,7 @@
             return;
         }
         self.evicted_at = now;
-        self.shared.tables().ledger.forget_idle(now);
+        self.shared.tables().ledger.evict_idle(now);
     }
 
     async fn write(&mut self, budgets: &[BudgetWrite]) -> Result<WriteOutcome, StoreError> {
@@ -216,9 +219,9 @@
         }
         for write in writes {
             let response = match result {
-                Ok(WriteOutcome::Done(revision)) => Answer::Written(*revision),
+                Ok(WriteOutcome::Done(revision)) => StoreResponse::Written(*revision),
                 Ok(WriteOutcome::Conflict(_)) => self.conflict_result(write, &states_by_key),
-                Ok(WriteOutcome::LeaseEnded) | Err(_) => Answer::Unsettled,
+                Ok(WriteOutcome::LeaseEnded) | Err(_) => StoreResponse::Indeterminate,
             };
             self.shared.tables().ledger.complete(&write.program, response);
         }
@@ -226,17 +229,21 @@
 
     /// Returns the result of a conflicting write for one of its programs. The conflict may concern only the
     /// key of another program in the same batch.
-    fn conflict_result(&self, write: &BudgetWrite, states_by_key: &HashMap<&str, Option<&Entry>>) -> Answer {
+    fn conflict_result(
+        &self,
+        write: &BudgetWrite,
+        states_by_key: &HashMap<&str, Option<&Entry>>,
+    ) -> StoreResponse {
         let key = budget_key(&write.program);
         match states_by_key.get(key.as_str()) {
-            Some(entry) => Answer::Found(entry.map(|entry| decode_budget(&self.shared, entry))),
-            None => Answer::Unsettled,
+            Some(entry) => StoreResponse::Found(entry.map(|entry| decode_budget(&self.shared, entry))),
+            None => StoreResponse::Indeterminate,
         }
     }
 }
 
 /// Decodes a stored budget. A budget that cannot be decoded counts as exhausted.
-fn decode_budget(shared: &Shared, entry: &Entry) -> Versioned {
+fn decode_budget(shared: &Shared, entry: &Entry) -> VersionedBudget {
     let budget = match serde_json::from_slice::<WireBudget>(&entry.value) {
         Ok(wire) => wire.decode(),
         Err(error) => {
@@ -251,7 +258,7 @@
             }
         }
     };
-    Versioned {
+    VersionedBudget {
         budget,
         revision: entry.revision,
     }
@@ -271,7 +278,7 @@
     }
 
     fn decode(self) -> StoredBudget {
-        let reservations = self.reservations.into_iter().map(|reservation| Holder {
+        let reservations = self.reservations.into_iter().map(|reservation| HostReservation {
             incarnation: reservation.incarnation,
             held_tokens: reservation.reserved_tokens,
             write_mark: reservation.write_id,
--- a/crates/burdockroad-gateway/src/shared.rs
+++ b/crates/burdockroad-gateway/src/shared.rs
@@ -11,7 +11,9 @@
 
 use burdockroad::{
     EndpointId, HostId, Incarnation,
-    gateway::{Allowances, BeginGate, Directory, EndpointTable, Ledger, LedgerOptions, RecentPrograms},
+    gateway::{
+        Directory, EndpointTable, Ledger, LedgerOptions, ProgramStartGate, RateLimiter, RunningPrograms,
+    },
 };
 use tokio::sync::{Notify, watch};
 
@@ -57,7 +59,7 @@
     pub(crate) directory: Option<Arc<Directory>>,
     pub(crate) directory_applied_at: Option<Instant>,
     pub(crate) endpoints: EndpointTable,
-    pub(crate) allowances: Allowances,
+    pub(crate) rate_limiter: RateLimiter,
     pub(crate) ledger: Ledger,
     /// Number of registered hosts, including this one; 0 before the hosts were read.
     pub(crate) host_count: usize,
@@ -76,9 +78,9 @@
     /// Latest announcements of watchers, by prefix.
     pub(crate) announced_ranges: HashMap<String, AnnouncedRange>,
     /// Decides which programs may start while a service is overloaded.
-    pub(crate) start_gate: BeginGate,
+    pub(crate) start_gate: ProgramStartGate,
     /// Programs with recently admitted calls.
-    pub(crate) recent_programs: RecentPrograms,
+    pub(crate) recent_programs: RunningPrograms,
     /// Endpoints whose entries may have expired because the store was unavailable.
     pub(crate) missing_endpoints: MissingEndpoints,
 }
@@ -115,7 +117,7 @@
                 directory: None,
                 directory_applied_at: None,
                 endpoints: EndpointTable::new(),
-                allowances: Allowances::new(now),
+                rate_limiter: RateLimiter::new(now),
                 ledger: Ledger::new(LedgerOptions::default(), incarnation),
                 host_count: 0,
                 store_unreachable_since: None,
@@ -125,8 +127,8 @@
                 range_logs: HashMap::new(),
                 range_responded_at: HashMap::new(),
                 announced_ranges: HashMap::new(),
-                start_gate: BeginGate::default(),
-                recent_programs: RecentPrograms::default(),
+                start_gate: ProgramStartGate::default(),
+                recent_programs: RunningPrograms::default(),
                 missing_endpoints: MissingEndpoints::new(),
             }),
         }
--- a/crates/burdockroad-gateway/src/stream.rs
+++ b/crates/burdockroad-gateway/src/stream.rs
@@ -154,7 +154,7 @@
 
     async fn read_frame(&mut self) -> ReadResult {
         let time_left = self.call.time_left();
-        let frame_timeout = if self.call.route.kind.may_repeat() {
+        let frame_timeout = if self.call.route.kind.may_retry() {
             time_left.min(EVENT_TIMEOUT)
         } else {
             time_left
@@ -173,7 +173,7 @@
             self.call.finish(connection, self.keep_alive);
         }
         self.call.record.complete = true;
-        self.events.take_rest()
+        self.events.take_remainder()
     }
 
     /// Opens the stream again after the last event that the caller has received.
@@ -185,7 +185,7 @@
         if !self.call.record_broken_response() {
             return Err(Refusal::UnknownOutcome);
         }
-        self.events.drop_partial();
+        self.events.discard_partial();
         let opened = self.call.open(self.events.last_id()).await?;
         if !opened.response.status().is_success() {
             return Err(Refusal::UnknownOutcome);
--- /dev/null
+++ b/crates/burdockroad/src/gateway/dissemination.rs
@@ -0,0 +1,81 @@
+//! Dissemination of store updates and reports among hosts.
+//!
+//! Load pattern: many hosts in several failure domains that need the same few ranges of the store and each
+//! other's reports. Each request to the store and each byte between failure domains has a cost. Therefore
+//! only a few hosts watch the store, and a report is sent only once to each other failure domain.
+
+use std::{collections::BTreeSet, time::Duration};
+
+use crate::{ids::HostId, ownership::rendezvous_order};
+
+/// Number of hosts that watch the store; the others receive updates from them.
+const WATCHER_COUNT: usize = 3;
+
+/// Maximum age of a watcher's last announcement. If no younger one exists, a host watches the range itself.
+const ANNOUNCEMENT_AGE_MAX: Duration = Duration::from_millis(450);
+
+/// Key under which hosts are ranked as watchers.
+const WATCH_RANK_KEY: &str = "watch";
+
+/// Host with its failure domain.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct HostLocation {
+    /// Host id.
+    pub host: HostId,
+    /// Failure domain of the host.
+    pub failure_domain: String,
+}
+
+/// Returns the hosts that watch the store on behalf of all, selected from the live hosts.
+///
+/// They are in different failure domains if there are enough domains.
+pub fn watchers(live: &[HostLocation]) -> Vec<HostId> {
+    let ranked = rendezvous_order(WATCH_RANK_KEY, live.iter().map(|location| location.host.clone()));
+    let mut domains = BTreeSet::new();
+    let (mut first, rest): (Vec<HostId>, Vec<HostId>) = ranked.into_iter().partition(|host| {
+        let location = live.iter().find(|location| location.host == *host);
+        location.is_some_and(|location| domains.insert(&location.failure_domain))
+    });
+    first.extend(rest);
+    first.truncate(WATCHER_COUNT);
+    first
+}
+
+/// Returns whether a host should watch a range itself.
+///
+/// This is the case if it is one of the watchers, or if no watcher has announced the range within
+/// `ANNOUNCEMENT_AGE_MAX`. The latter happens if the host is partitioned from the watchers but receives
+/// reports from hosts that leave watching to them.
+///
+/// `live` contains the live hosts, including this one. `announcement_age` is the time since a host last
+/// announced that it watches the range; `None` if none did.
+pub fn should_watch(host: &HostId, live: &[HostLocation], announcement_age: Option<Duration>) -> bool {
+    let is_announced = announcement_age.is_some_and(|age| age < ANNOUNCEMENT_AGE_MAX);
+    !is_announced || watchers(live).contains(host)
+}
+
+/// Returns the hosts to which a report is sent: all in the sender's failure domain, and one in each other
+/// domain, which relays it there.
+///
+/// The caller increments `rotation` with each report. The relays rotate with it, so an unresponsive relay loses
+/// few reports.
+pub fn report_targets(failure_domain: &str, others: &[HostLocation], rotation: usize) -> Vec<HostId> {
+    let (local, remote): (Vec<&HostLocation>, Vec<&HostLocation>) = others
+        .iter()
+        .partition(|location| location.failure_domain == failure_domain);
+    let mut targets: Vec<HostId> = local.into_iter().map(|location| location.host.clone()).collect();
+    let domains: BTreeSet<&str> = remote
+        .iter()
+        .map(|location| location.failure_domain.as_str())
+        .collect();
+    for domain in domains {
+        let domain_hosts: Vec<&&HostLocation> = remote
+            .iter()
+            .filter(|location| location.failure_domain == domain)
+            .collect();
+        if let Some(location) = domain_hosts.get(rotation % domain_hosts.len().max(1)) {
+            targets.push(location.host.clone());
+        }
+    }
+    targets
+}
--- a/crates/burdockroad/tests/dispatch.rs
+++ b/crates/burdockroad/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which call gets a slot, and where.
+//! Assignment of calls to slots.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -6,7 +6,7 @@
 };
 
 use burdockroad::dispatch::{
-    Assignment, CacheEvent, Call, CallId, EndpointInfo, LoadReport, Pool, Report, Shortage, Submitted,
+    Assignment, CacheEvent, Call, CallId, EndpointInfo, LoadReport, Pool, RefusalReason, Report, Submitted,
 };
 use proptest::{
     prelude::*,
@@ -20,12 +20,12 @@
     pool
 }
 
-fn completion(account_id: &str, program_id: &str, prompt_tokens: u64, latest: Instant) -> Call {
+fn completion(account_id: &str, program_id: &str, prompt_tokens: u64, slot_deadline: Instant) -> Call {
     Call {
         program_id: Some(program_id.to_owned()),
         prompt_tokens,
         max_output_tokens: 100,
-        ..Call::new(account_id, latest)
+        ..Call::new(account_id, slot_deadline)
     }
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Runs one call to its end, so that the pool learns from it.
+/// Runs one call to completion, so that the pool records its result.
 fn serve(pool: &mut Pool, call: Call, report: Report, now: Instant) -> Assignment {
     submitted(pool, call, now);
     let assignment = pool.tick(now).assignments.remove(0);
@@ -53,10 +53,10 @@
     }
 }
 
-/// Calls served for each account out of `rounds` full batches, with all of them waiting.
+/// Returns the calls served per account in `rounds` full batches, with all calls waiting from the start.
 fn served(weights: &[(&str, f64, u32)], rounds: u32) -> BTreeMap<String, u32> {
     let now = Instant::now();
-    let latest = now + Duration::from_hours(1);
+    let slot_deadline = now + Duration::from_hours(1);
     let mut pool = pool(&[("engine-1", 4)], now);
     let mut owners = BTreeMap::new();
     for (account_id, weight, calls) in weights {
@@ -64,7 +64,7 @@
         for _ in 0..*calls {
             let call = Call {
                 max_output_tokens: 100,
-                ..Call::new(*account_id, latest)
+                ..Call::new(*account_id, slot_deadline)
             };
             owners.insert(submitted(&mut pool, call, now), *account_id);
         }
@@ -97,58 +97,64 @@
 #[test]
 fn tick_least_attained_first() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1)], now);
     let attained = |attained_tokens| Call {
         attained_tokens,
-        ..Call::new("a", latest)
+        ..Call::new("a", slot_deadline)
     };
     let long = submitted(&mut pool, attained(50_000), now);
     let new = submitted(&mut pool, attained(0), now + Duration::from_millis(1));
     let aged = now + Duration::from_secs(10);
     let first = pool.tick(aged).assignments.remove(0);
     assert_eq!(first.call_id, new);
-    // A program that arrives much later does not pass one that has waited.
+    // A program that arrives much later does not overtake one that has waited.
     submitted(&mut pool, attained(0), aged);
     pool.complete(first.slot_id, &Report::default(), aged);
     assert_eq!(pool.tick(aged).assignments[0].call_id, long);
 }
 
 #[test]
-fn tick_prefix_holder() {
+fn tick_prefers_endpoint_with_cached_prefix() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1), ("engine-2", 1)], now);
-    let home = serve(&mut pool, completion("a", "p", 4_000, latest), report(4_000), now);
-    let again = || completion("a", "p", 4_200, latest);
+    let cached_on = serve(
+        &mut pool,
+        completion("a", "p", 4_000, slot_deadline),
+        report(4_000),
+        now,
+    );
+    let again = || completion("a", "p", 4_200, slot_deadline);
 
     let now = now + Duration::from_secs(2);
     let call_id = submitted(&mut pool, again(), now);
     let assignment = pool.tick(now).assignments.remove(0);
     assert_eq!(
         (assignment.call_id, &assignment.endpoint_id),
-        (call_id, &home.endpoint_id)
+        (call_id, &cached_on.endpoint_id)
     );
 
-    // Its holder is busy, and computing 4,000 tokens again takes longer than one call.
+    // The endpoint with the cached prefix is busy, and recomputing 4,000 tokens takes longer than one call.
     submitted(&mut pool, again(), now);
     assert_eq!(pool.tick(now).assignments, []);
-    // A second one would wait for two calls, still less than the four seconds; a fifth one not.
+    // A second call would wait for two calls, which is still less than the four seconds of recomputing the
+    // prefix. A fifth call would wait longer.
     for _ in 0..4 {
         submitted(&mut pool, again(), now);
     }
     let elsewhere = pool.tick(now).assignments.remove(0);
-    assert_ne!(elsewhere.endpoint_id, home.endpoint_id);
+    assert_ne!(elsewhere.endpoint_id, cached_on.endpoint_id);
 
-    // The parked ones come first when the holder is free.
+    // Parked calls come first when their endpoint is free.
     pool.complete(assignment.slot_id, &report(4_200), now);
-    assert_eq!(pool.tick(now).assignments[0].endpoint_id, home.endpoint_id);
+    assert_eq!(pool.tick(now).assignments[0].endpoint_id, cached_on.endpoint_id);
 }
 
 #[test]
 fn tick_after_cache_event() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 4), ("engine-2", 4)], now);
     let program_id = "p".to_owned();
     for endpoint_id in ["engine-1", "engine-2"] {
@@ -157,7 +163,7 @@
             tokens: 3_000,
         };
         pool.observe_cache_event(endpoint_id, &stored);
-        submitted(&mut pool, completion("a", "p", 3_000, latest), now);
+        submitted(&mut pool, completion("a", "p", 3_000, slot_deadline), now);
         assert_eq!(pool.tick(now).assignments[0].endpoint_id, endpoint_id);
         let removed = CacheEvent::Removed {
             program_id: program_id.clone(),
@@ -169,29 +175,34 @@
 #[test]
 fn tick_leaving_endpoint() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1), ("engine-2", 1)], now);
-    let home = serve(&mut pool, completion("a", "p", 4_000, latest), report(4_000), now);
-    submitted(&mut pool, completion("a", "p", 4_000, latest), now);
+    let cached_on = serve(
+        &mut pool,
+        completion("a", "p", 4_000, slot_deadline),
+        report(4_000),
+        now,
+    );
+    submitted(&mut pool, completion("a", "p", 4_000, slot_deadline), now);
     pool.tick(now);
-    submitted(&mut pool, completion("a", "p", 4_000, latest), now);
+    submitted(&mut pool, completion("a", "p", 4_000, slot_deadline), now);
     assert_eq!(pool.tick(now).assignments, []);
 
     let infos = ["engine-1", "engine-2"].map(|id| EndpointInfo {
-        leaving: id == home.endpoint_id,
+        leaving: id == cached_on.endpoint_id,
         ..EndpointInfo::new(id, 1)
     });
     pool.set_endpoints(infos.to_vec(), now);
     let moved = pool.tick(now).assignments;
     assert_eq!(moved.len(), 1);
-    assert_ne!(moved[0].endpoint_id, home.endpoint_id);
+    assert_ne!(moved[0].endpoint_id, cached_on.endpoint_id);
 
     pool.set_endpoints(Vec::new(), now);
-    let refused = pool.submit(Call::new("a", latest), now);
+    let refused = pool.submit(Call::new("a", slot_deadline), now);
     assert!(matches!(
         refused,
         Submitted::Refused {
-            reason: Shortage::NoEndpoint,
+            reason: RefusalReason::NoEndpoint,
             ..
         }
     ));
@@ -200,35 +211,37 @@
 #[test]
 fn submit_past_deadline() {
     let now = Instant::now();
-    let latest = now + Duration::from_secs(10);
+    let slot_deadline = now + Duration::from_secs(10);
     let mut pool = pool(&[("engine-1", 1)], now);
-    serve(&mut pool, Call::new("a", latest), Report::default(), now);
+    serve(&mut pool, Call::new("a", slot_deadline), Report::default(), now);
     let outcomes: Vec<_> = (0..30)
-        .map(|_| pool.submit(Call::new("a", latest), now))
+        .map(|_| pool.submit(Call::new("a", slot_deadline), now))
         .collect();
     let refused = outcomes.iter().position(|outcome| {
-        matches!(outcome, Submitted::Refused { reason: Shortage::Deadline, retry_after } if *retry_after >= Duration::from_secs(1))
+        matches!(outcome, Submitted::Refused { reason: RefusalReason::Deadline, retry_after } if *retry_after >= Duration::from_secs(1))
     });
-    // One call takes a second, and first calls may be expected to wait for half of the ten.
+    // One call takes a second, and a first call may be expected to wait for half of the ten seconds to its
+    // deadline.
     assert!(
         refused.is_some_and(|index| (4..=6).contains(&index)),
         "{outcomes:?}"
     );
     // Another account has its own share of the endpoint.
     assert!(matches!(
-        pool.submit(Call::new("b", latest), now),
+        pool.submit(Call::new("b", slot_deadline), now),
         Submitted::Waiting(_)
     ));
 
     pool.tick(now);
-    let late = pool.tick(latest);
+    let late = pool.tick(slot_deadline);
     assert!(late.assignments.is_empty());
-    assert_eq!(late.refused.len(), pool_waiting(&outcomes));
+    assert_eq!(late.refused.len(), queued_calls(&outcomes));
     assert_eq!(pool.waiting(), 0);
 }
 
-/// Calls of these that wait after one of them and none of another account got the slot.
-fn pool_waiting(outcomes: &[Submitted]) -> usize {
+/// Returns the number of queued calls in `outcomes`. The queued call of account `b` makes up for the call that got
+/// the slot.
+fn queued_calls(outcomes: &[Submitted]) -> usize {
     let waiting = outcomes
         .iter()
         .filter(|outcome| matches!(outcome, Submitted::Waiting(_)));
@@ -238,27 +251,28 @@
 #[test]
 fn submit_full_queue() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1)], now).with_waiting_max(10);
     for _ in 0..10 {
-        submitted(&mut pool, Call::new("flooding", latest), now);
+        submitted(&mut pool, Call::new("flooding", slot_deadline), now);
     }
     let full = |outcome| {
         matches!(
             outcome,
             Submitted::Refused {
-                reason: Shortage::QueueFull,
+                reason: RefusalReason::QueueFull,
                 ..
             }
         )
     };
-    assert!(full(pool.submit(Call::new("flooding", latest), now)));
-    assert!(!full(pool.submit(Call::new("other", latest), now)));
+    assert!(full(pool.submit(Call::new("flooding", slot_deadline), now)));
+    assert!(!full(pool.submit(Call::new("other", slot_deadline), now)));
 }
 
 #[test]
 fn complete_failures() {
-    // Failing calls by account and failed probes; whether each of two accounts may still use it.
+    // Accounts of the failed calls, number of failed probes, and whether accounts `a` and `b` may still use the
+    // endpoint.
     let cases: [(&[&str], u32, bool, bool); 5] = [
         (&["a", "a"], 0, true, true),
         (&["a", "a", "a", "a", "a", "a"], 0, false, true),
@@ -268,12 +282,12 @@
     ];
     for (failures, probes, a_admitted, b_admitted) in cases {
         let now = Instant::now();
-        let latest = now + Duration::from_mins(1);
+        let slot_deadline = now + Duration::from_mins(1);
         let mut pool = pool(&[("engine-1", 10)], now);
         let slots: Vec<_> = failures
             .iter()
             .map(|account_id| {
-                submitted(&mut pool, Call::new(*account_id, latest), now);
+                submitted(&mut pool, Call::new(*account_id, slot_deadline), now);
                 pool.tick(now).assignments[0].slot_id
             })
             .collect();
@@ -288,11 +302,11 @@
             pool.observe_probe("engine-1", false, now);
         }
         for (account_id, admitted) in [("a", a_admitted), ("b", b_admitted)] {
-            pool.submit(Call::new(account_id, latest), now);
+            pool.submit(Call::new(account_id, slot_deadline), now);
             let assigned = !pool.tick(now).assignments.is_empty();
             assert_eq!(assigned, admitted, "{failures:?} {probes} {account_id}");
         }
-        // Everybody may try again later.
+        // All accounts may use the endpoint again after the ejection.
         let later = now + Duration::from_secs(40);
         pool.submit(Call::new("b", later + Duration::from_secs(1)), later);
         assert!(!pool.tick(later).assignments.is_empty(), "{failures:?} {probes}");
@@ -300,12 +314,12 @@
 }
 
 #[test]
-fn observe_load_lagged() {
+fn observe_load_delayed() {
     let now = Instant::now();
-    let latest = now + Duration::from_mins(1);
+    let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 4)], now);
     for _ in 0..2 {
-        submitted(&mut pool, Call::new("a", latest), now);
+        submitted(&mut pool, Call::new("a", slot_deadline), now);
     }
     assert_eq!(pool.tick(now).assignments.len(), 2);
     let report = |running, age| LoadReport {
@@ -313,14 +327,14 @@
         age,
         ..LoadReport::default()
     };
-    // Three calls while two of them were ours: one is of somebody else, and one slot is left.
+    // Three calls are reported and two of them are from this pool, so one is from outside and one slot is left.
     let later = now + Duration::from_secs(2);
     pool.observe_load("engine-1", report(3, Duration::from_secs(1)), later);
     for _ in 0..4 {
-        submitted(&mut pool, Call::new("a", latest), later);
+        submitted(&mut pool, Call::new("a", slot_deadline), later);
     }
     assert_eq!(pool.tick(later).assignments.len(), 1);
-    // The report is older than our third call, which it does not count.
+    // The report is older than the pool's third call and does not include it.
     pool.observe_load("engine-1", report(2, Duration::from_secs(1)), later);
     assert_eq!(pool.tick(later).assignments.len(), 1);
 }
@@ -366,7 +380,8 @@
         ..Config::default()
     })]
 
-    /// Each call is settled once, and no endpoint gets more calls than slots, or any when leaving.
+    /// Checks that each call is settled exactly once, that no endpoint gets more calls than slots, and that a
+    /// leaving endpoint gets none.
     #[test]
     fn tick_settles_once(steps in prop::collection::vec((0..200_u64, step()), 10..300)) {
         let mut now = Instant::now();
@@ -379,8 +394,8 @@
             now += Duration::from_millis(pause_ms);
             match step {
                 Step::Submit { account, program, wait_ms } => {
-                    let latest = now + Duration::from_millis(wait_ms);
-                    let call = completion(&account.to_string(), &program.to_string(), 2_000, latest);
+                    let slot_deadline = now + Duration::from_millis(wait_ms);
+                    let call = completion(&account.to_string(), &program.to_string(), 2_000, slot_deadline);
                     if let Submitted::Waiting(call_id) = pool.submit(call, now) {
                         prop_assert!(waiting.insert(call_id));
                     }
