--- a/crates/burdockroad-daemon/src/calls.rs
+++ b/crates/burdockroad-daemon/src/calls.rs
@@ -129,7 +129,7 @@
     }
 
     /// Tokens that a completion may have generated at most; 0 for a service.
-    fn wanted_tokens(&self, work: &Work) -> u64 {
+    fn max_tokens(&self, work: &Work) -> u64 {
         match work {
             Work::Completion(request) => request.max_tokens.unwrap_or_else(|| self.default_max_tokens()),
             Work::Service(_) => 0,
--- a/crates/burdockroad-daemon/src/calls/program_call.rs
+++ b/crates/burdockroad-daemon/src/calls/program_call.rs
@@ -5,7 +5,7 @@
 
 use burdockroad::{
     CallNumber, ProgramId,
-    program::{Answer, CallKind, CallRequest, Outcome, Placement, Usage},
+    program::{CallKind, CallRequest, CallResponse, Outcome, Placement, Usage},
 };
 use bytes::Bytes;
 use tokio::time::Instant;
@@ -137,7 +137,7 @@
         let placement = Placement {
             pool_id: slot.pool_id.clone(),
             endpoint_id: slot.endpoint_id.clone(),
-            wanted_tokens: self.wanted_tokens(&call.plan.work),
+            max_tokens: self.max_tokens(&call.plan.work),
         };
         let sent = self
             .programs
@@ -275,7 +275,7 @@
             program_id: Some(call.position.program_id.clone()),
             call_number: call.position.number,
             prompt_tokens: prompt_tokens(&call.plan.work, call.usage.history_bytes),
-            max_output_tokens: self.wanted_tokens(&call.plan.work),
+            max_output_tokens: self.max_tokens(&call.plan.work),
             attained_tokens: call.usage.attained_tokens,
             prefix_endpoint_id: call.prefix_endpoint_id.clone(),
             excluded: self.excluded(&call.plan, &call.tried),
@@ -371,7 +371,7 @@
 }
 
 /// A recorded answer in the form that the caller asks for.
-fn repeat(plan: &Plan, answer: &Answer) -> Arc<AnswerLog> {
+fn repeat(plan: &Plan, answer: &CallResponse) -> Arc<AnswerLog> {
     let Work::Completion(request) = &plan.work else {
         let head = Head::new(answer.status, &answer.content_type);
         return AnswerLog::whole(head, Bytes::from(answer.body.clone()));
--- a/crates/burdockroad-daemon/src/calls/single_call.rs
+++ b/crates/burdockroad-daemon/src/calls/single_call.rs
@@ -95,7 +95,7 @@
             slot,
             program_id: None,
             prompt,
-            max_tokens: self.wanted_tokens(&plan.work),
+            max_tokens: self.max_tokens(&plan.work),
             attained_tokens: 0,
             log,
         };
@@ -116,7 +116,7 @@
             program_id: None,
             call_number: 1,
             prompt_tokens: prompt_tokens(&plan.work, 0),
-            max_output_tokens: self.wanted_tokens(&plan.work),
+            max_output_tokens: self.max_tokens(&plan.work),
             attained_tokens: 0,
             prefix_endpoint_id: None,
             excluded,
--- a/crates/burdockroad-daemon/tests/call_order.rs
+++ b/crates/burdockroad-daemon/tests/call_order.rs
@@ -11,7 +11,7 @@
     AccountId, Record,
     config::VersionedDocument,
     ownership::{Candidate, Process, first_map},
-    program::{Budget, Hold, NewProgram, ProgramsOptions},
+    program::{Budget, CachedPrefix, NewProgram, ProgramsOptions},
     program_id,
     retry::{RetryBudgets, RetryOptions},
 };
@@ -108,7 +108,7 @@
 
 #[async_trait]
 impl MemoryReleaser for NoMemory {
-    async fn release(&self, _hold: &Hold) -> bool {
+    async fn release(&self, _prefix: &CachedPrefix) -> bool {
         true
     }
 }
--- a/crates/burdockroad-daemon/tests/fleet/programs.rs
+++ b/crates/burdockroad-daemon/tests/fleet/programs.rs
@@ -5,7 +5,7 @@
 use async_trait::async_trait;
 use burdockroad::{
     ownership::{Candidate, OwnershipMap, Process, first_map},
-    program::{Budget, Hold, NewProgram, ProgramsOptions, Refusal},
+    program::{Budget, CachedPrefix, NewProgram, ProgramsOptions, Refusal},
     program_id,
 };
 use burdockroad_daemon::{
@@ -22,7 +22,7 @@
 
 #[async_trait]
 impl MemoryReleaser for NoMemory {
-    async fn release(&self, _: &Hold) -> bool {
+    async fn release(&self, _: &CachedPrefix) -> bool {
         true
     }
 }
--- a/crates/burdockroad/examples/embed.rs
+++ b/crates/burdockroad/examples/embed.rs
@@ -8,7 +8,7 @@
 use burdockroad::{
     Record,
     program::{
-        Answer, Begun, Budget, CallKind, CallRequest, NewProgram, Outcome, Placement, Programs,
+        Budget, CallDecision, CallKind, CallRequest, CallResponse, NewProgram, Outcome, Placement, Programs,
         ProgramsOptions, Replay,
     },
     quota::{Admission, Bucket, Holder, Limits},
@@ -64,23 +64,23 @@
     number: u32,
 ) -> Result<[Record; 2], Box<dyn std::error::Error>> {
     let now = SystemTime::now();
-    let Begun::Run(..) = programs.begin(request(program_id, number), now)? else {
+    let CallDecision::Run(..) = programs.begin(request(program_id, number), now)? else {
         return Err("the call has run before".into());
     };
     let placement = Placement {
         pool_id: "engines".to_owned(),
         endpoint_id: "engine-1".to_owned(),
-        wanted_tokens: 20,
+        max_tokens: 20,
     };
-    let sending = programs.send(&program_id.to_owned(), placement, now)?;
-    let answer = Answer {
+    let prepared = programs.send(&program_id.to_owned(), placement, now)?;
+    let answer = CallResponse {
         status: 200,
         content_type: "application/json".to_owned(),
         body: Vec::new(),
-        message: Some(format!("\"answer after {} messages\"", sending.prompt.len())),
+        message: Some(format!("\"answer after {} messages\"", prepared.prompt.len())),
     };
     let settled = programs.settle(&program_id.to_owned(), Outcome::Answered(answer), 12);
-    Ok([sending.record, settled.ok_or("the call is gone")?])
+    Ok([prepared.record, settled.ok_or("the call is gone")?])
 }
 
 fn request(program_id: &str, number: u32) -> CallRequest {
--- a/crates/burdockroad/src/program.rs
+++ b/crates/burdockroad/src/program.rs
@@ -1,9 +1,9 @@
-//! Order, history and budget of programs.
+//! Ordering, history and budgets of programs.
 //!
-//! Programs that share a budget stand in one tree: a root, and the sub-agents that it or they
-//! created. A tree is owned by one host at a time and is the unit that is recorded, replayed and
-//! moved. Every change of a tree is a [`Record`] with the tree's next sequence number, so a record
-//! that is replayed twice, or after a newer snapshot, changes nothing.
+//! Programs that share a budget form one tree: a root program, its sub-agents, and their sub-agents. A
+//! tree is owned by one host at a time and is the unit of recording, replay and migration. Every change
+//! to a tree is a [`Record`] that carries the next sequence number of the tree. Replay is therefore
+//! idempotent: a record that is replayed twice, or after a newer snapshot, has no effect.
 
 mod budget;
 mod checks;
@@ -16,10 +16,13 @@
 
 pub use self::{
     budget::{Budget, Ledger},
-    record::{Answer, CallKind, Event, Hold, Intent, Outcome, Record, RequestDigest},
+    record::{CachedPrefix, CallKind, CallResponse, Event, Intent, Outcome, Record, RequestDigest},
     refusal::{Refusal, Shortage},
     replay::Replay,
-    request::{Action, Begun, CallRequest, Cancelled, NewProgram, Placement, ProgramsOptions, Sending},
+    request::{
+        Action, CallDecision, CallRequest, CancelledCall, NewProgram, Placement, PreparedCall,
+        ProgramsOptions,
+    },
     table::Programs,
     tree::{Call, Program, State, Tree, Usage},
 };
--- a/crates/burdockroad/src/program/checks.rs
+++ b/crates/burdockroad/src/program/checks.rs
@@ -1,26 +1,26 @@
-//! The rules by which the table of programs takes, repeats or refuses a call.
+//! Rules that decide whether the program table accepts a call, treats it as a retry, or refuses it.
 
 use std::time::{Duration, SystemTime};
 
 use crate::{
     ids::CallNumber,
     program::{
-        Begun, Call, CallKind, CallRequest, Hold, Outcome, Program, Refusal, Shortage, State, Tree, Usage,
-        table::OpenCall,
+        CachedPrefix, Call, CallDecision, CallKind, CallRequest, Outcome, Program, Refusal, Shortage, State,
+        Tree, Usage, table::OpenCall,
     },
 };
 
-/// Time after which a refused call may fit into tokens that other calls have set aside.
-const RESERVED_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay suggested to a caller while other calls of its tree have reserved all remaining tokens.
+const RESERVED_TOKENS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-pub(super) fn repeat_of_open(
+pub(super) fn retry_of_open_call(
     open: &OpenCall,
     program: &Program,
     request: &CallRequest,
-) -> Result<Begun, Refusal> {
+) -> Result<CallDecision, Refusal> {
     let number = open.request.number;
     if request.number < number {
-        return repeat_of_ended(program.call(request.number), request);
+        return retry_of_finished_call(program.call(request.number), request);
     }
     if request.number > number {
         return Err(Refusal::WrongNumber { expected: number });
@@ -28,10 +28,13 @@
     if request.digest != open.request.digest {
         return Err(Refusal::DifferentRequest);
     }
-    Ok(Begun::Attach)
+    Ok(CallDecision::Attach)
 }
 
-pub(super) fn repeat_of_ended(call: Option<&Call>, request: &CallRequest) -> Result<Begun, Refusal> {
+pub(super) fn retry_of_finished_call(
+    call: Option<&Call>,
+    request: &CallRequest,
+) -> Result<CallDecision, Refusal> {
     let Some(call) = call else {
         return Err(Refusal::WrongNumber { expected: 1 });
     };
@@ -39,11 +42,11 @@
         return Err(Refusal::DifferentRequest);
     }
     match &call.outcome {
-        Some(Outcome::Answered(answer)) => Ok(Begun::Answered(answer.clone())),
+        Some(Outcome::Answered(response)) => Ok(CallDecision::Answered(response.clone())),
         Some(Outcome::Unknown { reason }) => Err(Refusal::OutcomeUnknown {
             reason: reason.clone(),
         }),
-        Some(Outcome::NotRun | Outcome::Failed { .. }) | None => Ok(Begun::Attach),
+        Some(Outcome::NotRun | Outcome::Failed { .. }) | None => Ok(CallDecision::Attach),
     }
 }
 
@@ -81,7 +84,7 @@
         return over(Shortage::Calls, None);
     }
     if kind == CallKind::Completion && ledger.free_tokens() == 0 {
-        let retry_after = (ledger.reserved_tokens > 0).then_some(RESERVED_RETRY);
+        let retry_after = (ledger.reserved_tokens > 0).then_some(RESERVED_TOKENS_RETRY_AFTER);
         return over(Shortage::Tokens, retry_after);
     }
     Ok(())
@@ -111,11 +114,12 @@
     earlier.chain(request.messages.iter().cloned()).collect()
 }
 
-/// Whether the endpoint is the one where an active program's next call finds its prefix.
-pub(super) fn is_in_use(tree: &Tree, hold: &Hold) -> bool {
+/// Returns whether this is the endpoint that served the last completion of an active program, so that
+/// the program's next call can reuse the cached prefix.
+pub(super) fn is_next_endpoint(tree: &Tree, prefix: &CachedPrefix) -> bool {
     let program = tree
         .programs
-        .get(&hold.program_id)
+        .get(&prefix.program_id)
         .filter(|program| program.state == State::Active);
-    program.is_some_and(|program| program.prefix_endpoint_id() == Some(&hold.endpoint_id))
+    program.is_some_and(|program| program.prefix_endpoint_id() == Some(&prefix.endpoint_id))
 }
--- a/crates/burdockroad/src/program/record.rs
+++ b/crates/burdockroad/src/program/record.rs
@@ -1,4 +1,4 @@
-//! Records of what happened to a program tree, as a journal keeps them.
+//! Journal records of changes to program trees.
 
 use std::time::SystemTime;
 
@@ -10,36 +10,37 @@
     program::{Budget, Tree},
 };
 
-/// SHA-256 of a call's method, target and body; tells a repeated request from a different one.
+/// SHA-256 of a call's method, target and body. Distinguishes a retry of a request from a different
+/// request.
 pub type RequestDigest = [u8; 32];
 
-/// One change of one program tree.
+/// One change to one program tree.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// Root of the tree that changed.
+    /// Root program of the changed tree.
     pub root_id: ProgramId,
-    /// Position among the tree's changes, from 1, without gaps.
+    /// Sequence number of the change within its tree; starts at 1 and has no gaps.
     pub sequence: u64,
     /// The change.
     pub event: Event,
 }
 
-/// What changed.
+/// Change to a program tree.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum Event {
-    /// A program began; without a parent it is the root of a new tree.
+    /// A program was created. Without a parent, it is the root of a new tree.
     Created {
         /// The new program.
         program_id: ProgramId,
-        /// The account that it runs for.
+        /// The account that the program runs for.
         account_id: AccountId,
-        /// The program that created it.
+        /// The parent program, if this is a sub-agent.
         parent_id: Option<ProgramId>,
-        /// The budget of a root; a sub-agent shares its root's.
+        /// The budget of a root program; a sub-agent shares the budget of its root.
         budget: Option<Budget>,
-        /// When it began.
+        /// Creation time.
         created_at: SystemTime,
     },
     /// A call is about to be sent to an endpoint.
@@ -49,144 +50,146 @@
         /// The call.
         intent: Intent,
     },
-    /// A call ended, or is known never to have been sent.
+    /// A call ended, or was never sent.
     Settled {
         /// The program that made the call.
         program_id: ProgramId,
-        /// The call's position.
+        /// Sequence number of the call within its program.
         call_number: CallNumber,
-        /// How it ended.
+        /// Outcome of the call.
         outcome: Outcome,
-        /// Tokens that count as spent.
+        /// Tokens charged to the budget.
         spent_tokens: u64,
     },
-    /// An endpoint confirmed that it holds nothing more for a program, or is itself gone.
+    /// An endpoint confirmed that it has freed the cached prefix of a program, or the endpoint was
+    /// removed.
     Released {
         /// The program.
         program_id: ProgramId,
         /// The endpoint.
         endpoint_id: EndpointId,
     },
-    /// A program ended; its history stays readable until its tree is forgotten.
+    /// A program ended. Its history stays readable until its tree is removed.
     Ended {
         /// The program.
         program_id: ProgramId,
-        /// Why, in a few words for the caller.
+        /// Short reason, shown to the caller.
         reason: String,
-        /// When it ended.
+        /// End time.
         ended_at: SystemTime,
     },
-    /// The whole tree, in place of all records before this one.
+    /// The complete tree. Replaces all earlier records of it.
     Snapshot {
         /// The tree.
         tree: Box<Tree>,
     },
-    /// The tree is no longer kept in this journal: it was forgotten, or another host owns it.
+    /// The tree was removed from this journal, because its retention period passed or because another
+    /// host owns it.
     Dropped,
 }
 
-/// What is recorded before a call may leave the host.
+/// Description of a call, recorded before the call is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Intent {
-    /// The call's position.
+    /// Sequence number of the call within its program.
     pub call_number: CallNumber,
-    /// Route that the call takes.
+    /// Route of the call.
     pub route_id: RouteId,
-    /// What kind of call it is.
+    /// Kind of the call.
     pub kind: CallKind,
-    /// Whether a repeated run would do no harm.
+    /// Whether the call can safely be run more than once.
     pub idempotent: bool,
     /// Digest of the request.
     pub digest: RequestDigest,
     /// New messages of a completion, as JSON texts; empty for a service call.
     pub messages: Vec<String>,
-    /// Pool that the endpoint was taken from.
+    /// Pool that contains the endpoint.
     pub pool_id: PoolId,
     /// Endpoint that the call is sent to.
     pub endpoint_id: EndpointId,
-    /// Tokens set aside.
+    /// Tokens reserved from the budget.
     pub reserved_tokens: u64,
-    /// Whether the engine is told to keep the program's prefix for its next call.
+    /// Whether the engine is asked to keep the program's prefix in its KV cache for the next call.
     pub keeps_prefix: bool,
 }
 
-/// Kind of endpoint that a call is for.
+/// Kind of a call, by the type of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum CallKind {
-    /// A chat completion of a model engine.
+    /// A chat completion by a model engine.
     Completion,
-    /// A request to a plain service.
+    /// A request to an ordinary HTTP service.
     Service,
 }
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Outcome {
-    /// The endpoint's whole answer arrived.
-    Answered(Answer),
-    /// No byte of the request left the host; the call number may be used again.
+    /// The complete response of the endpoint was received.
+    Answered(CallResponse),
+    /// No byte of the request left the host. The call number can be reused.
     NotRun,
-    /// An idempotent call failed; the call number may be used again.
+    /// An idempotent call failed. The call number can be reused.
     Failed {
-        /// Why, in a few words for the caller.
+        /// Short reason, shown to the caller.
         reason: String,
     },
-    /// A call that may not be repeated was sent and its answer was not seen.
+    /// A non-idempotent call was sent, but no complete response was received.
     Unknown {
-        /// Why, in a few words for the caller.
+        /// Short reason, shown to the caller.
         reason: String,
     },
 }
 
 impl Outcome {
-    /// Bytes of an answer; 0 without one.
+    /// Returns the size of the response in bytes; 0 without a response.
     pub fn bytes(&self) -> u64 {
-        let Self::Answered(answer) = self else {
+        let Self::Answered(response) = self else {
             return 0;
         };
-        let message_bytes = answer.message.as_ref().map_or(0, String::len);
-        (answer.body.len() + message_bytes) as u64
+        let message_bytes = response.message.as_ref().map_or(0, String::len);
+        (response.body.len() + message_bytes) as u64
     }
 }
 
-/// An endpoint's whole answer.
+/// Complete response of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Answer {
-    /// HTTP status.
+pub struct CallResponse {
+    /// HTTP status code.
     pub status: u16,
-    /// HTTP content type; empty when the endpoint gave none.
+    /// HTTP content type; empty if the endpoint sent none.
     pub content_type: String,
-    /// Body; for a completion the `chat.completion` object with its message left out.
+    /// Response body. For a completion, the `chat.completion` object without its message.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// The assistant's message of a completion, as JSON text. It stands apart from the body so that
-    /// a prompt is put together without parsing every earlier answer again.
+    /// The assistant message of a completion, as JSON text. It is stored apart from the body so that a
+    /// prompt can be assembled without parsing all earlier responses again.
     #[serde(default)]
     pub message: Option<String>,
 }
 
-/// Engine memory that an endpoint may hold for a program.
+/// KV cache entry that an endpoint may keep for the prefix of a program.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct Hold {
+pub struct CachedPrefix {
     /// The program.
     pub program_id: ProgramId,
-    /// Pool of the endpoint.
+    /// Pool that contains the endpoint.
     pub pool_id: PoolId,
     /// The endpoint.
     pub endpoint_id: EndpointId,
 }
 
 impl Record {
-    /// Encodes the record for a journal segment, as CBOR.
+    /// Encodes the record as CBOR for a journal segment.
     ///
     /// # Errors
     ///
-    /// Fails when a time stands before the Unix epoch.
+    /// Fails if a timestamp is before the Unix epoch.
     pub fn encode(&self) -> Result<Vec<u8>> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes)
@@ -194,11 +197,11 @@
         Ok(bytes)
     }
 
-    /// Decodes a record that [`encode`](Self::encode) wrote.
+    /// Decodes a record written by [`encode`](Self::encode).
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are not one whole record.
+    /// Fails if the bytes are not exactly one complete record.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         ciborium::from_reader(bytes)
             .map_err(|cause| Error::new("a record could not be decoded").with_cause(cause))
--- a/crates/burdockroad/src/program/refusal.rs
+++ b/crates/burdockroad/src/program/refusal.rs
@@ -1,55 +1,55 @@
-//! Why a program or a call is refused. Nothing ran where one of these is returned.
+//! Reasons for refusing a program or a call. A refused call was not run.
 
 use std::{fmt, time::Duration};
 
 use crate::ids::CallNumber;
 
-/// Why the program table refused a request.
+/// Reason why the program table refused a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No such program, or one of another account; the two are not told apart.
+    /// The program does not exist or belongs to another account. The caller cannot tell which.
     UnknownProgram,
-    /// This host does not own the program's partition, or is handing it over.
+    /// This host does not own the program's partition, or is handing it off.
     NotOwner,
     /// The program has ended.
     Ended {
-        /// Why, in a few words for the caller.
+        /// Short reason, shown to the caller.
         reason: String,
     },
-    /// The call's number is not the program's next one.
+    /// The call number is not the next one of the program.
     WrongNumber {
-        /// The number that the next call must carry.
+        /// The number that the next call must have.
         expected: CallNumber,
     },
-    /// The number belongs to an earlier call with another request.
+    /// The call number was already used for a different request.
     DifferentRequest,
-    /// The call was sent, may not be repeated, and its answer was not seen.
+    /// The call was sent and is not idempotent, but no complete response was received.
     OutcomeUnknown {
-        /// Why, in a few words for the caller.
+        /// Short reason, shown to the caller.
         reason: String,
     },
-    /// The history of the program's tree has no room for the call.
+    /// The message history of the program's tree has no room for the call.
     HistoryFull {
-        /// Most bytes that a tree's history may hold.
+        /// Maximum size of the history of a tree, in bytes.
         max_bytes: u64,
     },
-    /// The budget does not allow the call.
+    /// The remaining budget does not allow the call.
     OverBudget {
-        /// What is short.
+        /// The exhausted part of the budget.
         shortage: Shortage,
-        /// Set when calls under way may leave enough for a later try.
+        /// Delay before a retry; set if running calls may release reserved tokens.
         retry_after: Option<Duration>,
     },
 }
 
-/// What is short in a budget.
+/// Exhausted part of a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
-    /// Tokens to generate.
+    /// Generated tokens.
     Tokens,
-    /// Calls to send.
+    /// Number of calls.
     Calls,
-    /// Time.
+    /// Duration of the program.
     Duration,
 }
 
@@ -65,7 +65,7 @@
             Self::HistoryFull { max_bytes } => {
                 write!(
                     f,
-                    "the histories of the program and its relatives may hold {max_bytes} bytes together"
+                    "the message history of the program and its sub-agents is limited to {max_bytes} bytes"
                 )
             }
             Self::OverBudget { shortage, .. } => write!(f, "the budget has no {shortage} left"),
--- a/crates/burdockroad/src/program/replay.rs
+++ b/crates/burdockroad/src/program/replay.rs
@@ -1,4 +1,4 @@
-//! Trees built anew from the records of a journal.
+//! Rebuilding of program trees from journal records.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
     program::{Event, Record, Tree},
 };
 
-/// Builds trees from records.
+/// Rebuilds trees from journal records.
 ///
-/// Records may come twice, and records that stand before a tree's first snapshot may be missing, as
-/// they are after a journal was cleaned. A tree that was dropped stays dropped.
+/// Records may be repeated. Records before the first snapshot of a tree may be missing, because a
+/// cleaned journal no longer contains them. A dropped tree stays dropped.
 ///
 /// # Example
 ///
@@ -48,39 +48,39 @@
 }
 
 impl Replay {
-    /// Starts with no trees.
+    /// Creates a replay without trees.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Applies one record; one that is older than what is there changes nothing.
+    /// Applies one record. A record that is not newer than the tree has no effect.
     ///
     /// # Errors
     ///
-    /// Fails, and changes nothing, when records between the tree's state and this one are missing, or
-    /// when the record does not follow from that state.
+    /// Fails if records between the current state of the tree and this record are missing, or if the
+    /// record is not valid in that state. The tree is then unchanged.
     pub fn apply(&mut self, record: Record) -> Result<()> {
-        let known = self.known_sequence(&record.root_id);
-        if record.sequence <= known {
+        let last = self.last_sequence(&record.root_id);
+        if record.sequence <= last {
             return Ok(());
         }
         match record.event {
             Event::Snapshot { tree } => self.replace(record.root_id, record.sequence, *tree),
             Event::Dropped => self.drop_tree(record.root_id, record.sequence),
-            event => return self.advance(&record.root_id, record.sequence, &event),
+            event => return self.apply_next(&record.root_id, record.sequence, &event),
         }
         Ok(())
     }
 
-    /// The trees, by their roots.
+    /// Returns the rebuilt trees, by the ids of their roots.
     pub fn into_trees(self) -> BTreeMap<ProgramId, Tree> {
         self.trees
     }
 
-    fn known_sequence(&self, root_id: &ProgramId) -> u64 {
-        let kept = self.trees.get(root_id).map_or(0, |tree| tree.sequence);
+    fn last_sequence(&self, root_id: &ProgramId) -> u64 {
+        let current = self.trees.get(root_id).map_or(0, |tree| tree.sequence);
         let dropped = self.dropped.get(root_id).copied().unwrap_or(0);
-        kept.max(dropped)
+        current.max(dropped)
     }
 
     fn replace(&mut self, root_id: ProgramId, sequence: u64, mut tree: Tree) {
@@ -93,23 +93,24 @@
         self.dropped.insert(root_id, sequence);
     }
 
-    fn advance(&mut self, root_id: &ProgramId, sequence: u64, event: &Event) -> Result<()> {
+    fn apply_next(&mut self, root_id: &ProgramId, sequence: u64, event: &Event) -> Result<()> {
         let Some(tree) = self.trees.get_mut(root_id) else {
-            return self.begin(root_id, sequence, event);
+            return self.insert_new(root_id, sequence, event);
         };
         if sequence != tree.sequence + 1 {
             let expected = tree.sequence + 1;
             return Err(Error::new(format!(
-                "records of {root_id} are missing: expected {expected}, found {sequence}"
+                "records of program tree {root_id} are missing: expected sequence {expected}, found {sequence}"
             )));
         }
         tree.apply(event)
     }
 
-    fn begin(&mut self, root_id: &ProgramId, sequence: u64, event: &Event) -> Result<()> {
-        // A later record of an unknown tree stands before its snapshot in a cleaned journal.
+    fn insert_new(&mut self, root_id: &ProgramId, sequence: u64, event: &Event) -> Result<()> {
+        // A record of an unseen tree with a higher sequence number precedes the snapshot of the tree in
+        // a cleaned journal, and is skipped.
         if sequence == 1 {
-            self.trees.insert(root_id.clone(), Tree::begin(event)?);
+            self.trees.insert(root_id.clone(), Tree::from_created(event)?);
         }
         Ok(())
     }
--- a/crates/burdockroad/src/program/request.rs
+++ b/crates/burdockroad/src/program/request.rs
@@ -1,18 +1,19 @@
-//! What the table of programs is asked, and what it answers.
+//! Requests to the program table and their results.
 
 use std::time::Duration;
 
 use crate::{
     ids::{AccountId, CallNumber, EndpointId, PoolId, ProgramId, RouteId},
-    program::{Answer, Budget, CallKind, Hold, Record, RequestDigest, Usage},
+    program::{Budget, CachedPrefix, CallKind, CallResponse, Record, RequestDigest, Usage},
 };
 
-/// How the table treats programs.
+/// Options of the program table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProgramsOptions {
-    /// Time for which an ended tree's history stays readable.
+    /// Time for which the history of an ended tree stays readable.
     pub retention: Duration,
-    /// Most bytes of messages and answers in one tree, so that a snapshot fits into a record.
+    /// Maximum size of the messages and responses of a tree, in bytes. It keeps a snapshot of the tree
+    /// within the size limit of a record.
     pub history_max_bytes: u64,
 }
 
@@ -25,93 +26,95 @@
     }
 }
 
-/// A program to be created.
+/// A program to create.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewProgram {
-    /// Its id, in a partition that this host owns.
+    /// Id of the program, in a partition that this host owns.
     pub program_id: ProgramId,
-    /// The account that it runs for.
+    /// The account that the program runs for.
     pub account_id: AccountId,
-    /// The program whose sub-agent it is.
+    /// The parent program, if this is a sub-agent.
     pub parent_id: Option<ProgramId>,
-    /// Its budget; a sub-agent shares its root's.
+    /// Budget of the program; a sub-agent shares the budget of its root.
     pub budget: Budget,
 }
 
-/// A call as its caller made it.
+/// A call as requested by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRequest {
-    /// The account that the caller's key belongs to.
+    /// The account of the caller's key.
     pub account_id: AccountId,
     /// The program.
     pub program_id: ProgramId,
-    /// The call's position in the program.
+    /// Sequence number of the call within the program.
     pub number: CallNumber,
     /// Digest of the request.
     pub digest: RequestDigest,
-    /// Route that it takes.
+    /// Route of the call.
     pub route_id: RouteId,
-    /// What kind of call it is.
+    /// Kind of the call.
     pub kind: CallKind,
-    /// Whether a repeated run would do no harm.
+    /// Whether the call can safely be run more than once.
     pub idempotent: bool,
     /// New messages of a completion, as JSON texts.
     pub messages: Vec<String>,
-    /// Whether the engine is told to keep the program's prefix for its next call.
+    /// Whether the engine is asked to keep the program's prefix in its KV cache for the next call.
     pub keeps_prefix: bool,
 }
 
-/// What to do with a call.
+/// Decision on a requested call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Begun {
-    /// Run it.
+pub enum CallDecision {
+    /// The call has to be run. Contains the usage of its program and the endpoint that may cache the
+    /// program's prefix.
     Run(Usage, Option<EndpointId>),
-    /// It runs already, for an earlier try of the caller.
+    /// An earlier attempt of the same call is still running.
     Attach,
-    /// It was answered before.
-    Answered(Answer),
+    /// The call has completed with this response.
+    Answered(CallResponse),
 }
 
-/// Where a call is to be sent.
+/// Endpoint and token limit chosen for a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Pool of the endpoint.
+    /// Pool that contains the endpoint.
     pub pool_id: PoolId,
     /// The endpoint.
     pub endpoint_id: EndpointId,
-    /// Tokens that the engine may generate at most; 0 for a service.
-    pub wanted_tokens: u64,
+    /// Maximum number of tokens that the engine may generate; 0 for a service.
+    pub max_tokens: u64,
 }
 
-/// A call that may be sent once its record is durable.
+/// A call that can be sent as soon as its record is durable.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sending {
-    /// The intent.
+pub struct PreparedCall {
+    /// The record of the intent.
     pub record: Record,
     /// All messages of the conversation, as JSON texts.
     pub prompt: Vec<String>,
-    /// Tokens set aside: the most that the engine may generate.
+    /// Tokens reserved from the budget, which is also the maximum that the engine may generate.
     pub reserved_tokens: u64,
-    /// Time until the budget's time limit.
+    /// Time left until the time limit of the budget.
     pub time_left: Duration,
 }
 
-/// A call that has to stop because its program ended.
+/// A call to be cancelled because its program ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Cancelled {
+pub struct CancelledCall {
     /// The program.
     pub program_id: ProgramId,
-    /// The call's position.
+    /// Sequence number of the call within the program.
     pub number: CallNumber,
 }
 
-/// What a tick asks its caller to do.
+/// Operation that the caller of the table has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Append a change to the journal.
+    /// Append a record to the journal.
     Append(Record),
-    /// Stop a call.
-    Cancel(Cancelled),
-    /// Have an endpoint free what it holds, then report it by [`Programs::released`].
-    Release(Hold),
+    /// Cancel a call.
+    Cancel(CancelledCall),
+    /// Request an endpoint to free a cached prefix, then report the release with
+    /// [`Programs::on_prefix_released`].
+    Release(CachedPrefix),
 }
--- a/crates/burdockroad/src/program/table.rs
+++ b/crates/burdockroad/src/program/table.rs
@@ -1,4 +1,4 @@
-//! The programs that one host owns, and the systems that run over them.
+//! Table of the programs that one host owns, and the operations on them.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -9,29 +9,29 @@
     error::Result,
     ids::{AccountId, EndpointId, PartitionId, ProgramId, partition_of_program},
     program::{
-        Action, Begun, CallRequest, Cancelled, Event, Hold, Intent, NewProgram, Outcome, Placement, Program,
-        ProgramsOptions, Record, Refusal, Sending, State, Tree,
+        Action, CachedPrefix, CallDecision, CallRequest, CancelledCall, Event, Intent, NewProgram, Outcome,
+        Placement, PreparedCall, Program, ProgramsOptions, Record, Refusal, State, Tree,
         checks::{
-            check_active, check_budget, check_history, check_next, is_in_use, prompt, repeat_of_ended,
-            repeat_of_open, usage,
+            check_active, check_budget, check_history, check_next, is_next_endpoint, prompt,
+            retry_of_finished_call, retry_of_open_call, usage,
         },
     },
 };
 
-/// Reason given to callers whose call was under way when its host was lost.
-const OWNER_LOST: &str = "the host that served the call was lost";
+/// Reason reported for a call that was running when its host failed.
+const OWNER_LOST: &str = "the host that ran the call failed";
 
-/// Reason given for a program that reached its time limit.
+/// Reason reported for a program that reached its time limit.
 const TIME_LIMIT: &str = "its time limit has passed";
 
-/// Time between two tries to release the same engine memory.
+/// Interval between two requests to release the same cached prefix.
 const RELEASE_RETRY: Duration = Duration::from_secs(1);
 
 /// The program trees that one host owns.
 ///
-/// Every method that changes a tree returns the records of the change; the caller appends them to its
-/// journal in that order. Nothing here waits: what must be durable before a call is sent, or before its
-/// answer is passed on, is the caller's to await.
+/// Every method that changes a tree returns the records of the change, and the caller appends them to
+/// its journal in that order. No method waits. The caller waits for a record to become durable where
+/// that is required: before a call is sent, and before its response is returned.
 #[derive(Debug, Default)]
 pub struct Programs {
     options: ProgramsOptions,
@@ -40,10 +40,10 @@
     open: HashMap<ProgramId, OpenCall>,
     frozen: BTreeSet<PartitionId>,
     due: BTreeSet<(SystemTime, ProgramId)>,
-    releasing: BTreeMap<Hold, SystemTime>,
+    releasing: BTreeMap<CachedPrefix, SystemTime>,
 }
 
-/// A call that this host has taken and not ended.
+/// A call that this host has accepted and that has not ended.
 #[derive(Clone, Debug)]
 pub(super) struct OpenCall {
     pub(super) request: CallRequest,
@@ -51,7 +51,7 @@
 }
 
 impl Programs {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new(options: ProgramsOptions) -> Self {
         Self {
             options,
@@ -59,17 +59,17 @@
         }
     }
 
-    /// Number of trees in the table.
+    /// Returns the number of trees in the table.
     pub fn len(&self) -> usize {
         self.trees.len()
     }
 
-    /// Whether the table holds no tree.
+    /// Returns whether the table contains no tree.
     pub fn is_empty(&self) -> bool {
         self.trees.is_empty()
     }
 
-    /// Number of calls that are under way or wait to be sent.
+    /// Returns the number of calls that are running or waiting to be sent.
     pub fn open_calls(&self) -> usize {
         self.open.len()
     }
@@ -78,14 +78,14 @@
     ///
     /// # Errors
     ///
-    /// Refuses when the parent is unknown, ended or another account's, when the id is taken, or when
-    /// the partition is being handed over.
+    /// Fails if the parent does not exist, has ended or belongs to another account, if the id is
+    /// already in use, or if the partition is being handed off.
     pub fn create(&mut self, new: NewProgram, now: SystemTime) -> std::result::Result<Record, Refusal> {
         self.check_partition(&new.program_id)?;
         if self.roots.contains_key(&new.program_id) {
             return Err(Refusal::DifferentRequest);
         }
-        let root_id = self.root_for(&new)?;
+        let root_id = self.root_of_new(&new)?;
         let budget = new.parent_id.is_none().then_some(new.budget);
         let event = Event::Created {
             program_id: new.program_id.clone(),
@@ -95,19 +95,19 @@
             created_at: now,
         };
         self.roots.insert(new.program_id, root_id.clone());
-        Ok(self.change(&root_id, event))
+        Ok(self.apply_change(&root_id, event))
     }
 
-    /// Whether a program is in the table, whoever's it is.
+    /// Returns whether the table contains a program of any account.
     pub fn contains(&self, program_id: &ProgramId) -> bool {
         self.roots.contains_key(program_id)
     }
 
-    /// A program and its tree.
+    /// Returns a program and its tree.
     ///
     /// # Errors
     ///
-    /// Refuses when the program is unknown or another account's.
+    /// Fails if the program does not exist or belongs to another account.
     pub fn get(
         &self,
         account_id: &AccountId,
@@ -121,49 +121,52 @@
         Ok((tree, program))
     }
 
-    /// All trees, in the order of their roots.
+    /// Iterates over all trees, ordered by the ids of their roots.
     pub fn trees(&self) -> impl Iterator<Item = &Tree> {
         self.trees.values()
     }
 
-    /// Takes a call, or tells what became of an earlier try of it.
+    /// Accepts a call, or returns the result of an earlier attempt of the same call.
     ///
-    /// A call that is to run stays open until [`withdraw`](Self::withdraw) or
-    /// [`settle`](Self::settle).
+    /// An accepted call stays open until [`withdraw`](Self::withdraw) or [`settle`](Self::settle).
     ///
     /// # Errors
     ///
-    /// Refuses a call that is out of order, over the budget, or not the program's.
-    pub fn begin(&mut self, request: CallRequest, now: SystemTime) -> std::result::Result<Begun, Refusal> {
+    /// Fails if the call is out of order, exceeds the budget, or belongs to a program that is not in
+    /// the table.
+    pub fn begin(
+        &mut self,
+        request: CallRequest,
+        now: SystemTime,
+    ) -> std::result::Result<CallDecision, Refusal> {
         let (tree, program) = self.get(&request.account_id, &request.program_id)?;
         if let Some(open) = self.open.get(&request.program_id) {
-            return repeat_of_open(open, program, &request);
+            return retry_of_open_call(open, program, &request);
         }
         if request.number < program.next_number() {
-            return repeat_of_ended(program.call(request.number), &request);
+            return retry_of_finished_call(program.call(request.number), &request);
         }
         check_next(program, request.number)?;
         check_budget(tree, request.kind, now)?;
         check_history(tree, &request, self.options.history_max_bytes)?;
-        let begun = Begun::Run(usage(tree, program), program.prefix_endpoint_id().cloned());
+        let decision = CallDecision::Run(usage(tree, program), program.prefix_endpoint_id().cloned());
         self.check_partition(&request.program_id)?;
         self.open
             .insert(request.program_id.clone(), OpenCall { request, sent: false });
-        Ok(begun)
+        Ok(decision)
     }
 
-    /// Sets aside the budget of an open call and records where it is to be sent.
+    /// Reserves budget for an open call and records the endpoint that it is to be sent to.
     ///
     /// # Errors
     ///
-    /// Refuses when the budget no longer allows the call or the program has ended; the call is then
-    /// no longer open.
+    /// Fails if the budget no longer allows the call or the program has ended. The call is then closed.
     pub fn send(
         &mut self,
         program_id: &ProgramId,
         placement: Placement,
         now: SystemTime,
-    ) -> std::result::Result<Sending, Refusal> {
+    ) -> std::result::Result<PreparedCall, Refusal> {
         let Some(open) = self.open.get(program_id) else {
             return Err(Refusal::UnknownProgram);
         };
@@ -176,16 +179,17 @@
         Ok(self.record_intent(request, placement, now))
     }
 
-    /// Closes an open call that was not sent.
+    /// Closes an open call that has not been sent.
     pub fn withdraw(&mut self, program_id: &ProgramId) {
         if self.open.get(program_id).is_some_and(|open| !open.sent) {
             self.open.remove(program_id);
         }
     }
 
-    /// Records how a sent call ended.
+    /// Records the outcome of a sent call.
     ///
-    /// Returns none when the table no longer has the call, as after it was fenced.
+    /// Returns none if the call is no longer open, for example because the table was cleared when the
+    /// host was fenced.
     pub fn settle(&mut self, program_id: &ProgramId, outcome: Outcome, spent_tokens: u64) -> Option<Record> {
         let open = self.open.remove(program_id).filter(|open| open.sent)?;
         let root_id = self.roots.get(program_id)?.clone();
@@ -195,14 +199,14 @@
             outcome,
             spent_tokens,
         };
-        Some(self.change(&root_id, event))
+        Some(self.apply_change(&root_id, event))
     }
 
     /// Ends a program and its sub-agents.
     ///
     /// # Errors
     ///
-    /// Refuses when the program is unknown or another account's.
+    /// Fails if the program does not exist or belongs to another account.
     pub fn end(
         &mut self,
         account_id: &AccountId,
@@ -213,71 +217,75 @@
         let (tree, _) = self.get(account_id, program_id)?;
         let root_id = tree.root_id.clone();
         self.check_partition(program_id)?;
-        Ok(self.end_tree_part(&root_id, program_id, reason, now))
+        Ok(self.end_subtree(&root_id, program_id, reason, now))
     }
 
-    /// Notes that an endpoint holds nothing more for a program.
+    /// Records that an endpoint no longer caches the prefix of a program.
     ///
-    /// Returns none when the program has used the endpoint again meanwhile, or is not here.
-    pub fn released(&mut self, hold: &Hold) -> Option<Record> {
-        self.releasing.remove(hold);
-        let tree = self.tree_of(&hold.program_id)?;
-        let known = tree.holds.contains(hold);
-        if !known || self.open.contains_key(&hold.program_id) || is_in_use(tree, hold) {
+    /// Returns none if the program has a call open, uses the endpoint again, or is not in the table.
+    pub fn on_prefix_released(&mut self, prefix: &CachedPrefix) -> Option<Record> {
+        self.releasing.remove(prefix);
+        let tree = self.tree_of(&prefix.program_id)?;
+        let cached = tree.cached_prefixes.contains(prefix);
+        if !cached || self.open.contains_key(&prefix.program_id) || is_next_endpoint(tree, prefix) {
             return None;
         }
         let root_id = tree.root_id.clone();
         let event = Event::Released {
-            program_id: hold.program_id.clone(),
-            endpoint_id: hold.endpoint_id.clone(),
+            program_id: prefix.program_id.clone(),
+            endpoint_id: prefix.endpoint_id.clone(),
         };
-        Some(self.change(&root_id, event))
+        Some(self.apply_change(&root_id, event))
     }
 
-    /// Ends programs whose time is over, asks for engine memory to be freed, forgets old trees.
+    /// Ends programs that reached their time limit, requests the release of cached prefixes, and
+    /// removes trees whose retention period has passed.
     pub fn tick(&mut self, now: SystemTime) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some((_, root_id)) = self.pop_due(now) {
-            actions.extend(self.visit_due(&root_id, now));
+            actions.extend(self.process_due(&root_id, now));
         }
         actions.extend(self.due_releases(now));
         actions
     }
 
-    /// Takes trees over, and closes calls whose end nobody saw.
+    /// Takes over trees and closes calls that were still running when the previous owner stopped.
     ///
-    /// A copy that is not newer than what the table has is passed over.
+    /// A tree that is no newer than the one in the table is ignored.
     pub fn adopt(&mut self, trees: Vec<Tree>, now: SystemTime) -> Vec<Record> {
         let mut records = Vec::new();
         for tree in trees {
-            let known = self.trees.get(&tree.root_id).map_or(0, |kept| kept.sequence);
-            if tree.sequence > known {
+            let current = self
+                .trees
+                .get(&tree.root_id)
+                .map_or(0, |existing| existing.sequence);
+            if tree.sequence > current {
                 records.extend(self.adopt_tree(tree, now));
             }
         }
         records
     }
 
-    /// Stops taking calls for partitions.
+    /// Stops accepting calls for partitions, before a handoff.
     pub fn freeze(&mut self, partitions: &[PartitionId]) {
         self.frozen.extend(partitions);
     }
 
-    /// Takes calls for partitions again.
+    /// Accepts calls for partitions again.
     pub fn thaw(&mut self, partitions: &[PartitionId]) {
         for partition in partitions {
             self.frozen.remove(partition);
         }
     }
 
-    /// Whether a call of one of the partitions is open.
+    /// Returns whether a call of one of the partitions is open.
     pub fn has_open(&self, partitions: &[PartitionId]) -> bool {
         self.open
             .keys()
             .any(|id| partition_of_program(id).is_some_and(|own| partitions.contains(&own)))
     }
 
-    /// The trees of partitions.
+    /// Returns copies of all trees in the partitions.
     pub fn export(&self, partitions: &[PartitionId]) -> Vec<Tree> {
         self.roots_in(partitions)
             .iter()
@@ -285,8 +293,8 @@
             .collect()
     }
 
-    /// Forgets the trees of partitions, which another host owns now.
-    pub fn forget(&mut self, partitions: &[PartitionId]) -> Vec<Record> {
+    /// Removes the trees of partitions that another host now owns.
+    pub fn remove_partitions(&mut self, partitions: &[PartitionId]) -> Vec<Record> {
         let root_ids = self.roots_in(partitions);
         let records = root_ids
             .iter()
@@ -296,19 +304,20 @@
         records
     }
 
-    /// Forgets everything, after the host was fenced; returns what it may have caused to be held.
-    pub fn clear(&mut self) -> Vec<Hold> {
-        let holds = self
+    /// Removes everything after the host was fenced. Returns the prefixes that endpoints may cache for
+    /// programs with open calls.
+    pub fn clear(&mut self) -> Vec<CachedPrefix> {
+        let cached_prefixes = self
             .open
             .keys()
             .filter_map(|id| self.tree_of(id))
-            .flat_map(|tree| tree.holds.clone());
-        let holds = holds.collect();
+            .flat_map(|tree| tree.cached_prefixes.clone());
+        let cached_prefixes = cached_prefixes.collect();
         *self = Self::new(self.options);
-        holds
+        cached_prefixes
     }
 
-    /// Records of trees as a whole, in place of all their earlier records.
+    /// Returns snapshot records of trees, which replace all earlier records of these trees.
     pub fn snapshots(&mut self, root_ids: &[ProgramId]) -> Vec<Record> {
         root_ids
             .iter()
@@ -316,7 +325,7 @@
             .collect()
     }
 
-    fn root_for(&self, new: &NewProgram) -> std::result::Result<ProgramId, Refusal> {
+    fn root_of_new(&self, new: &NewProgram) -> std::result::Result<ProgramId, Refusal> {
         let Some(parent_id) = &new.parent_id else {
             return Ok(new.program_id.clone());
         };
@@ -339,11 +348,11 @@
         check_budget(tree, request.kind, now)
     }
 
-    fn record_intent(&mut self, request: CallRequest, placement: Placement, now: SystemTime) -> Sending {
+    fn record_intent(&mut self, request: CallRequest, placement: Placement, now: SystemTime) -> PreparedCall {
         let program_id = request.program_id.clone();
         let root_id = self.roots[&program_id].clone();
         let tree = &self.trees[&root_id];
-        let reserved_tokens = placement.wanted_tokens.min(tree.ledger.free_tokens());
+        let reserved_tokens = placement.max_tokens.min(tree.ledger.free_tokens());
         let time_left = tree.ledger.time_left(now);
         let prompt = prompt(tree, &request);
         let intent = Intent {
@@ -358,8 +367,8 @@
             reserved_tokens,
             keeps_prefix: request.keeps_prefix,
         };
-        self.release_elsewhere(&root_id, &program_id, &intent.endpoint_id, now);
-        let record = self.change(
+        self.release_other_endpoints(&root_id, &program_id, &intent.endpoint_id, now);
+        let record = self.apply_change(
             &root_id,
             Event::Intent {
                 program_id: program_id.clone(),
@@ -369,7 +378,7 @@
         if let Some(open) = self.open.get_mut(&program_id) {
             open.sent = true;
         }
-        Sending {
+        PreparedCall {
             record,
             prompt,
             reserved_tokens,
@@ -377,23 +386,25 @@
         }
     }
 
-    /// Asks for what other endpoints hold of a program that has moved on from them.
-    fn release_elsewhere(
+    /// Schedules the release of prefixes that other endpoints cache for a program that has moved to
+    /// `endpoint_id`.
+    fn release_other_endpoints(
         &mut self,
         root_id: &ProgramId,
         program_id: &ProgramId,
         endpoint_id: &EndpointId,
         now: SystemTime,
     ) {
-        let holds = self.trees[root_id].holds.iter();
-        let left = holds.filter(|hold| hold.program_id == *program_id && hold.endpoint_id != *endpoint_id);
-        let left: Vec<Hold> = left.cloned().collect();
-        for hold in left {
-            self.releasing.entry(hold).or_insert(now);
+        let cached_prefixes = self.trees[root_id].cached_prefixes.iter();
+        let stale = cached_prefixes
+            .filter(|prefix| prefix.program_id == *program_id && prefix.endpoint_id != *endpoint_id);
+        let stale: Vec<CachedPrefix> = stale.cloned().collect();
+        for prefix in stale {
+            self.releasing.entry(prefix).or_insert(now);
         }
     }
 
-    fn end_tree_part(
+    fn end_subtree(
         &mut self,
         root_id: &ProgramId,
         program_id: &ProgramId,
@@ -410,28 +421,28 @@
                 reason: reason.to_owned(),
                 ended_at: now,
             };
-            actions.push(Action::Append(self.change(root_id, event)));
+            actions.push(Action::Append(self.apply_change(root_id, event)));
             if let Some(open) = self.open.get(&id) {
                 let number = open.request.number;
-                actions.push(Action::Cancel(Cancelled {
+                actions.push(Action::Cancel(CancelledCall {
                     program_id: id.clone(),
                     number,
                 }));
             }
-            self.release_all(root_id, &id, now);
+            self.release_program(root_id, &id, now);
         }
         self.schedule(root_id);
         actions
     }
 
-    fn release_all(&mut self, root_id: &ProgramId, program_id: &ProgramId, now: SystemTime) {
-        let holds = self.trees[root_id]
-            .holds
+    fn release_program(&mut self, root_id: &ProgramId, program_id: &ProgramId, now: SystemTime) {
+        let cached_prefixes = self.trees[root_id]
+            .cached_prefixes
             .iter()
-            .filter(|hold| hold.program_id == *program_id);
-        let holds: Vec<Hold> = holds.cloned().collect();
-        for hold in holds {
-            self.releasing.entry(hold).or_insert(now);
+            .filter(|prefix| prefix.program_id == *program_id);
+        let cached_prefixes: Vec<CachedPrefix> = cached_prefixes.cloned().collect();
+        for prefix in cached_prefixes {
+            self.releasing.entry(prefix).or_insert(now);
         }
     }
 
@@ -443,18 +454,19 @@
         self.due.pop_first()
     }
 
-    fn visit_due(&mut self, root_id: &ProgramId, now: SystemTime) -> Vec<Action> {
+    fn process_due(&mut self, root_id: &ProgramId, now: SystemTime) -> Vec<Action> {
         let Some(tree) = self.trees.get(root_id) else {
             return Vec::new();
         };
         let Some(ended_at) = tree.ended_at() else {
-            return self.end_tree_part(&root_id.clone(), root_id, TIME_LIMIT, now);
+            return self.end_subtree(&root_id.clone(), root_id, TIME_LIMIT, now);
         };
-        // A tree that was ended before its time limit comes up once more at that limit.
+        // A tree that ended before its time limit becomes due a second time at that limit.
         if ended_at + self.options.retention > now {
             return Vec::new();
         }
-        let busy = !tree.holds.is_empty() || tree.programs.keys().any(|id| self.open.contains_key(id));
+        let busy =
+            !tree.cached_prefixes.is_empty() || tree.programs.keys().any(|id| self.open.contains_key(id));
         if busy {
             self.due.insert((now + RELEASE_RETRY, root_id.clone()));
             return Vec::new();
@@ -464,10 +476,10 @@
 
     fn due_releases(&mut self, now: SystemTime) -> Vec<Action> {
         let mut actions = Vec::new();
-        for (hold, next) in &mut self.releasing {
-            if *next <= now && !self.open.contains_key(&hold.program_id) {
+        for (prefix, next) in &mut self.releasing {
+            if *next <= now && !self.open.contains_key(&prefix.program_id) {
                 *next = now + RELEASE_RETRY;
-                actions.push(Action::Release(hold.clone()));
+                actions.push(Action::Release(prefix.clone()));
             }
         }
         actions
@@ -483,22 +495,22 @@
         self.schedule(&root_id);
         let records = orphans
             .into_iter()
-            .map(|event| self.change(&root_id, event))
+            .map(|event| self.apply_change(&root_id, event))
             .collect();
-        self.release_ended(&root_id, now);
+        self.release_unused(&root_id, now);
         records
     }
 
-    fn release_ended(&mut self, root_id: &ProgramId, now: SystemTime) {
+    fn release_unused(&mut self, root_id: &ProgramId, now: SystemTime) {
         let tree = &self.trees[root_id];
-        let unused: Vec<Hold> = tree
-            .holds
+        let unused: Vec<CachedPrefix> = tree
+            .cached_prefixes
             .iter()
-            .filter(|hold| !is_in_use(tree, hold))
+            .filter(|prefix| !is_next_endpoint(tree, prefix))
             .cloned()
             .collect();
-        for hold in unused {
-            self.releasing.entry(hold).or_insert(now);
+        for prefix in unused {
+            self.releasing.entry(prefix).or_insert(now);
         }
     }
 
@@ -522,7 +534,7 @@
             self.open.remove(id);
         }
         self.releasing
-            .retain(|hold, _| !tree.programs.contains_key(&hold.program_id));
+            .retain(|prefix, _| !tree.programs.contains_key(&prefix.program_id));
         Some(Record {
             root_id: root_id.clone(),
             sequence: tree.sequence + 1,
@@ -539,11 +551,11 @@
         self.trees.get(self.roots.get(program_id)?)
     }
 
-    /// Applies a change that the checks before it have made sure of, and returns its record.
-    fn change(&mut self, root_id: &ProgramId, event: Event) -> Record {
-        let sequence = self.apply(root_id, &event).unwrap_or_else(|error| {
-            // The checks above and `Tree::apply` disagree, which no input may bring about.
-            panic!("a checked change does not apply: {error}")
+    /// Applies a change that was validated by the caller, and returns its record.
+    fn apply_change(&mut self, root_id: &ProgramId, event: Event) -> Record {
+        let sequence = self.apply_to_tree(root_id, &event).unwrap_or_else(|error| {
+            // The validation above and `Tree::apply` disagree, which no input can cause.
+            panic!("a validated change does not apply: {error}")
         });
         Record {
             root_id: root_id.clone(),
@@ -552,17 +564,18 @@
         }
     }
 
-    fn apply(&mut self, root_id: &ProgramId, event: &Event) -> Result<u64> {
+    fn apply_to_tree(&mut self, root_id: &ProgramId, event: &Event) -> Result<u64> {
         if let Some(tree) = self.trees.get_mut(root_id) {
             tree.apply(event)?;
             return Ok(tree.sequence);
         }
-        self.trees.insert(root_id.clone(), Tree::begin(event)?);
+        self.trees.insert(root_id.clone(), Tree::from_created(event)?);
         self.schedule(root_id);
         Ok(1)
     }
 
-    /// Notes when a tree is to be looked at next: at its time limit, or when it may be forgotten.
+    /// Schedules the next processing of a tree: at its time limit while it is active, and at the end of
+    /// its retention period after that.
     fn schedule(&mut self, root_id: &ProgramId) {
         let tree = &self.trees[root_id];
         let at = match tree.ended_at() {
--- a/crates/burdockroad/src/program/tree.rs
+++ b/crates/burdockroad/src/program/tree.rs
@@ -1,4 +1,4 @@
-//! A program tree and the programs in it.
+//! Program trees, their programs and calls.
 
 use std::{collections::BTreeMap, time::SystemTime};
 
@@ -7,26 +7,27 @@
 use crate::{
     error::{Error, Result},
     ids::{AccountId, CallNumber, EndpointId, ProgramId},
-    program::{CallKind, Event, Hold, Intent, Ledger, Outcome},
+    program::{CachedPrefix, CallKind, Event, Intent, Ledger, Outcome},
 };
 
-/// Programs that share one budget.
+/// A root program and all of its sub-agents, which share one budget.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Tree {
-    /// The program that has no parent.
+    /// The root program.
     pub root_id: ProgramId,
-    /// The account that all of them run for.
+    /// The account that all programs of the tree run for.
     pub account_id: AccountId,
-    /// What they spend together.
+    /// The shared budget and the amounts spent from it.
     pub ledger: Ledger,
     /// Sequence number of the last change.
     pub sequence: u64,
-    /// The programs by their ids.
+    /// The programs, by id.
     pub programs: BTreeMap<ProgramId, Program>,
-    /// Engine memory that endpoints may hold for the programs.
-    pub holds: Vec<Hold>,
-    /// Bytes of all messages and answers.
+    /// Prefixes that endpoints may have cached for the programs.
+    #[serde(rename = "holds")]
+    pub cached_prefixes: Vec<CachedPrefix>,
+    /// Size of all messages and responses, in bytes.
     pub history_bytes: u64,
 }
 
@@ -34,27 +35,27 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Program {
-    /// Name of the program.
+    /// Id of the program.
     pub id: ProgramId,
-    /// The program that created it.
+    /// The parent program, if this is a sub-agent.
     pub parent_id: Option<ProgramId>,
-    /// Whether it runs or has ended.
+    /// Whether the program is active or has ended.
     pub state: State,
-    /// Its calls in order; the call with number `n` stands at `n - 1`.
+    /// Calls in order; the call with number `n` is at index `n - 1`.
     pub calls: Vec<Call>,
 }
 
-/// Whether a program runs or has ended.
+/// State of a program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum State {
-    /// It takes further calls.
+    /// The program accepts calls.
     Active,
-    /// It takes no further call.
+    /// The program accepts no more calls.
     Ended {
-        /// Why, in a few words for the caller.
+        /// Short reason, shown to the caller.
         reason: String,
-        /// When it ended.
+        /// End time.
         ended_at: SystemTime,
     },
 }
@@ -63,31 +64,32 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Call {
-    /// What was recorded before it was sent; of the last attempt where there were several.
+    /// The intent recorded before the call was sent; for a retried call, that of the last attempt.
     pub intent: Intent,
-    /// How it ended; none while it runs.
+    /// Outcome of the call; none while it is running.
     pub outcome: Option<Outcome>,
-    /// Tokens that its attempts spent together.
+    /// Total number of tokens spent by all attempts.
     pub spent_tokens: u64,
 }
 
 impl Call {
-    /// The call's position in its program.
+    /// Returns the sequence number of the call within its program.
     pub fn number(&self) -> CallNumber {
         self.intent.call_number
     }
 
-    /// The messages that the call added to the conversation, if it was an answered completion.
-    fn turn(&self) -> Option<impl Iterator<Item = &str>> {
-        let Some(Outcome::Answered(answer)) = &self.outcome else {
+    /// Returns the messages that the call added to the conversation, or none unless it is a completion
+    /// with a response.
+    fn conversation_messages(&self) -> Option<impl Iterator<Item = &str>> {
+        let Some(Outcome::Answered(response)) = &self.outcome else {
             return None;
         };
-        // What a plain service answered is the caller's; it goes into the conversation only if the
-        // caller puts it there.
+        // The response of an ordinary service belongs to the caller. It becomes part of the
+        // conversation only if the caller sends it in a message.
         if self.intent.kind == CallKind::Service {
             return None;
         }
-        let message = answer.message.as_deref()?;
+        let message = response.message.as_deref()?;
         Some(
             self.intent
                 .messages
@@ -97,28 +99,29 @@
         )
     }
 
-    /// Whether its number is used up: it was answered, or may have run and may not run again.
+    /// Returns whether the call number cannot be reused, because the call has a response, or because it
+    /// may have run and is not idempotent.
     pub fn is_final(&self) -> bool {
         matches!(self.outcome, Some(Outcome::Answered(_) | Outcome::Unknown { .. }))
     }
 }
 
-/// What a tree's calls cost, for fair sharing.
+/// Resource usage of a program, the input of fair scheduling.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Tokens that engines generated for the tree.
+    /// Tokens that engines generated for the whole tree.
     pub attained_tokens: u64,
-    /// Bytes of the program's history.
+    /// Size of the program's history, in bytes.
     pub history_bytes: u64,
 }
 
 impl Tree {
-    /// Begins a tree with the event that created its root.
+    /// Creates a tree from the event that created its root.
     ///
     /// # Errors
     ///
     /// Fails for any other event.
-    pub fn begin(event: &Event) -> Result<Self> {
+    pub fn from_created(event: &Event) -> Result<Self> {
         let Event::Created {
             program_id,
             account_id,
@@ -127,7 +130,9 @@
             created_at,
         } = event
         else {
-            return Err(Error::new("a program tree begins with the creation of its root"));
+            return Err(Error::new(
+                "the first event of a program tree must create its root",
+            ));
         };
         let root = Program::new(program_id.clone(), None);
         Ok(Self {
@@ -136,16 +141,16 @@
             ledger: Ledger::new(*budget, *created_at),
             sequence: 1,
             programs: BTreeMap::from([(program_id.clone(), root)]),
-            holds: Vec::new(),
+            cached_prefixes: Vec::new(),
             history_bytes: 0,
         })
     }
 
-    /// Applies the tree's next change and counts it.
+    /// Applies the next change to the tree and increments the sequence number.
     ///
     /// # Errors
     ///
-    /// Fails, and changes nothing, when the change does not follow from the tree's state.
+    /// Fails if the change is not valid in the current state; the tree is then unchanged.
     pub fn apply(&mut self, event: &Event) -> Result<()> {
         match event {
             Event::Created {
@@ -165,7 +170,7 @@
             Event::Released {
                 program_id,
                 endpoint_id,
-            } => self.drop_hold(program_id, endpoint_id),
+            } => self.remove_cached_prefix(program_id, endpoint_id),
             Event::Ended {
                 program_id,
                 reason,
@@ -179,7 +184,7 @@
             }
             Event::Snapshot { .. } | Event::Dropped => {
                 return Err(Error::new(
-                    "a snapshot or drop replaces a tree and is not applied to one",
+                    "a snapshot or drop event replaces a tree and cannot be applied to one",
                 ));
             }
         }
@@ -187,14 +192,14 @@
         Ok(())
     }
 
-    /// Whether every program of the tree has ended.
+    /// Returns whether all programs of the tree have ended.
     pub fn has_ended(&self) -> bool {
         self.programs
             .values()
             .all(|program| program.state != State::Active)
     }
 
-    /// When the last program of the tree ended; none while one is active.
+    /// Returns when the last program of the tree ended, or none while one is active.
     pub fn ended_at(&self) -> Option<SystemTime> {
         let mut latest = None;
         for program in self.programs.values() {
@@ -206,7 +211,7 @@
         latest
     }
 
-    /// A program and its sub-agents, theirs included.
+    /// Returns a program and all of its direct and indirect sub-agents.
     pub fn descendants(&self, program_id: &ProgramId) -> Vec<ProgramId> {
         let mut found = vec![program_id.clone()];
         let mut next = 0;
@@ -222,9 +227,10 @@
         found
     }
 
-    /// Changes that close the calls whose end nobody saw, after the tree's owner was lost.
+    /// Returns events that close all running calls after the owner of the tree failed.
     ///
-    /// Reservations count as spent: the engine may have generated all of it.
+    /// The whole reservation of such a call is charged, because the engine may have generated all of
+    /// the tokens.
     pub fn close_orphans(&self, reason: &str) -> Vec<Event> {
         let calls = self
             .programs
@@ -232,14 +238,14 @@
             .filter_map(|program| program.calls.last().map(|call| (&program.id, call)));
         calls
             .filter(|(_, call)| call.outcome.is_none())
-            .map(|(id, call)| orphan_settled(id, call, reason))
+            .map(|(id, call)| orphan_settlement(id, call, reason))
             .collect()
     }
 
     fn add_program(&mut self, program_id: &ProgramId, parent_id: Option<&ProgramId>) -> Result<()> {
         let Some(parent_id) = parent_id.filter(|id| self.programs.contains_key(*id)) else {
             return Err(Error::new(format!(
-                "the parent of {program_id} is not in its tree"
+                "the parent of program {program_id} is not in the tree"
             )));
         };
         let program = Program::new(program_id.clone(), Some(parent_id.clone()));
@@ -253,11 +259,13 @@
         if number != program.next_number() {
             let next = program.next_number();
             return Err(Error::new(format!(
-                "call {number} of {program_id} is out of order, next is {next}"
+                "call {number} of program {program_id} is out of order, expected call {next}"
             )));
         }
         if program.running().is_some() {
-            return Err(Error::new(format!("call {number} of {program_id} runs already")));
+            return Err(Error::new(format!(
+                "call {number} of program {program_id} is already running"
+            )));
         }
         let before = program.messages_bytes(number);
         program.open(intent);
@@ -265,7 +273,7 @@
         self.history_bytes = self.history_bytes.saturating_sub(before) + after;
         self.ledger.reserve(intent.reserved_tokens);
         if intent.keeps_prefix {
-            self.add_hold(program_id, intent);
+            self.add_cached_prefix(program_id, intent);
         }
         Ok(())
     }
@@ -284,12 +292,12 @@
             .filter(|call| call.number() == call_number)
         else {
             return Err(Error::new(format!(
-                "call {call_number} of {program_id} was never sent"
+                "call {call_number} of program {program_id} was never sent"
             )));
         };
         if call.outcome.is_some() {
             return Err(Error::new(format!(
-                "call {call_number} of {program_id} has ended already"
+                "call {call_number} of program {program_id} has already ended"
             )));
         }
         call.outcome = Some(outcome.clone());
@@ -304,20 +312,20 @@
         Ok(())
     }
 
-    fn add_hold(&mut self, program_id: &ProgramId, intent: &Intent) {
-        let hold = Hold {
+    fn add_cached_prefix(&mut self, program_id: &ProgramId, intent: &Intent) {
+        let prefix = CachedPrefix {
             program_id: program_id.clone(),
             pool_id: intent.pool_id.clone(),
             endpoint_id: intent.endpoint_id.clone(),
         };
-        if !self.holds.contains(&hold) {
-            self.holds.push(hold);
+        if !self.cached_prefixes.contains(&prefix) {
+            self.cached_prefixes.push(prefix);
         }
     }
 
-    fn drop_hold(&mut self, program_id: &ProgramId, endpoint_id: &EndpointId) {
-        self.holds
-            .retain(|hold| hold.program_id != *program_id || hold.endpoint_id != *endpoint_id);
+    fn remove_cached_prefix(&mut self, program_id: &ProgramId, endpoint_id: &EndpointId) {
+        self.cached_prefixes
+            .retain(|prefix| prefix.program_id != *program_id || prefix.endpoint_id != *endpoint_id);
     }
 
     fn program_mut(&mut self, program_id: &ProgramId) -> Result<&mut Program> {
@@ -338,7 +346,8 @@
         }
     }
 
-    /// Number that the next call must carry: that of a failed call, or the one after the last.
+    /// Returns the number that the next call must have: the number of a failed last call, or the one
+    /// after the last call.
     pub fn next_number(&self) -> CallNumber {
         match self.calls.last() {
             Some(call) if call.is_final() => call.number() + 1,
@@ -347,29 +356,32 @@
         }
     }
 
-    /// The call that was sent and has not ended.
+    /// Returns the call that was sent and has not ended.
     pub fn running(&self) -> Option<&Call> {
         self.calls.last().filter(|call| call.outcome.is_none())
     }
 
-    /// The call with a number, if one was ever sent.
+    /// Returns the call with this number, or none if it was never sent.
     pub fn call(&self, number: CallNumber) -> Option<&Call> {
         let index = usize::try_from(number.checked_sub(1)?).ok()?;
         self.calls.get(index)
     }
 
-    /// Messages of all answered completions, as JSON texts in the order of the conversation.
+    /// Returns the messages of all completions with a response, as JSON texts in conversation order.
     pub fn messages(&self) -> impl Iterator<Item = &str> {
-        self.calls.iter().filter_map(Call::turn).flatten()
+        self.calls
+            .iter()
+            .filter_map(Call::conversation_messages)
+            .flatten()
     }
 
-    /// Endpoint that served the last completion, which may still hold the program's prefix.
+    /// Returns the endpoint that served the last completion and may still cache the program's prefix.
     pub fn prefix_endpoint_id(&self) -> Option<&EndpointId> {
         let completions = self.calls.iter().rev().filter(|call| call.intent.keeps_prefix);
         completions.map(|call| &call.intent.endpoint_id).next()
     }
 
-    /// Bytes of the new messages of a call.
+    /// Returns the size of the new messages of a call, in bytes.
     fn messages_bytes(&self, number: CallNumber) -> u64 {
         let messages = self
             .call(number)
@@ -397,7 +409,7 @@
     }
 }
 
-fn orphan_settled(program_id: &ProgramId, call: &Call, reason: &str) -> Event {
+fn orphan_settlement(program_id: &ProgramId, call: &Call, reason: &str) -> Event {
     let reason = reason.to_owned();
     let outcome = if call.intent.idempotent {
         Outcome::Failed { reason }
--- a/crates/burdockroad/tests/program_rules.rs
+++ b/crates/burdockroad/tests/program_rules.rs
@@ -8,8 +8,8 @@
 use burdockroad::{
     Record,
     program::{
-        Action, Answer, Begun, Budget, CallKind, CallRequest, Event, NewProgram, Outcome, Placement,
-        Programs, ProgramsOptions, Refusal, Replay, Shortage, Tree,
+        Action, Budget, CallDecision, CallKind, CallRequest, CallResponse, Event, NewProgram, Outcome,
+        Placement, Programs, ProgramsOptions, Refusal, Replay, Shortage, Tree,
     },
 };
 use proptest::prelude::*;
@@ -72,16 +72,16 @@
     }
 }
 
-fn placement(endpoint: u8, wanted_tokens: u64) -> Placement {
+fn placement(endpoint: u8, max_tokens: u64) -> Placement {
     Placement {
         pool_id: "planner".to_owned(),
         endpoint_id: format!("engine-{endpoint}"),
-        wanted_tokens,
+        max_tokens,
     }
 }
 
 fn answer(program_id: &str, number: u32) -> Outcome {
-    Outcome::Answered(Answer {
+    Outcome::Answered(CallResponse {
         status: 200,
         content_type: String::new(),
         body: Vec::new(),
@@ -108,7 +108,7 @@
         text: u8,
         idempotent: bool,
         endpoint: u8,
-        wanted_tokens: u64,
+        max_tokens: u64,
     },
     Settle {
         child: bool,
@@ -138,13 +138,13 @@
         1..60_u64,
     )
         .prop_map(
-            |(child, ahead, text, idempotent, endpoint, wanted_tokens)| Step::Call {
+            |(child, ahead, text, idempotent, endpoint, max_tokens)| Step::Call {
                 child,
                 ahead,
                 text,
                 idempotent,
                 endpoint,
-                wanted_tokens,
+                max_tokens,
             },
         );
     prop_oneof![
@@ -202,13 +202,13 @@
                 text,
                 idempotent,
                 endpoint,
-                wanted_tokens,
+                max_tokens,
             } => {
                 let id = name(child);
                 let number = self.seen[id].sent.last().map_or(0, |sent| sent.0) + ahead;
                 self.call(
                     call(id, number, text, idempotent),
-                    placement(endpoint, wanted_tokens),
+                    placement(endpoint, max_tokens),
                 );
             }
             Step::Settle {
@@ -227,17 +227,17 @@
     fn call(&mut self, request: CallRequest, placement: Placement) {
         let id = request.program_id.clone();
         let (number, idempotent, text) = (request.number, request.idempotent, request.digest[0]);
-        let Ok(Begun::Run(..)) = self.programs.begin(request, self.now) else {
+        let Ok(CallDecision::Run(..)) = self.programs.begin(request, self.now) else {
             return;
         };
-        let Ok(sending) = self.programs.send(&id, placement, self.now) else {
+        let Ok(prepared) = self.programs.send(&id, placement, self.now) else {
             return;
         };
         assert!(
-            !sending.time_left.is_zero(),
+            !prepared.time_left.is_zero(),
             "a call was sent after the time limit"
         );
-        self.records.push(sending.record);
+        self.records.push(prepared.record);
         self.sent_calls += 1;
         let seen = self.seen.get_mut(&id).expect("a known program");
         check_order(seen, number, idempotent);
@@ -313,7 +313,7 @@
         for action in actions {
             match action {
                 Action::Append(record) => self.records.push(record),
-                Action::Release(hold) => self.records.extend(self.programs.released(&hold)),
+                Action::Release(prefix) => self.records.extend(self.programs.on_prefix_released(&prefix)),
                 Action::Cancel(_) => {}
             }
         }
@@ -424,7 +424,10 @@
     programs
         .begin(call(ROOT, 1, 7, true), start())
         .expect("the first call");
-    assert_eq!(programs.begin(call(ROOT, 1, 7, true), start()), Ok(Begun::Attach));
+    assert_eq!(
+        programs.begin(call(ROOT, 1, 7, true), start()),
+        Ok(CallDecision::Attach)
+    );
     assert_eq!(
         programs.begin(call(ROOT, 1, 8, true), start()),
         Err(Refusal::DifferentRequest)
@@ -434,7 +437,7 @@
         .expect("within the budget");
     programs.settle(&root, answer(ROOT, 1), 4).expect("an open call");
     let repeated = programs.begin(call(ROOT, 1, 7, true), start());
-    assert!(matches!(repeated, Ok(Begun::Answered(_))), "{repeated:?}");
+    assert!(matches!(repeated, Ok(CallDecision::Answered(_))), "{repeated:?}");
     assert_eq!(
         programs.begin(call(ROOT, 1, 8, true), start()),
         Err(Refusal::DifferentRequest)
@@ -507,10 +510,10 @@
         programs
             .begin(call(id, 1, 0, idempotent), start())
             .expect("the first call");
-        let sending = programs
+        let prepared = programs
             .send(&id.to_owned(), placement(0, 10), start())
             .expect("within the budget");
-        records.push(sending.record);
+        records.push(prepared.record);
     }
     let mut successor = Programs::new(ProgramsOptions::default());
     successor.adopt(replay(&records).into_values().collect(), start());
@@ -520,7 +523,7 @@
         "{repeated:?}"
     );
     let retried = successor.begin(call(CHILD, 1, 0, true), start());
-    assert!(matches!(retried, Ok(Begun::Run(..))), "{retried:?}");
+    assert!(matches!(retried, Ok(CallDecision::Run(..))), "{retried:?}");
 }
 
 #[test]
@@ -553,12 +556,12 @@
         10,
     );
     let released = programs.tick(late);
-    let Some(Action::Release(hold)) = released.first() else {
+    let Some(Action::Release(prefix)) = released.first() else {
         panic!("the endpoint is not asked: {released:?}");
     };
     let again = programs.tick(late + Duration::from_secs(2));
     assert_eq!(again, released, "asked again until it confirms");
-    let record = programs.released(hold).expect("a known hold");
+    let record = programs.on_prefix_released(prefix).expect("a known hold");
     assert!(matches!(record.event, Event::Released { .. }));
     let forgotten = programs.tick(late + Duration::from_hours(1));
     assert!(programs.is_empty(), "an ended tree is forgotten: {forgotten:?}");
