--- a/crates/burdockroad/src/journal.rs
+++ b/crates/burdockroad/src/journal.rs
@@ -1,10 +1,11 @@
-//! Durable records of programs: segments, their writer, and what is read back from them.
+//! Durable journal of program records: segments, their writer, and recovery from them.
 //!
-//! A journal belongs to one [`Process`](crate::ownership::Process). Its [`Writer`] gathers records into groups,
-//! says when to write each group as the next [`Segment`], and keeps copies of what is not written yet
-//! at one peer. A successor puts a [`Seal`] in place of the next segment and [`join`]s what it reads.
-//! Nothing here opens a socket or reads a clock: replies and the current time go in, [`Action`]s come
-//! out.
+//! A journal belongs to one [`Process`](crate::ownership::Process). Its [`Writer`] batches records into
+//! groups, decides when each group is written as the next [`Segment`], and replicates records that are
+//! not yet stored to one peer. A successor creates a [`Seal`] in place of the next segment, which ends
+//! the journal, and [`join`]s the segments with the replicated records. This module does no I/O and
+//! reads no clock: the caller passes in replies and the current time, and carries out the returned
+//! [`Action`]s.
 
 mod join;
 mod segment;
@@ -16,44 +17,46 @@
 pub use self::{
     join::{Joined, TailCopy, join},
     segment::{Piece, Seal, Segment, StoredSegment},
-    tail_table::{Copies, TailTable, TailTableOptions},
+    tail_table::{TailBatch, TailTable, TailTableOptions},
     writer::{Action, Peer, ReadReply, TailReply, Ticket, WriteReply, Writer, WriterOptions},
 };
 
-/// Position of a record in its journal, from 1.
+/// Position of a record in its journal; starts at 1.
 pub type Position = u64;
 
-/// Random number that marks the segments of one writer.
+/// Random number that identifies the writer of a segment.
 pub type WriterId = u128;
 
-/// Largest segment, encoded, in bytes.
+/// Maximum size of an encoded segment, in bytes.
 pub const SEGMENT_MAX_BYTES: usize = 1_000_000;
 
-/// Largest record, encoded, in bytes; it is split over several segments.
+/// Maximum size of an encoded record, in bytes. A record may span several segments.
 pub const RECORD_MAX_BYTES: usize = 32 * 1024 * 1024;
 
-/// How durable a record has to be.
+/// Required durability of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Durability {
-    /// Queued only: it will be written with the next group.
+    /// The record is queued and is written with the next group.
     Queued,
-    /// A peer in another failure domain has a copy, or the key-value service has it.
+    /// A peer in another failure domain has a copy of the record, or the key-value service stores it.
     Replicated,
-    /// The key-value service has it, so that a writer that was replaced can no longer add it.
+    /// The key-value service stores the record. A replaced writer cannot reach this durability, because
+    /// its writes fail once the journal is sealed.
     Stored,
 }
 
-/// Why records are not durable.
+/// Reason why records could not be made durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JournalError {
-    /// Another host has sealed the journal: this process owns nothing any more.
+    /// Another host has sealed the journal, so that this process no longer owns anything.
     Fenced,
-    /// Neither the key-value service nor, where that suffices, a peer took the records in time.
+    /// The records were stored neither by the key-value service nor, where that is sufficient, by a
+    /// peer within the append timeout.
     Unavailable {
-        /// When a later try may succeed.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// A record is larger than [`RECORD_MAX_BYTES`]; none of the records was queued.
+    /// A record is larger than [`RECORD_MAX_BYTES`]. None of the records was queued.
     TooLarge,
 }
 
@@ -61,12 +64,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Fenced => f.write_str("another host has sealed this journal"),
-            Self::TooLarge => f.write_str("a record is larger than a journal takes"),
+            Self::TooLarge => f.write_str("a record exceeds the maximum record size of the journal"),
             Self::Unavailable { retry_after } => {
                 let retry_after_ms = retry_after.as_millis();
                 write!(
                     f,
-                    "records cannot be made durable now, retry_after_ms={retry_after_ms}"
+                    "records cannot be made durable at present, retry_after_ms={retry_after_ms}"
                 )
             }
         }
--- a/crates/burdockroad/src/journal/join.rs
+++ b/crates/burdockroad/src/journal/join.rs
@@ -1,4 +1,4 @@
-//! Records put together from the segments of a sealed journal and the copies that peers held.
+//! Recovery of the records of a sealed journal from its segments and the copies kept by peers.
 
 use crate::{
     error::{Error, Result},
@@ -6,33 +6,34 @@
     program::Record,
 };
 
-/// Copies of records that a peer held.
+/// Records that a peer kept copies of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TailCopy {
     /// Position of the first record.
     pub position: Position,
-    /// The encoded records, at consecutive positions.
+    /// Encoded records, at consecutive positions.
     pub records: Vec<Vec<u8>>,
 }
 
-/// All records of a sealed journal.
+/// All recovered records of a sealed journal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Joined {
-    /// The records in their order.
+    /// The records, in order of position.
     pub records: Vec<Record>,
-    /// How many of them, at the end, came from copies.
+    /// Number of records at the end that were recovered from copies.
     pub tail_count: usize,
 }
 
-/// Puts segments, in the order of their numbers and without gaps, together with copies.
+/// Joins consecutive segments with the copies of later records.
 ///
-/// A record that was written only in part counts as not written, and is taken from the copies if they
-/// have it. Where a cleaned journal begins inside a record, its rest is passed over.
+/// A record that was only partly stored counts as not stored, and is taken from the copies if they
+/// contain it. If a cleaned journal starts in the middle of a record, the rest of that record is
+/// skipped.
 ///
 /// # Errors
 ///
-/// Fails when the segments are not of one writer or do not follow each other, or when a record cannot
-/// be decoded.
+/// Fails if the segments come from different writers or are not consecutive, or if a record cannot be
+/// decoded.
 pub fn join(segments: &[Segment], copies: &[TailCopy]) -> Result<Joined> {
     let mut joiner = Joiner::default();
     for segment in segments {
@@ -49,29 +50,30 @@
 #[derive(Debug, Default)]
 struct Joiner {
     records: Vec<Record>,
-    /// Position of the next record, and its bytes so far; none before the first segment.
+    /// Position of the next record; none before the first segment.
     next: Option<Position>,
+    /// Bytes of the next record that were read so far.
     partial: Vec<u8>,
-    /// Whether the partial record began before the first segment.
-    headless: bool,
+    /// Whether the partial record started before the first segment.
+    starts_mid_record: bool,
     writer_id: Option<u128>,
 }
 
 impl Joiner {
     fn add_segment(&mut self, segment: &Segment) -> Result<()> {
         let next = *self.next.get_or_insert(segment.first_position);
-        let first = self.writer_id.is_none();
+        let is_first = self.writer_id.is_none();
         if *self.writer_id.get_or_insert(segment.writer_id) != segment.writer_id {
-            return Err(Error::new("segments of two writers stand in one journal"));
+            return Err(Error::new("the journal contains segments of two writers"));
         }
         if segment.first_position != next {
             let found = segment.first_position;
             return Err(Error::new(format!(
-                "a segment begins at {found} in place of {next}"
+                "a segment starts at position {found}, expected {next}"
             )));
         }
-        if first {
-            self.headless = segment.continues;
+        if is_first {
+            self.starts_mid_record = segment.continues;
         }
         for piece in &segment.pieces {
             self.partial.extend_from_slice(&piece.bytes);
@@ -85,7 +87,7 @@
     fn end_record(&mut self) -> Result<()> {
         let bytes = std::mem::take(&mut self.partial);
         self.next = self.next.map(|next| next + 1);
-        if std::mem::take(&mut self.headless) {
+        if std::mem::take(&mut self.starts_mid_record) {
             return Ok(());
         }
         self.records.push(Record::decode(&bytes)?);
--- a/crates/burdockroad/src/journal/segment.rs
+++ b/crates/burdockroad/src/journal/segment.rs
@@ -1,4 +1,4 @@
-//! What one key of a journal holds, and its binary form.
+//! Values stored under the keys of a journal, and their binary encoding.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,43 +8,43 @@
     ownership::Process,
 };
 
-/// First byte of every stored segment.
+/// Format version, the first byte of every stored segment.
 const FORMAT: u8 = 1;
 
-/// What stands under one number of a journal.
+/// Value stored under one segment number of a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum StoredSegment {
-    /// Records of the journal's writer.
+    /// A group of records from the journal's writer.
     Group(Segment),
-    /// The end of the journal, put there by a successor.
+    /// The end of the journal, created by a successor.
     Seal(Seal),
 }
 
-/// Records that were written together.
+/// A group of records that are written together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Segment {
-    /// Marks the writer's own segments, when a reply was lost.
+    /// Identifies the writer, so that it recognizes its own segment after a lost reply.
     pub writer_id: WriterId,
-    /// The peer that holds copies of what is not stored yet, from this segment on.
+    /// The peer that keeps copies of the records that are not yet stored, from this segment on.
     pub tail_peer: Option<Process>,
-    /// Position of the record that the first piece belongs to.
+    /// Position of the record of the first piece.
     pub first_position: Position,
-    /// Whether the first piece goes on with a record of the segment before.
+    /// Whether the first piece continues a record of the previous segment.
     pub continues: bool,
-    /// The records, or pieces of records.
+    /// The records, or pieces of them.
     pub pieces: Vec<Piece>,
 }
 
-/// A record, or a part of one that is too large for a segment.
+/// A whole record, or a part of a record that does not fit into one segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Piece {
     /// Bytes of the encoded record.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
-    /// Whether the record ends with this piece.
+    /// Whether this is the last piece of the record.
     pub last: bool,
 }
 
@@ -52,16 +52,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Seal {
-    /// The process that put it there.
+    /// The process that created the seal.
     pub successor: Process,
 }
 
 impl StoredSegment {
-    /// Encodes the segment as one byte of format and CBOR.
+    /// Encodes the segment as a format byte followed by CBOR.
     ///
     /// # Errors
     ///
-    /// Fails when the encoder does, which plain data gives no cause for.
+    /// Fails if the encoder fails, which does not happen for plain data.
     pub fn encode(&self) -> Result<Vec<u8>> {
         let mut bytes = vec![FORMAT];
         ciborium::into_writer(self, &mut bytes)
@@ -69,17 +69,19 @@
         Ok(bytes)
     }
 
-    /// Decodes a segment that [`encode`](Self::encode) wrote.
+    /// Decodes a segment written by [`encode`](Self::encode).
     ///
     /// # Errors
     ///
-    /// Fails when the format is unknown, or the bytes are not one whole segment.
+    /// Fails if the format is unknown, or if the bytes are not exactly one complete segment.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         let (&format, content) = bytes
             .split_first()
-            .ok_or_else(|| Error::new("a segment is empty"))?;
+            .ok_or_else(|| Error::new("a stored segment is empty"))?;
         if format != FORMAT {
-            return Err(Error::new(format!("a segment has the unknown format {format}")));
+            return Err(Error::new(format!(
+                "a stored segment has unknown format {format}"
+            )));
         }
         ciborium::from_reader(content)
             .map_err(|cause| Error::new("a segment could not be decoded").with_cause(cause))
--- a/crates/burdockroad/src/journal/tail_table.rs
+++ b/crates/burdockroad/src/journal/tail_table.rs
@@ -1,4 +1,4 @@
-//! Copies that a host keeps of other hosts' records.
+//! Copies of journal records that a host keeps for other hosts.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,29 +11,32 @@
     ownership::Process,
 };
 
-/// Copies of records that a writer sends to its peer.
+/// Copies of records that a writer sends to its tail peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Copies {
-    /// Tells this use of the peer from the writer's earlier ones, which have lower numbers.
+pub struct TailBatch {
+    /// Session number, which increases each time the writer selects the peer anew. It identifies copies
+    /// of earlier sessions that arrive late.
     pub session: u64,
     /// Position of the first record.
     pub position: Position,
-    /// The encoded records, at consecutive positions.
+    /// Encoded records, at consecutive positions.
     pub records: Vec<Arc<[u8]>>,
-    /// Records before this position are stored, or not needed here any more.
+    /// Copies of records before this position can be dropped: the records are stored, or another peer
+    /// keeps them.
     pub stored_end: Position,
 }
 
-/// Limits of a table of copies.
+/// Limits of a [`TailTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TailTableOptions {
-    /// Bytes of records of one writer.
+    /// Maximum size of the records of one writer, in bytes.
     pub writer_max_bytes: usize,
-    /// Bytes of records of all writers.
+    /// Maximum size of the records of all writers, in bytes.
     pub total_max_bytes: usize,
-    /// Time for which the records of a sealed tail are kept, for a successor's successor.
-    pub sealed_kept: Duration,
-    /// Number of sealed tails that are remembered.
+    /// Time for which the records of a sealed tail are kept. A successor that fails during its takeover
+    /// is itself replaced, and its own successor reads the tail again.
+    pub sealed_retention: Duration,
+    /// Maximum number of sealed tails that are tracked.
     pub sealed_max: usize,
 }
 
@@ -42,20 +45,21 @@
         Self {
             writer_max_bytes: 32 * 1024 * 1024,
             total_max_bytes: 64 * 1024 * 1024,
-            sealed_kept: Duration::from_mins(10),
+            sealed_retention: Duration::from_mins(10),
             sealed_max: 4_096,
         }
     }
 }
 
-/// Copies of records by their writers.
+/// Tails of other hosts' journals, by writer.
 ///
-/// What does not fit is refused, never dropped later: a writer relies on what was confirmed.
+/// Records that exceed the limits are refused. Accepted records are never dropped before they are
+/// stored or sealed, because the writer relies on them.
 #[derive(Clone, Debug, Default)]
 pub struct TailTable {
     options: TailTableOptions,
     tails: BTreeMap<Process, Tail>,
-    /// Sealed tails in the order in which they were sealed.
+    /// Sealed tails, ordered by the time of sealing.
     sealed: VecDeque<SealedTail>,
     bytes: usize,
 }
@@ -76,7 +80,7 @@
 }
 
 impl TailTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new(options: TailTableOptions) -> Self {
         Self {
             options,
@@ -84,8 +88,9 @@
         }
     }
 
-    /// Keeps copies, as far as there is room and nothing is missing before them.
-    pub fn keep(&mut self, writer: &Process, copies: Copies) -> TailReply {
+    /// Appends copies to the tail of a writer, as far as the size limits allow and no earlier record is
+    /// missing.
+    pub fn append_batch(&mut self, writer: &Process, copies: TailBatch) -> TailReply {
         let tail = self.tails.entry(writer.clone()).or_default();
         if tail.sealed {
             return TailReply::Sealed;
@@ -101,16 +106,16 @@
                 ..Tail::default()
             };
         }
-        tail.forget_before(copies.stored_end);
+        tail.truncate_before(copies.stored_end);
         let room = self.options.total_max_bytes.saturating_sub(self.bytes);
         tail.extend(copies, room.min(self.options.writer_max_bytes));
         self.bytes += tail.bytes;
         TailReply::Held(tail.end())
     }
 
-    /// Seals a tail against its writer, and returns what is held of it.
+    /// Seals a tail, so that its writer can no longer append to it, and returns its records.
     pub fn seal(&mut self, writer: &Process, now: Instant) -> TailCopy {
-        self.forget_sealed(now);
+        self.evict_sealed(now);
         let tail = self.tails.entry(writer.clone()).or_default();
         if !tail.sealed {
             tail.sealed = true;
@@ -125,10 +130,11 @@
         }
     }
 
-    /// Frees the records of tails that were sealed long ago, and forgets the oldest seals beyond the limit.
-    fn forget_sealed(&mut self, now: Instant) {
+    /// Frees the records of tails that were sealed at least [`TailTableOptions::sealed_retention`] ago,
+    /// and removes the oldest sealed tails above the limit.
+    fn evict_sealed(&mut self, now: Instant) {
         for sealed in &self.sealed {
-            if now.saturating_duration_since(sealed.sealed_at) < self.options.sealed_kept {
+            if now.saturating_duration_since(sealed.sealed_at) < self.options.sealed_retention {
                 break;
             }
             if let Some(tail) = self.tails.get_mut(&sealed.writer) {
@@ -148,12 +154,12 @@
 }
 
 impl Tail {
-    /// Position after the last record.
+    /// Returns the position after the last record.
     fn end(&self) -> Position {
         self.position + self.records.len() as Position
     }
 
-    fn forget_before(&mut self, position: Position) {
+    fn truncate_before(&mut self, position: Position) {
         while self.position < position {
             self.position += 1;
             if let Some(record) = self.records.pop_front() {
@@ -162,17 +168,17 @@
         }
     }
 
-    fn extend(&mut self, copies: Copies, bytes_max: usize) {
-        let Some(known) = self.end().checked_sub(copies.position) else {
-            // Records before these are missing: the writer sends them again from the end.
+    fn extend(&mut self, copies: TailBatch, max_bytes: usize) {
+        let Some(present) = self.end().checked_sub(copies.position) else {
+            // Records before these are missing. The writer sends them again from the returned end.
             return;
         };
-        let fresh = copies
+        let new_records = copies
             .records
             .into_iter()
-            .skip(usize::try_from(known).unwrap_or(usize::MAX));
-        for record in fresh {
-            if self.bytes + record.len() > bytes_max {
+            .skip(usize::try_from(present).unwrap_or(usize::MAX));
+        for record in new_records {
+            if self.bytes + record.len() > max_bytes {
                 return;
             }
             self.bytes += record.len();
--- a/crates/burdockroad/src/journal/writer.rs
+++ b/crates/burdockroad/src/journal/writer.rs
@@ -1,4 +1,4 @@
-//! The writer of one journal.
+//! Writer of a journal.
 
 mod action;
 mod index;
@@ -20,35 +20,35 @@
 };
 use self::{
     pacer::Pacer,
-    queue::{Group, Pending, Queue, Role},
+    queue::{Group, Queue, QueuedRecord, Role},
     removal::Removal,
-    tail::{Due, Tail},
+    tail::{DueBatch, Tail},
     waiters::{Progress, Waiters},
 };
 use crate::{
     error::Result,
     ids::SegmentNumber,
-    journal::{Copies, Durability, JournalError, Position, RECORD_MAX_BYTES, StoredSegment},
+    journal::{Durability, JournalError, Position, RECORD_MAX_BYTES, StoredSegment, TailBatch},
     ownership::Process,
     program::{Event, Record},
 };
 
-/// Number by which the caller knows one append.
+/// Number by which the caller identifies an append.
 pub type Ticket = u64;
 
-/// Largest batch of copies in one message, in bytes.
+/// Maximum size of the records in one batch of copies, in bytes.
 const COPIES_MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// Failures in a row after which the store counts as down.
+/// Number of consecutive failures after which the store is considered down.
 const FAILURES_MAX: u32 = 3;
 
-/// Pause before a key whose write was lost is written again.
-const REWRITE_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before a segment is written again after a write with unknown outcome that was not found.
+const REWRITE_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Shortest time after which a caller may try again.
+/// Minimum retry delay suggested to callers.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 
-/// Gathers records, and decides when they are written and copied.
+/// Batches records into segments, and decides when the segments are written and the records replicated.
 #[derive(Clone, Debug)]
 pub struct Writer {
     options: WriterOptions,
@@ -56,57 +56,60 @@
     waiters: Waiters,
     pacer: Pacer,
     tail: Tail,
-    store: Store,
+    store: StoreState,
     removal: Removal,
-    answers: Vec<Action>,
+    completions: Vec<Action>,
     fenced: bool,
 }
 
-/// The segments in the store.
+/// State of the segments in the store.
 #[derive(Clone, Debug)]
-struct Store {
+struct StoreState {
     next_segment: SegmentNumber,
-    /// Position after the last record that is stored whole; 0 before the journal is open.
+    /// Position after the last completely stored record; 0 before the journal is open.
     stored_end: Position,
-    /// Whether a segment is stored of which no second write can be on its way.
+    /// Whether a segment was stored that no delayed duplicate write can create again.
     ///
-    /// A late copy of an earlier segment's write could put that segment back after the journal was
-    /// removed, and the next one after it, but never this one: it is where a replaced writer ends.
+    /// After the journal is removed, a delayed duplicate of an earlier write could recreate its segment
+    /// and the one after it. It cannot recreate the segment that opened the journal, so that a replaced
+    /// writer stops there.
     open: bool,
-    writing: Option<Writing>,
+    in_flight: Option<InFlightWrite>,
     failures: u32,
     retry_at: Option<Instant>,
-    /// When records that nobody waits for began to gather.
-    gathering_since: Option<Instant>,
+    /// Start of the batching window of the next group.
+    batch_started_at: Option<Instant>,
 }
 
+/// A group that is being written.
 #[derive(Clone, Debug)]
-struct Writing {
+struct InFlightWrite {
     group: Group,
     step: Step,
-    /// Whether an earlier write of it may have taken effect.
-    lost_reply: bool,
-    began_at: Instant,
+    /// Whether an earlier write of the group may have taken effect.
+    may_be_stored: bool,
+    started_at: Instant,
 }
 
-/// What is under way for a group.
+/// Progress of writing a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// Its write is under way.
-    Write,
-    /// It is being read back.
-    Read,
-    /// It may have been written; it is to be read back.
-    ToRead,
-    /// It was not found; it is to be written again, unchanged, since the lost write may still arrive.
-    ToWrite,
+    /// The write is in progress.
+    Writing,
+    /// The read-back is in progress.
+    Reading,
+    /// The write had an unknown outcome. The segment has to be read back.
+    NeedsRead,
+    /// The segment was not found. The same value has to be written again, because the lost write may
+    /// still arrive.
+    NeedsWrite,
 }
 
 impl Writer {
-    /// Makes the writer of a new journal, whose first segment is due at once.
+    /// Creates the writer of a new journal. Its first segment is due immediately.
     ///
-    /// Until the journal is open nothing in it counts as stored: a segment must have been stored with the
-    /// first write of it.
+    /// No record counts as stored until the journal is open, which requires that the first write of
+    /// some segment succeeded.
     pub fn new(options: WriterOptions, now: Instant) -> Self {
         Self {
             queue: Queue::new(options.segment_max_bytes),
@@ -119,138 +122,139 @@
                 now,
             ),
             tail: Tail::new(options.me.clone(), options.failure_domain.clone()),
-            store: Store::new(),
+            store: StoreState::new(),
             removal: Removal::new(options.segments_max, options.stored_max_bytes),
-            answers: Vec::new(),
+            completions: Vec::new(),
             fenced: false,
             options,
         }
     }
 
-    /// Whether another process has sealed the journal.
+    /// Returns whether another process has sealed the journal.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// Tells whether new work may be taken that needs that durability.
+    /// Checks whether new work that needs this durability can be accepted.
     ///
     /// # Errors
     ///
-    /// As the append would be answered at present.
+    /// Returns the error with which an append would currently fail.
     pub fn admit(&self, durability: Durability, now: Instant) -> std::result::Result<(), JournalError> {
         if self.fenced {
             return Err(JournalError::Fenced);
         }
         let progress = self.progress(now);
-        if progress.hopeless(durability) || self.queue.bytes() > self.options.queue_max_bytes {
+        if progress.is_unattainable(durability) || self.queue.bytes() > self.options.queue_max_bytes {
             return Err(progress.unavailable());
         }
         Ok(())
     }
 
-    /// Queues records; the answer comes with a later [`poll`](Self::poll).
+    /// Queues records. The result of the append is returned by a later [`poll`](Self::poll).
     pub fn append(&mut self, records: &[Record], durability: Durability, ticket: Ticket, now: Instant) {
         if self.fenced {
-            return self.answer(ticket, Err(JournalError::Fenced));
+            return self.complete(ticket, Err(JournalError::Fenced));
         }
-        let pending: Result<Vec<Pending>> = records.iter().map(pending).collect();
-        // A record that cannot be encoded will never be stored, as one that is too large.
-        let Ok(pending) = pending else {
-            return self.answer(ticket, Err(JournalError::TooLarge));
+        let queued: Result<Vec<QueuedRecord>> = records.iter().map(queued_record).collect();
+        // A record that cannot be encoded can never be stored, so it is treated like one that is too
+        // large.
+        let Ok(queued) = queued else {
+            return self.complete(ticket, Err(JournalError::TooLarge));
         };
-        if pending.iter().any(|record| record.bytes.len() > RECORD_MAX_BYTES) {
-            return self.answer(ticket, Err(JournalError::TooLarge));
+        if queued.iter().any(|record| record.bytes.len() > RECORD_MAX_BYTES) {
+            return self.complete(ticket, Err(JournalError::TooLarge));
         }
-        for record in pending {
+        for record in queued {
             self.queue.push(record);
-            self.store.gathering_since.get_or_insert(now);
+            self.store.batch_started_at.get_or_insert(now);
         }
         let deadline = now + self.options.append_timeout;
         self.waiters.push(ticket, self.queue.end(), durability, deadline);
     }
 
-    /// Takes note of the peers that are alive, and whether most of the hosts are heard.
-    pub fn set_peers(&mut self, peers: Vec<Peer>, hears_most: bool) {
-        self.tail.set_peers(peers, hears_most);
+    /// Sets the live peers, and whether a majority of the hosts is live.
+    pub fn set_peers(&mut self, peers: Vec<Peer>, majority_live: bool) {
+        self.tail.set_peers(peers, majority_live);
     }
 
-    /// Takes the reply to [`Action::Write`].
+    /// Handles the reply to [`Action::Write`].
     pub fn written(&mut self, reply: WriteReply, now: Instant) {
-        let Some(mut writing) = self.store.writing.take() else {
+        let Some(mut in_flight) = self.store.in_flight.take() else {
             return;
         };
         match reply {
-            WriteReply::Done => self.stored(&writing, now),
-            WriteReply::Held(held) => self.settle(&writing, &held, now),
+            WriteReply::Done => self.on_stored(&in_flight, now),
+            WriteReply::Held(found) => self.check_stored_segment(&in_flight, &found, now),
             WriteReply::Removed => self.fence(),
             WriteReply::Ambiguous => {
-                writing.step = Step::ToRead;
-                writing.lost_reply = true;
-                self.store.failed(Duration::ZERO, now);
-                self.store.writing = Some(writing);
+                in_flight.step = Step::NeedsRead;
+                in_flight.may_be_stored = true;
+                self.store.on_failure(Duration::ZERO, now);
+                self.store.in_flight = Some(in_flight);
             }
             WriteReply::Unavailable { retry_after } => {
-                self.store.failed(retry_after, now);
-                self.not_written(writing);
+                self.store.on_failure(retry_after, now);
+                self.on_not_written(in_flight);
             }
         }
     }
 
-    /// Takes the reply to [`Action::ReadBack`].
+    /// Handles the reply to [`Action::ReadBack`].
     pub fn read_back(&mut self, reply: ReadReply, now: Instant) {
-        let Some(mut writing) = self.store.writing.take() else {
+        let Some(mut in_flight) = self.store.in_flight.take() else {
             return;
         };
         match reply {
-            ReadReply::Held(held) => self.settle(&writing, &held, now),
+            ReadReply::Held(found) => self.check_stored_segment(&in_flight, &found, now),
             ReadReply::Absent => {
-                writing.step = Step::ToWrite;
-                self.store.retry_at = Some(now + REWRITE_PAUSE);
-                self.store.writing = Some(writing);
+                in_flight.step = Step::NeedsWrite;
+                self.store.retry_at = Some(now + REWRITE_BACKOFF);
+                self.store.in_flight = Some(in_flight);
             }
             ReadReply::Unavailable { retry_after } => {
-                writing.step = Step::ToRead;
-                self.store.failed(retry_after, now);
-                self.store.writing = Some(writing);
+                in_flight.step = Step::NeedsRead;
+                self.store.on_failure(retry_after, now);
+                self.store.in_flight = Some(in_flight);
             }
         }
     }
 
-    /// Takes the reply to [`Action::Replicate`].
+    /// Handles the reply to [`Action::Replicate`].
     pub fn replicated(&mut self, from: &Process, session: u64, reply: TailReply, now: Instant) {
         match reply {
-            TailReply::Held(held_end) => self.tail.held(from, session, held_end, now),
+            TailReply::Held(held_end) => self.tail.on_replicated(from, session, held_end, now),
             TailReply::Sealed => self.fence(),
-            TailReply::Failed => self.tail.failed(from, session, now),
+            TailReply::Failed => self.tail.on_replication_failed(from, session, now),
         }
     }
 
-    /// Takes the reply to [`Action::Remove`].
+    /// Handles the reply to [`Action::Remove`].
     pub fn removed(&mut self, succeeded: bool) {
-        self.removal.ended(succeeded);
+        self.removal.on_removal_ended(succeeded);
     }
 
-    /// Returns what is to be done now.
+    /// Returns the actions that are due.
     pub fn poll(&mut self, now: Instant) -> Vec<Action> {
-        let mut actions = std::mem::take(&mut self.answers);
+        let mut actions = std::mem::take(&mut self.completions);
         if self.fenced {
             return actions;
         }
-        self.tail.choose(now);
+        self.tail.choose_peer(now);
         let progress = self.progress(now);
-        self.tail.rely(progress.replicated_end);
+        self.tail.mark_relied_on(progress.replicated_end);
         for (ticket, result) in self.waiters.settle(&progress, now) {
-            actions.push(Action::Answer { ticket, result });
+            actions.push(Action::Complete { ticket, result });
         }
         self.poll_copies(&mut actions, now);
         self.poll_write(&mut actions, &progress, now);
         if self.store.failures == 0 {
-            actions.extend(self.removal.poll(self.queue.begun_in(), now));
+            actions.extend(self.removal.poll(self.queue.partial_record_segment(), now));
         }
         actions
     }
 
-    /// When [`poll`](Self::poll) is to be called next if nothing else happens.
+    /// Returns when [`poll`](Self::poll) has to be called next, unless another event occurs first.
     pub fn next_poll(&self, now: Instant) -> Option<Instant> {
         if self.fenced {
             return None;
@@ -275,13 +279,14 @@
         if self.store.retry_at.is_some_and(|retry_at| now < retry_at) {
             return;
         }
-        let step = self.store.writing.as_ref().map(|writing| writing.step);
+        let step = self.store.in_flight.as_ref().map(|in_flight| in_flight.step);
         match step {
-            Some(Step::ToRead) => self.start_reading(actions),
-            Some(Step::ToWrite) if self.pacer.allowed_at(now) <= now => self.start_writing(actions, now),
-            Some(Step::Write | Step::Read | Step::ToWrite) => {}
+            Some(Step::NeedsRead) => self.start_reading(actions),
+            Some(Step::NeedsWrite) if self.pacer.allowed_at(now) <= now => self.start_writing(actions, now),
+            Some(Step::Writing | Step::Reading | Step::NeedsWrite) => {}
             None => {
-                if (self.urgent(progress) || self.window_ended(now)) && self.pacer.allowed_at(now) <= now {
+                if (self.is_urgent(progress) || self.window_elapsed(now)) && self.pacer.allowed_at(now) <= now
+                {
                     self.start_group(now);
                     self.start_writing(actions, now);
                 }
@@ -293,95 +298,97 @@
         let (segment, writer_id) = (self.store.next_segment, self.options.writer_id);
         let group = self
             .queue
-            .group(segment, writer_id, |end| self.tail.nameable(end));
-        // Plain data always encodes; were it not so, records would stay queued and callers be told.
+            .build_group(segment, writer_id, |end| self.tail.peer_to_name(end));
+        // Plain data always encodes. If it did not, the records would stay queued and their appends
+        // would time out.
         let Ok(group) = group else { return };
-        self.tail.writing(&group);
-        self.store.gathering_since = None;
-        self.store.writing = Some(Writing {
+        self.tail.on_write_started(&group);
+        self.store.batch_started_at = None;
+        self.store.in_flight = Some(InFlightWrite {
             group,
-            step: Step::ToWrite,
-            lost_reply: false,
-            began_at: now,
+            step: Step::NeedsWrite,
+            may_be_stored: false,
+            started_at: now,
         });
     }
 
     fn start_writing(&mut self, actions: &mut Vec<Action>, now: Instant) {
-        let Some(writing) = &mut self.store.writing else {
+        let Some(in_flight) = &mut self.store.in_flight else {
             return;
         };
-        writing.step = Step::Write;
-        self.pacer.take(now);
+        in_flight.step = Step::Writing;
+        self.pacer.take_token(now);
         self.store.retry_at = None;
         actions.push(Action::Write {
-            segment: writing.group.segment,
-            value: Arc::clone(&writing.group.value),
+            segment: in_flight.group.segment,
+            value: Arc::clone(&in_flight.group.value),
         });
     }
 
     fn start_reading(&mut self, actions: &mut Vec<Action>) {
-        let Some(writing) = &mut self.store.writing else {
+        let Some(in_flight) = &mut self.store.in_flight else {
             return;
         };
-        writing.step = Step::Read;
+        in_flight.step = Step::Reading;
         self.store.retry_at = None;
         actions.push(Action::ReadBack {
-            segment: writing.group.segment,
+            segment: in_flight.group.segment,
         });
     }
 
-    /// Finds out whose segment stands under the number that was written.
-    fn settle(&mut self, writing: &Writing, held: &[u8], now: Instant) {
-        match StoredSegment::decode(held) {
+    /// Checks which writer created the segment that was found under the written number.
+    fn check_stored_segment(&mut self, in_flight: &InFlightWrite, found: &[u8], now: Instant) {
+        match StoredSegment::decode(found) {
             Ok(StoredSegment::Group(segment)) if segment.writer_id == self.options.writer_id => {
-                self.stored(writing, now);
+                self.on_stored(in_flight, now);
             }
-            // A seal, or anything else that this writer did not put there.
+            // A seal, or a segment that this writer did not create.
             Ok(_) | Err(_) => self.fence(),
         }
     }
 
-    fn stored(&mut self, writing: &Writing, now: Instant) {
-        let group = &writing.group;
-        let records = self.queue.stored(group);
-        self.removal.stored(group, records);
-        self.tail.stored(group);
+    fn on_stored(&mut self, in_flight: &InFlightWrite, now: Instant) {
+        let group = &in_flight.group;
+        let records = self.queue.on_stored(group);
+        self.removal.on_stored(group, records);
+        self.tail.on_stored(group);
         self.pacer
-            .measured(now.saturating_duration_since(writing.began_at));
+            .record_write_time(now.saturating_duration_since(in_flight.started_at));
         self.store.next_segment = group.segment + 1;
-        self.store.open |= !writing.lost_reply;
+        self.store.open |= !in_flight.may_be_stored;
         if self.store.open {
             self.store.stored_end = group.end;
         }
         self.store.failures = 0;
         self.store.retry_at = None;
         if !self.queue.is_empty() {
-            self.store.gathering_since.get_or_insert(now);
+            self.store.batch_started_at.get_or_insert(now);
         }
     }
 
-    /// Lets the records of a group be grouped anew, unless an earlier write of it may have taken effect.
-    fn not_written(&mut self, mut writing: Writing) {
-        if writing.lost_reply {
-            writing.step = Step::ToRead;
-            self.store.writing = Some(writing);
+    /// Returns the records of a group to the queue for regrouping, unless an earlier write of the group
+    /// may have taken effect.
+    fn on_not_written(&mut self, mut in_flight: InFlightWrite) {
+        if in_flight.may_be_stored {
+            in_flight.step = Step::NeedsRead;
+            self.store.in_flight = Some(in_flight);
             return;
         }
-        self.tail.not_written();
-        self.store.gathering_since.get_or_insert(writing.began_at);
+        self.tail.on_write_failed();
+        self.store.batch_started_at.get_or_insert(in_flight.started_at);
     }
 
     fn fence(&mut self) {
         self.fenced = true;
         self.queue.clear();
-        self.store.writing = None;
+        self.store.in_flight = None;
         for (ticket, result) in self.waiters.fence() {
-            self.answer(ticket, result);
+            self.complete(ticket, result);
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, result: std::result::Result<(), JournalError>) {
-        self.answers.push(Action::Answer { ticket, result });
+    fn complete(&mut self, ticket: Ticket, result: std::result::Result<(), JournalError>) {
+        self.completions.push(Action::Complete { ticket, result });
     }
 
     fn progress(&self, now: Instant) -> Progress {
@@ -393,30 +400,33 @@
             stored_end: self.store.stored_end,
             replicated_end: self.tail.replicated_end(),
             store_down: self.store.is_down(),
-            tail_usable: self.tail.usable(),
+            tail_usable: self.tail.is_usable(),
             retry_after: retry_in.unwrap_or_default().max(RETRY_AFTER_MIN),
         }
     }
 
-    /// Whether a segment is to be written without waiting for the window to end.
+    /// Returns whether a segment has to be written before the batching window ends.
     ///
-    /// After a failure it is: callers are refused at once then, and only a write tells that the store
-    /// is back.
-    fn urgent(&self, progress: &Progress) -> bool {
-        !self.store.open || self.store.failures > 0 || self.tail.must_name() || self.waiters.urgent(progress)
+    /// This is the case after a failure: callers are refused until the store recovers, and only a write
+    /// can detect that it has recovered.
+    fn is_urgent(&self, progress: &Progress) -> bool {
+        !self.store.open
+            || self.store.failures > 0
+            || self.tail.needs_peer_change()
+            || self.waiters.is_urgent(progress)
     }
 
-    fn window_ended(&self, now: Instant) -> bool {
-        let since = self.store.gathering_since;
+    fn window_elapsed(&self, now: Instant) -> bool {
+        let since = self.store.batch_started_at;
         since.is_some_and(|since| now >= since + self.pacer.window())
     }
 
     fn next_write(&self, now: Instant) -> Option<Instant> {
-        let due = match &self.store.writing {
-            Some(writing) if matches!(writing.step, Step::Write | Step::Read) => return None,
+        let due = match &self.store.in_flight {
+            Some(in_flight) if matches!(in_flight.step, Step::Writing | Step::Reading) => return None,
             Some(_) => now,
-            None if self.urgent(&self.progress(now)) => now,
-            None => self.store.gathering_since? + self.pacer.window(),
+            None if self.is_urgent(&self.progress(now)) => now,
+            None => self.store.batch_started_at? + self.pacer.window(),
         };
         let allowed = due.max(self.pacer.allowed_at(now));
         Some(
@@ -427,20 +437,20 @@
     }
 }
 
-impl Store {
+impl StoreState {
     fn new() -> Self {
         Self {
             next_segment: 1,
             stored_end: 0,
             open: false,
-            writing: None,
+            in_flight: None,
             failures: 0,
             retry_at: None,
-            gathering_since: None,
+            batch_started_at: None,
         }
     }
 
-    fn failed(&mut self, retry_after: Duration, now: Instant) {
+    fn on_failure(&mut self, retry_after: Duration, now: Instant) {
         self.failures = self.failures.saturating_add(1);
         self.retry_at = Some(now + retry_after);
     }
@@ -450,10 +460,10 @@
     }
 }
 
-fn replicate(due: Due, records: Vec<Arc<[u8]>>, stored_end: Position) -> Action {
+fn replicate(due: DueBatch, records: Vec<Arc<[u8]>>, stored_end: Position) -> Action {
     Action::Replicate {
         to: due.to,
-        copies: Copies {
+        copies: TailBatch {
             session: due.session,
             position: due.position,
             records,
@@ -462,17 +472,17 @@
     }
 }
 
-fn pending(record: &Record) -> Result<Pending> {
+fn queued_record(record: &Record) -> Result<QueuedRecord> {
     let role = match &record.event {
         Event::Created { parent_id: None, .. } | Event::Snapshot { .. } => Role::Base,
         Event::Dropped => Role::End,
         _ => Role::Change,
     };
-    Ok(Pending {
+    Ok(QueuedRecord {
         root_id: record.root_id.clone(),
         role,
         bytes: record.encode()?.into(),
         stored_bytes: 0,
-        begins_in: None,
+        first_segment: None,
     })
 }
--- a/crates/burdockroad/src/journal/writer/action.rs
+++ b/crates/burdockroad/src/journal/writer/action.rs
@@ -1,95 +1,96 @@
-//! What a writer asks of its caller, and the replies.
+//! Actions that a writer requests from its caller, and the replies to them.
 
 use std::{sync::Arc, time::Duration};
 
 use crate::{
     ids::{ProgramId, SegmentNumber},
-    journal::{Copies, JournalError, Position, Ticket},
+    journal::{JournalError, Position, TailBatch, Ticket},
     ownership::Process,
 };
 
-/// What the caller is to do.
+/// Operation that the caller of the writer has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Answer an append.
-    Answer {
+    /// Complete an append.
+    Complete {
         /// The append.
         ticket: Ticket,
-        /// Whether its records are durable.
+        /// Whether the records of the append are durable.
         result: Result<(), JournalError>,
     },
-    /// Create a segment if it does not exist and, from the second on, the one before it does.
+    /// Create a segment, provided that it does not exist and that its predecessor does. Segment 1 needs
+    /// no predecessor.
     Write {
         /// The segment's number.
         segment: SegmentNumber,
-        /// What it holds.
+        /// The encoded segment.
         value: Arc<[u8]>,
     },
-    /// Read a segment whose write was lost.
+    /// Read a segment whose write had an unknown outcome.
     ReadBack {
         /// The segment's number.
         segment: SegmentNumber,
     },
-    /// Send copies to a peer.
+    /// Send copies of records to a peer.
     Replicate {
         /// The peer.
         to: Process,
-        /// The copies.
-        copies: Copies,
+        /// The copies, possibly none, and the position up to which earlier copies can be dropped.
+        copies: TailBatch,
     },
-    /// Ask for new snapshots of these trees.
+    /// Request new snapshots of these trees.
     Snapshot {
         /// Roots of the trees.
         root_ids: Vec<ProgramId>,
     },
-    /// Remove the segments from one number up to, not including, another.
+    /// Remove a range of segments.
     Remove {
-        /// The first.
+        /// First segment of the range.
         from: SegmentNumber,
-        /// The one after the last.
+        /// Segment after the last one of the range.
         to: SegmentNumber,
     },
 }
 
-/// How the write of a segment ended.
+/// Result of [`Action::Write`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteReply {
-    /// The segment is stored.
+    /// The segment was written.
     Done,
-    /// The key holds this already.
+    /// The key already exists and has this value.
     Held(Vec<u8>),
-    /// The segment before it is gone: the journal was sealed and removed.
+    /// The previous segment does not exist, because the journal was sealed and removed.
     Removed,
     /// Nothing was written.
     Unavailable {
-        /// When to try again.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// The write may have taken effect.
+    /// The outcome is unknown: the write may have taken effect.
     Ambiguous,
 }
 
-/// How reading a segment back ended.
+/// Result of [`Action::ReadBack`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadReply {
-    /// The key holds this.
+    /// The key has this value.
     Held(Vec<u8>),
     /// The key does not exist.
     Absent,
     /// The store could not be read.
     Unavailable {
-        /// When to try again.
+        /// Delay before a retry.
         retry_after: Duration,
     },
 }
 
-/// How sending copies to a peer ended.
+/// Result of [`Action::Replicate`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TailReply {
-    /// The peer holds everything before this position that is not stored.
+    /// The peer keeps copies of all records before this position that are not yet stored.
     Held(Position),
-    /// The peer has sealed the copies.
+    /// The peer has sealed the tail.
     Sealed,
-    /// The peer was not reached, or is another process than was meant.
+    /// The peer could not be reached, or another process now runs at its address.
     Failed,
 }
--- a/crates/burdockroad/src/journal/writer/index.rs
+++ b/crates/burdockroad/src/journal/writer/index.rs
@@ -1,4 +1,4 @@
-//! Which segments are still needed.
+//! Tracking of the segments that are still needed to read each tree.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
     journal::writer::queue::{Role, StoredRecord},
 };
 
-/// The segment from which on each tree can be read.
+/// Maps each tree to the first segment that is needed to read it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Index {
     base_of: BTreeMap<ProgramId, SegmentNumber>,
@@ -15,33 +15,34 @@
 }
 
 impl Index {
-    /// Takes note of a record that is stored.
-    pub(super) fn note(&mut self, record: StoredRecord) {
+    /// Updates the index with a record that is now stored.
+    pub(super) fn observe(&mut self, record: StoredRecord) {
         match record.role {
             Role::Change => {}
             Role::Base => {
-                self.forget(&record.root_id);
-                let trees = self.trees_of.entry(record.begins_in).or_default();
+                self.remove(&record.root_id);
+                let trees = self.trees_of.entry(record.first_segment).or_default();
                 trees.insert(record.root_id.clone());
-                self.base_of.insert(record.root_id, record.begins_in);
+                self.base_of.insert(record.root_id, record.first_segment);
             }
-            Role::End => self.forget(&record.root_id),
+            Role::End => self.remove(&record.root_id),
         }
     }
 
-    /// The oldest segment that a tree needs.
+    /// Returns the oldest segment needed by any tree.
     pub(super) fn oldest(&self) -> Option<SegmentNumber> {
         self.trees_of.keys().next().copied()
     }
 
-    /// Trees that can be read only from segments before a number, the oldest first.
+    /// Returns up to `count_max` trees that need segments before the given one, ordered by their first
+    /// segment.
     pub(super) fn trees_before(&self, segment: SegmentNumber, count_max: usize) -> Vec<ProgramId> {
         let oldest = self.trees_of.range(..segment);
         let trees = oldest.flat_map(|(_, trees)| trees);
         trees.take(count_max).cloned().collect()
     }
 
-    fn forget(&mut self, root_id: &ProgramId) {
+    fn remove(&mut self, root_id: &ProgramId) {
         let Some(base) = self.base_of.remove(root_id) else {
             return;
         };
--- a/crates/burdockroad/src/journal/writer/options.rs
+++ b/crates/burdockroad/src/journal/writer/options.rs
@@ -1,45 +1,46 @@
-//! How a writer goes about its work, and the peers that it may use.
+//! Options of a journal writer, and its peers.
 
 use std::time::Duration;
 
 use crate::{journal::WriterId, ownership::Process};
 
-/// How a writer goes about its work.
+/// Options of a journal writer.
 #[derive(Clone, Debug)]
 pub struct WriterOptions {
-    /// The process that the journal belongs to.
+    /// The process that owns the journal.
     pub me: Process,
     /// Failure domain of this host.
     pub failure_domain: String,
-    /// Marks this writer's segments; random.
+    /// Random number that identifies this writer in its segments.
     pub writer_id: WriterId,
-    /// Largest segment, in bytes; [`SEGMENT_MAX_BYTES`](crate::journal::SEGMENT_MAX_BYTES) or less.
+    /// Maximum size of a segment, in bytes; at most
+    /// [`SEGMENT_MAX_BYTES`](crate::journal::SEGMENT_MAX_BYTES).
     pub segment_max_bytes: usize,
-    /// Writes a second over a long time.
+    /// Sustained limit on the rate of writes, per second.
     pub writes_per_s: f64,
-    /// Writes that may follow each other at once.
+    /// Maximum number of writes in a burst.
     pub writes_burst: f64,
-    /// Shortest time for which records that nobody waits for are gathered.
+    /// Minimum time for which records are batched while no append requires an immediate write.
     pub window_min: Duration,
-    /// Longest time for which they are gathered, when the store is slow.
+    /// Maximum batching time, applied when the store is slow.
     pub window_max: Duration,
-    /// Time after which an append that is not durable is answered.
+    /// Timeout after which an append whose records are not durable fails.
     pub append_timeout: Duration,
-    /// Bytes in the queue above which new work is refused.
+    /// Queue size above which new work is refused, in bytes.
     pub queue_max_bytes: usize,
-    /// Segments above which old ones are cleaned away.
+    /// Number of segments above which old segments are removed.
     pub segments_max: u64,
-    /// Bytes of segments above which old ones are cleaned away.
+    /// Total size of segments above which old segments are removed, in bytes.
     pub stored_max_bytes: usize,
 }
 
-/// A peer that is alive.
+/// A live peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// The peer's process.
     pub process: Process,
-    /// Failure domain that it stands in.
+    /// Failure domain of the peer's host.
     pub failure_domain: String,
-    /// Whether it is being taken away.
+    /// Whether the peer's host is being removed.
     pub leaving: bool,
 }
--- a/crates/burdockroad/src/journal/writer/pacer.rs
+++ b/crates/burdockroad/src/journal/writer/pacer.rs
@@ -1,14 +1,15 @@
-//! When the next group is written.
+//! Rate limiting and batching of segment writes.
 
 use std::time::{Duration, Instant};
 
-/// Part of the last measurement that a new one replaces, as one in so many.
-const SMOOTHING: u32 = 4;
+/// Divisor of the exponential moving average of write times: a new measurement has a weight of 1/4.
+const SMOOTHING_DIVISOR: u32 = 4;
 
-/// How many times the time of a write the window is kept open at least.
-const WINDOW_WRITES: u32 = 4;
+/// Minimum length of the batching window, as a multiple of the average write time.
+const WINDOW_PER_WRITE_TIME: u32 = 4;
 
-/// Bounds writes a second, and lengthens the window as the store slows.
+/// Limits the rate of writes with a token bucket, and lengthens the batching window when the store is
+/// slow.
 #[derive(Clone, Debug)]
 pub(super) struct Pacer {
     rate_per_s: f64,
@@ -39,12 +40,12 @@
         }
     }
 
-    /// Time for which records that nobody waits for are gathered.
+    /// Returns the time for which records are batched while no append requires an immediate write.
     pub(super) fn window(&self) -> Duration {
-        (self.write_time * WINDOW_WRITES).clamp(self.window_min, self.window_max)
+        (self.write_time * WINDOW_PER_WRITE_TIME).clamp(self.window_min, self.window_max)
     }
 
-    /// When the next write is allowed.
+    /// Returns the earliest time at which the next write is allowed.
     pub(super) fn allowed_at(&self, now: Instant) -> Instant {
         let tokens = self.tokens_at(now);
         if tokens >= 1.0 {
@@ -53,16 +54,16 @@
         now + Duration::from_secs_f64((1.0 - tokens) / self.rate_per_s)
     }
 
-    /// Counts one write.
-    pub(super) fn take(&mut self, now: Instant) {
-        // Rounding may leave the count a hair below one at the time that `allowed_at` gave.
+    /// Takes a token for one write.
+    pub(super) fn take_token(&mut self, now: Instant) {
+        // At the time returned by `allowed_at`, rounding may leave the token count slightly below 1.
         self.tokens = (self.tokens_at(now) - 1.0).max(0.0);
         self.updated_at = now;
     }
 
-    /// Takes note of how long a write took.
-    pub(super) fn measured(&mut self, time: Duration) {
-        self.write_time = (self.write_time * (SMOOTHING - 1) + time) / SMOOTHING;
+    /// Updates the average write time with a new measurement.
+    pub(super) fn record_write_time(&mut self, time: Duration) {
+        self.write_time = (self.write_time * (SMOOTHING_DIVISOR - 1) + time) / SMOOTHING_DIVISOR;
     }
 
     fn tokens_at(&self, now: Instant) -> f64 {
--- a/crates/burdockroad/src/journal/writer/queue.rs
+++ b/crates/burdockroad/src/journal/writer/queue.rs
@@ -1,4 +1,4 @@
-//! Records that are not stored yet, and the groups that are written of them.
+//! Queue of records that are not yet stored, and the groups written from it.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -9,62 +9,62 @@
     ownership::Process,
 };
 
-/// Room for the head of a segment, in bytes; host names take a small part of it.
+/// Space reserved for the segment header, in bytes. The names of hosts take a small part of it.
 const HEAD_BYTES: usize = 1_024;
 
-/// Room for the head of each piece, in bytes.
+/// Space reserved for the header of each piece, in bytes.
 const PIECE_HEAD_BYTES: usize = 32;
 
-/// What a record means for its tree's place in the journal.
+/// Effect of a record on the segments that its tree needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
-    /// The tree can be read from here on without anything before.
+    /// The tree can be read from this record on, without earlier records.
     Base,
-    /// It builds on earlier records.
+    /// The record depends on earlier records.
     Change,
-    /// The tree is no longer kept.
+    /// The tree is removed from the journal.
     End,
 }
 
-/// A record on its way to the store.
+/// A record that is queued for the store.
 #[derive(Clone, Debug)]
-pub(super) struct Pending {
+pub(super) struct QueuedRecord {
     pub(super) root_id: ProgramId,
     pub(super) role: Role,
     pub(super) bytes: Arc<[u8]>,
-    /// Bytes that are stored already.
+    /// Number of bytes that are already stored.
     pub(super) stored_bytes: usize,
-    /// Segment that the record begins in; none before its first piece is stored.
-    pub(super) begins_in: Option<SegmentNumber>,
+    /// Segment in which the record starts; none before its first piece is stored.
+    pub(super) first_segment: Option<SegmentNumber>,
 }
 
-/// A record that is now stored whole.
+/// A record that is completely stored.
 #[derive(Clone, Debug)]
 pub(super) struct StoredRecord {
     pub(super) root_id: ProgramId,
     pub(super) role: Role,
-    pub(super) begins_in: SegmentNumber,
+    pub(super) first_segment: SegmentNumber,
 }
 
-/// Records in their order, from the first that is not stored whole.
+/// Queued records in order, starting with the first that is not completely stored.
 #[derive(Clone, Debug)]
 pub(super) struct Queue {
-    records: VecDeque<Pending>,
+    records: VecDeque<QueuedRecord>,
     first: Position,
     bytes: usize,
-    /// Room for pieces in a segment, in bytes.
+    /// Space for pieces in a segment, in bytes.
     room_max: usize,
 }
 
-/// One segment on its way to the store; its contents do not change while the write may take effect.
+/// One segment to be written. Its value must not change while an earlier write of it may take effect.
 #[derive(Clone, Debug)]
 pub(super) struct Group {
     pub(super) segment: SegmentNumber,
     pub(super) value: Arc<[u8]>,
     pub(super) tail_peer: Option<Process>,
-    /// Position after the last record that is stored whole with this group.
+    /// Position after the last record that this group completes.
     pub(super) end: Position,
-    /// Bytes of the record at `end` that are stored with this group and before.
+    /// Number of bytes of the record at `end` that are stored once this group is stored.
     pub(super) partial_bytes: usize,
 }
 
@@ -80,31 +80,31 @@
         }
     }
 
-    /// Position of the first record that is not stored whole.
+    /// Returns the position of the first record that is not completely stored.
     pub(super) fn first(&self) -> Position {
         self.first
     }
 
-    /// Position that the next appended record gets.
+    /// Returns the position of the next record to be appended.
     pub(super) fn end(&self) -> Position {
         self.first + self.records.len() as Position
     }
 
-    /// Bytes of all records in the queue.
+    /// Returns the total size of the queued records, in bytes.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Segment that the first record begins in, when it is stored in part.
-    pub(super) fn begun_in(&self) -> Option<SegmentNumber> {
-        self.records.front().and_then(|front| front.begins_in)
+    /// Returns the segment in which the first record starts, if the record is partly stored.
+    pub(super) fn partial_record_segment(&self) -> Option<SegmentNumber> {
+        self.records.front().and_then(|front| front.first_segment)
     }
 
     pub(super) fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    pub(super) fn push(&mut self, record: Pending) {
+    pub(super) fn push(&mut self, record: QueuedRecord) {
         self.bytes += record.bytes.len();
         self.records.push_back(record);
     }
@@ -115,7 +115,7 @@
         self.bytes = 0;
     }
 
-    /// Copies records from a position on, up to about `bytes_max` in sum but at least one.
+    /// Returns at least one record from a position on, up to a total size of about `bytes_max`.
     pub(super) fn copies(&self, from: Position, bytes_max: usize) -> Vec<Arc<[u8]>> {
         let skipped = usize::try_from(from.saturating_sub(self.first)).unwrap_or(usize::MAX);
         let mut copies = Vec::new();
@@ -130,8 +130,9 @@
         copies
     }
 
-    /// Puts as many records as fit into the next segment; the name of the tail peer depends on them.
-    pub(super) fn group(
+    /// Packs as many records as fit into the next segment. The choice of the tail peer depends on the
+    /// position after the last of them.
+    pub(super) fn build_group(
         &self,
         segment: SegmentNumber,
         writer_id: WriterId,
@@ -168,7 +169,7 @@
                 pieces.push(piece(rest, true));
                 continue;
             }
-            // A record that fits a segment of its own is left whole for the next one.
+            // A record that fits into one segment is not split; it goes whole into the next one.
             if needed <= self.room_max || room <= PIECE_HEAD_BYTES {
                 break;
             }
@@ -179,8 +180,8 @@
         (pieces, 0)
     }
 
-    /// Takes out what a group stored, and returns the records that are now stored whole.
-    pub(super) fn stored(&mut self, group: &Group) -> Vec<StoredRecord> {
+    /// Removes what a group stored from the queue, and returns the records that it completed.
+    pub(super) fn on_stored(&mut self, group: &Group) -> Vec<StoredRecord> {
         let mut stored = Vec::new();
         while self.first < group.end {
             let Some(record) = self.records.pop_front() else {
@@ -189,7 +190,7 @@
             self.first += 1;
             self.bytes -= record.bytes.len();
             stored.push(StoredRecord {
-                begins_in: record.begins_in.unwrap_or(group.segment),
+                first_segment: record.first_segment.unwrap_or(group.segment),
                 root_id: record.root_id,
                 role: record.role,
             });
@@ -198,7 +199,7 @@
             && let Some(front) = self.records.front_mut()
         {
             front.stored_bytes = group.partial_bytes;
-            front.begins_in.get_or_insert(group.segment);
+            front.first_segment.get_or_insert(group.segment);
         }
         stored
     }
--- a/crates/burdockroad/src/journal/writer/removal.rs
+++ b/crates/burdockroad/src/journal/writer/removal.rs
@@ -1,4 +1,4 @@
-//! Cleaning of old segments.
+//! Removal of old segments.
 
 use std::{
     collections::VecDeque,
@@ -16,25 +16,25 @@
     },
 };
 
-/// Most trees that are asked for a new snapshot at a time.
+/// Maximum number of trees in one request for snapshots.
 const SNAPSHOTS_MAX: usize = 64;
 
-/// Time between two requests for new snapshots.
+/// Interval between two requests for snapshots.
 const SNAPSHOTS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The segments that are kept, and what still needs them.
+/// The retained segments, and the index of trees that need them.
 #[derive(Clone, Debug)]
 pub(super) struct Removal {
     count_max: u64,
     bytes_max: usize,
     index: Index,
     first_kept: SegmentNumber,
-    /// Sizes of the kept segments, in bytes.
+    /// Sizes of the retained segments, in bytes.
     sizes: VecDeque<usize>,
     bytes: usize,
-    /// Number after the last segment that is being removed.
-    under_way: Option<SegmentNumber>,
-    snapshots_at: Option<Instant>,
+    /// End of the range of segments that is currently being removed, exclusive.
+    removing_to: Option<SegmentNumber>,
+    snapshots_requested_at: Option<Instant>,
 }
 
 impl Removal {
@@ -46,48 +46,55 @@
             first_kept: 1,
             sizes: VecDeque::new(),
             bytes: 0,
-            under_way: None,
-            snapshots_at: None,
+            removing_to: None,
+            snapshots_requested_at: None,
         }
     }
 
-    /// Takes note of a segment that is stored, and of the records that are stored whole with it.
-    pub(super) fn stored(&mut self, group: &Group, records: Vec<StoredRecord>) {
+    /// Updates the state after a segment was stored, which completed the given records.
+    pub(super) fn on_stored(&mut self, group: &Group, records: Vec<StoredRecord>) {
         self.sizes.push_back(group.value.len());
         self.bytes += group.value.len();
         for record in records {
-            self.index.note(record);
+            self.index.observe(record);
         }
     }
 
-    /// Removes what nothing needs, or asks for snapshots so that less is needed.
+    /// Removes segments that are no longer needed, or requests snapshots so that fewer segments are
+    /// needed.
     ///
-    /// A record that is stored in part still needs the segment that it begins in.
-    pub(super) fn poll(&mut self, begun_in: Option<SegmentNumber>, now: Instant) -> Option<Action> {
+    /// A partly stored record still needs the segment that it starts in.
+    pub(super) fn poll(
+        &mut self,
+        partial_record_segment: Option<SegmentNumber>,
+        now: Instant,
+    ) -> Option<Action> {
         let full = self.count() > self.count_max || self.bytes > self.bytes_max;
-        if !full || self.under_way.is_some() {
+        if !full || self.removing_to.is_some() {
             return None;
         }
         let from = self.first_kept;
         let needed_from = self.needed_from();
-        let to = begun_in.map_or(needed_from, |begun_in| needed_from.min(begun_in));
+        let to = partial_record_segment.map_or(needed_from, |partial_record_segment| {
+            needed_from.min(partial_record_segment)
+        });
         if to > from {
-            self.under_way = Some(to);
+            self.removing_to = Some(to);
             return Some(Action::Remove { from, to });
         }
-        let asked_at = self.snapshots_at;
-        if asked_at.is_some_and(|asked_at| now < asked_at + SNAPSHOTS_INTERVAL) {
+        let requested_at = self.snapshots_requested_at;
+        if requested_at.is_some_and(|requested_at| now < requested_at + SNAPSHOTS_INTERVAL) {
             return None;
         }
-        self.snapshots_at = Some(now);
+        self.snapshots_requested_at = Some(now);
         let middle = from + (self.count() / 2).max(1);
         let root_ids = self.index.trees_before(middle, SNAPSHOTS_MAX);
         Some(Action::Snapshot { root_ids })
     }
 
-    /// Takes note of how the removal ended; one that failed is tried again.
-    pub(super) fn ended(&mut self, succeeded: bool) {
-        let Some(to) = self.under_way.take() else {
+    /// Handles the end of a removal. A failed removal is retried by the next poll.
+    pub(super) fn on_removal_ended(&mut self, succeeded: bool) {
+        let Some(to) = self.removing_to.take() else {
             return;
         };
         if !succeeded {
@@ -103,8 +110,8 @@
         self.sizes.len() as u64
     }
 
-    /// The oldest segment that must stay; the newest always does, since the next one is created only
-    /// while it exists.
+    /// Returns the oldest segment that must be retained. The newest segment is always retained, because
+    /// the next one is created only while its predecessor exists.
     fn needed_from(&self) -> SegmentNumber {
         let newest = self.first_kept + self.count().saturating_sub(1);
         self.index.oldest().unwrap_or(newest).min(newest)
--- a/crates/burdockroad/src/journal/writer/tail.rs
+++ b/crates/burdockroad/src/journal/writer/tail.rs
@@ -1,4 +1,4 @@
-//! Copies of what is not stored yet, at one peer.
+//! Replication to one peer of the records that are not yet stored.
 
 use std::{
     collections::BTreeMap,
@@ -12,57 +12,57 @@
     ownership::Process,
 };
 
-/// Failures in a row after which a peer is passed over.
+/// Number of consecutive failures after which a peer is avoided.
 const FAILURES_MAX: u32 = 3;
 
-/// Time for which a peer that failed is passed over.
-const PASSED_OVER: Duration = Duration::from_secs(10);
+/// Time for which a failed peer is avoided.
+const PEER_BACKOFF: Duration = Duration::from_secs(10);
 
-/// Time after which a failed copy is sent again.
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Delay before failed copies are sent again.
+const COPY_RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
-/// The peer that holds the copies, and the one that is to hold them next.
+/// The tail peer, and the peer that replaces it next.
 #[derive(Clone, Debug)]
 pub(super) struct Tail {
     me: Process,
     failure_domain: String,
     peers: Vec<Peer>,
-    hears_most: bool,
-    /// Named by the newest stored segment: a successor asks this one.
-    recorded: Option<Process>,
-    /// Named by a segment that is being written.
-    naming: Option<Naming>,
-    /// To be named next.
-    wanted: Option<Process>,
-    holders: BTreeMap<Process, Holder>,
-    /// Peers that failed, and until when they are passed over.
-    passed_over: BTreeMap<Process, Instant>,
-    /// Peers whose copies are not needed any more.
+    majority_live: bool,
+    /// Peer named by the newest stored segment. A successor reads the copies of this peer.
+    stored_peer: Option<Process>,
+    /// Segment that is being written.
+    in_flight: Option<InFlightSegment>,
+    /// Peer to be named by the next segment.
+    next_peer: Option<Process>,
+    replicas: BTreeMap<Process, Replica>,
+    /// Failed peers, and the time until which each is avoided.
+    backoff_until: BTreeMap<Process, Instant>,
+    /// Former tail peers that have not yet been notified to drop their copies.
     released: Vec<Process>,
     last_session: u64,
-    /// Position after the last record that counted as durable by its copies alone.
-    relied_end: Position,
+    /// Position after the last record that was reported durable on the strength of its copies alone.
+    relied_on_end: Position,
 }
 
-/// What a segment that is being written names.
+/// Tail peer named by a segment that is being written.
 #[derive(Clone, Debug)]
-struct Naming {
+struct InFlightSegment {
     tail_peer: Option<Process>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Holder {
-    /// Tells this use of the peer from earlier ones, whose messages may still arrive.
+struct Replica {
+    /// Identifies this selection of the peer. Replies to batches of earlier sessions may still arrive.
     session: u64,
-    held_end: Position,
+    acked_end: Position,
     sending: bool,
     failures: u32,
     retry_at: Option<Instant>,
 }
 
-/// Copies that a peer lacks, or is to forget.
+/// Batch of copies to send to a peer, or the position before which it can drop its copies.
 #[derive(Clone, Debug)]
-pub(super) struct Due {
+pub(super) struct DueBatch {
     pub(super) to: Process,
     pub(super) session: u64,
     pub(super) position: Position,
@@ -74,118 +74,123 @@
             me,
             failure_domain,
             peers: Vec::new(),
-            hears_most: false,
-            recorded: None,
-            naming: None,
-            wanted: None,
-            holders: BTreeMap::new(),
-            passed_over: BTreeMap::new(),
+            majority_live: false,
+            stored_peer: None,
+            in_flight: None,
+            next_peer: None,
+            replicas: BTreeMap::new(),
+            backoff_until: BTreeMap::new(),
             released: Vec::new(),
             last_session: 0,
-            relied_end: 0,
+            relied_on_end: 0,
         }
     }
 
-    /// Takes note of the peers that are alive.
-    pub(super) fn set_peers(&mut self, peers: Vec<Peer>, hears_most: bool) {
+    /// Sets the live peers, and whether a majority of the hosts is live.
+    pub(super) fn set_peers(&mut self, peers: Vec<Peer>, majority_live: bool) {
         self.peers = peers;
-        self.hears_most = hears_most;
+        self.majority_live = majority_live;
         let peers = &self.peers;
-        self.holders
+        self.replicas
             .retain(|process, _| peers.iter().any(|peer| peer.process == *process));
     }
 
-    /// Whether copies count: the peers that a successor may ask are alive, and so are most others.
+    /// Returns whether copies count as durable: all peers that a successor may read from are live, and
+    /// so is a majority of the hosts.
     ///
-    /// Without most of the hosts, this process may have been replaced without being told.
-    pub(super) fn usable(&self) -> bool {
-        self.recorded.is_some()
-            && self.hears_most
+    /// Without a majority, this process may have been replaced without having been notified.
+    pub(super) fn is_usable(&self) -> bool {
+        self.stored_peer.is_some()
+            && self.majority_live
             && self.required().all(|process| match process {
-                Some(process) => self.is_alive(process) && !self.has_failed(process),
+                Some(process) => self.is_live(process) && !self.has_failed(process),
                 None => false,
             })
     }
 
-    /// Position after the last record that all those peers hold.
+    /// Returns the position after the last record that is replicated to all required peers.
     pub(super) fn replicated_end(&self) -> Position {
-        if !self.usable() {
+        if !self.is_usable() {
             return 0;
         }
-        let held = self.required().flatten().map(|process| self.held_end(process));
-        held.min().unwrap_or(0)
+        let acked = self.required().flatten().map(|process| self.acked_end(process));
+        acked.min().unwrap_or(0)
     }
 
-    /// Takes note that records up to a position count as durable by their copies alone.
-    pub(super) fn rely(&mut self, replicated_end: Position) {
-        self.relied_end = self.relied_end.max(replicated_end);
+    /// Records that all records before this position are reported durable on the strength of their
+    /// copies.
+    pub(super) fn mark_relied_on(&mut self, replicated_end: Position) {
+        self.relied_on_end = self.relied_on_end.max(replicated_end);
     }
 
-    /// Whether a segment is to be written to name another peer.
-    pub(super) fn must_name(&self) -> bool {
-        self.wanted != self.recorded
+    /// Returns whether a segment has to be written in order to name another tail peer.
+    pub(super) fn needs_peer_change(&self) -> bool {
+        self.next_peer != self.stored_peer
     }
 
-    /// Chooses the peer to be named next.
-    pub(super) fn choose(&mut self, now: Instant) {
-        self.passed_over.retain(|_, until| now < *until);
-        let keep = self.recorded.clone().filter(|process| self.stays(process));
-        self.wanted = keep.or_else(|| self.best());
+    /// Selects the tail peer that the next segment should name.
+    pub(super) fn choose_peer(&mut self, now: Instant) {
+        self.backoff_until.retain(|_, until| now < *until);
+        let current = self
+            .stored_peer
+            .clone()
+            .filter(|process| self.is_still_suitable(process));
+        self.next_peer = current.or_else(|| self.best_peer());
     }
 
-    /// The peer that a segment may name whose records end at `group_end`.
+    /// Returns the tail peer to be named by a segment whose last record ends at `group_end`.
     ///
-    /// A new peer is named once it holds, or the store then holds, every record that the old one was
-    /// relied on for; until then the old one stays named.
-    pub(super) fn nameable(&self, group_end: Position) -> Option<Process> {
-        let covered = match &self.wanted {
-            Some(wanted) => self.held_end(wanted).max(group_end),
+    /// A new peer is named only once it has, or the store will have, every record that relies on the
+    /// copies of the current peer. Until then, segments keep naming the current peer.
+    pub(super) fn peer_to_name(&self, group_end: Position) -> Option<Process> {
+        let covered = match &self.next_peer {
+            Some(next_peer) => self.acked_end(next_peer).max(group_end),
             None => group_end,
         };
-        if covered >= self.relied_end {
-            return self.wanted.clone();
+        if covered >= self.relied_on_end {
+            return self.next_peer.clone();
         }
-        self.recorded.clone()
+        self.stored_peer.clone()
     }
 
-    pub(super) fn writing(&mut self, group: &Group) {
-        self.naming = Some(Naming {
+    pub(super) fn on_write_started(&mut self, group: &Group) {
+        self.in_flight = Some(InFlightSegment {
             tail_peer: group.tail_peer.clone(),
         });
     }
 
-    /// The segment that was being written certainly does not exist.
-    pub(super) fn not_written(&mut self) {
-        self.naming = None;
+    /// Resets the state after a write that certainly did not create its segment.
+    pub(super) fn on_write_failed(&mut self) {
+        self.in_flight = None;
     }
 
-    pub(super) fn stored(&mut self, group: &Group) {
-        self.naming = None;
-        self.recorded.clone_from(&group.tail_peer);
-        let (recorded, wanted) = (&self.recorded, &self.wanted);
-        let released = self.holders.extract_if(.., |process, _| {
-            recorded.as_ref() != Some(process) && wanted.as_ref() != Some(process)
+    pub(super) fn on_stored(&mut self, group: &Group) {
+        self.in_flight = None;
+        self.stored_peer.clone_from(&group.tail_peer);
+        let (stored_peer, next_peer) = (&self.stored_peer, &self.next_peer);
+        let released = self.replicas.extract_if(.., |process, _| {
+            stored_peer.as_ref() != Some(process) && next_peer.as_ref() != Some(process)
         });
         self.released.extend(released.map(|(process, _)| process));
     }
 
-    /// Copies that peers lack of the records from `first` to `end`, and can be sent now.
-    pub(super) fn due(&mut self, first: Position, end: Position, now: Instant) -> Vec<Due> {
+    /// Returns the batches that can be sent now, of records from `first` to `end` that peers lack.
+    pub(super) fn due(&mut self, first: Position, end: Position, now: Instant) -> Vec<DueBatch> {
         let receivers: Vec<_> = self.receivers().cloned().collect();
         let mut due = Vec::new();
         for to in receivers {
-            if !self.is_alive(&to) {
+            if !self.is_live(&to) {
                 continue;
             }
-            let holder = self.holder(&to);
-            let position = holder.held_end.max(first);
-            let waits = holder.sending || holder.retry_at.is_some_and(|retry_at| now < retry_at);
-            if waits || position >= end {
+            let replica = self.replica(&to);
+            let position = replica.acked_end.max(first);
+            let is_waiting = replica.sending || replica.retry_at.is_some_and(|retry_at| now < retry_at);
+            if is_waiting || position >= end {
                 continue;
             }
-            holder.sending = true;
-            let session = holder.session;
-            due.push(Due {
+            replica.sending = true;
+            let session = replica.session;
+            due.push(DueBatch {
                 to,
                 session,
                 position,
@@ -194,13 +199,13 @@
         due
     }
 
-    /// Peers that are to forget their copies, which all stand before `end`.
-    pub(super) fn releases(&mut self, end: Position) -> Vec<Due> {
+    /// Returns the former tail peers that can drop their copies, all of which are before `end`.
+    pub(super) fn releases(&mut self, end: Position) -> Vec<DueBatch> {
         let released = std::mem::take(&mut self.released);
         let mut due = Vec::new();
         for to in released {
             let session = self.new_session();
-            due.push(Due {
+            due.push(DueBatch {
                 to,
                 session,
                 position: end,
@@ -209,45 +214,51 @@
         due
     }
 
-    /// Takes note that a peer holds everything up to a position.
-    pub(super) fn held(&mut self, process: &Process, session: u64, held_end: Position, now: Instant) {
-        let holder = self.holders.get_mut(process);
-        if let Some(holder) = holder.filter(|holder| holder.session == session) {
-            // A peer that has no room left is not asked again at once.
-            let advanced = held_end > holder.held_end;
-            *holder = Holder {
+    /// Records that a peer has copies of all records before a position.
+    pub(super) fn on_replicated(
+        &mut self,
+        process: &Process,
+        session: u64,
+        acked_end: Position,
+        now: Instant,
+    ) {
+        let replica = self.replicas.get_mut(process);
+        if let Some(replica) = replica.filter(|replica| replica.session == session) {
+            // A peer without free space is not sent the same records again immediately.
+            let advanced = acked_end > replica.acked_end;
+            *replica = Replica {
                 session,
-                held_end,
-                retry_at: (!advanced).then(|| now + RETRY_AFTER),
-                ..Holder::default()
+                acked_end,
+                retry_at: (!advanced).then(|| now + COPY_RETRY_BACKOFF),
+                ..Replica::default()
             };
         }
     }
 
-    /// Takes note that a peer did not take copies.
-    pub(super) fn failed(&mut self, process: &Process, session: u64, now: Instant) {
-        let holder = self.holders.get_mut(process);
-        let Some(holder) = holder.filter(|holder| holder.session == session) else {
+    /// Records that a peer did not accept copies.
+    pub(super) fn on_replication_failed(&mut self, process: &Process, session: u64, now: Instant) {
+        let replica = self.replicas.get_mut(process);
+        let Some(replica) = replica.filter(|replica| replica.session == session) else {
             return;
         };
-        holder.sending = false;
-        holder.failures += 1;
-        holder.retry_at = Some(now + RETRY_AFTER);
-        if holder.failures >= FAILURES_MAX {
-            self.passed_over.insert(process.clone(), now + PASSED_OVER);
+        replica.sending = false;
+        replica.failures += 1;
+        replica.retry_at = Some(now + COPY_RETRY_BACKOFF);
+        if replica.failures >= FAILURES_MAX {
+            self.backoff_until.insert(process.clone(), now + PEER_BACKOFF);
         }
     }
 
-    fn holder(&mut self, process: &Process) -> &mut Holder {
-        if !self.holders.contains_key(process) {
+    fn replica(&mut self, process: &Process) -> &mut Replica {
+        if !self.replicas.contains_key(process) {
             let session = self.new_session();
-            let holder = Holder {
+            let replica = Replica {
                 session,
-                ..Holder::default()
+                ..Replica::default()
             };
-            self.holders.insert(process.clone(), holder);
+            self.replicas.insert(process.clone(), replica);
         }
-        self.holders.entry(process.clone()).or_default()
+        self.replicas.entry(process.clone()).or_default()
     }
 
     fn new_session(&mut self) -> u64 {
@@ -255,59 +266,65 @@
         self.last_session
     }
 
-    /// When the next copy can be sent to a peer that failed.
+    /// Returns the earliest time at which copies can be sent again to a peer that failed.
     pub(super) fn next_retry(&self) -> Option<Instant> {
-        let waiting = self.holders.values().filter(|holder| !holder.sending);
-        waiting.filter_map(|holder| holder.retry_at).min()
+        let waiting = self.replicas.values().filter(|replica| !replica.sending);
+        waiting.filter_map(|replica| replica.retry_at).min()
     }
 
     fn required(&self) -> impl Iterator<Item = Option<&Process>> {
-        let recorded = std::iter::once(self.recorded.as_ref());
-        recorded.chain(self.naming.as_ref().map(|naming| naming.tail_peer.as_ref()))
+        let stored_peer = std::iter::once(self.stored_peer.as_ref());
+        stored_peer.chain(
+            self.in_flight
+                .as_ref()
+                .map(|in_flight| in_flight.tail_peer.as_ref()),
+        )
     }
 
     fn receivers(&self) -> impl Iterator<Item = &Process> {
         let required = self.required().flatten();
-        let wanted = self.wanted.as_ref();
+        let next_peer = self.next_peer.as_ref();
         let mut seen = Vec::new();
-        required.chain(wanted).filter(move |process| {
-            let fresh = !seen.contains(process);
+        required.chain(next_peer).filter(move |process| {
+            let is_new = !seen.contains(process);
             seen.push(process);
-            fresh
+            is_new
         })
     }
 
-    fn held_end(&self, process: &Process) -> Position {
-        self.holders.get(process).map_or(0, |holder| holder.held_end)
+    fn acked_end(&self, process: &Process) -> Position {
+        self.replicas.get(process).map_or(0, |replica| replica.acked_end)
     }
 
     fn has_failed(&self, process: &Process) -> bool {
-        let holder = self.holders.get(process);
-        holder.is_some_and(|holder| holder.failures >= FAILURES_MAX)
+        let replica = self.replicas.get(process);
+        replica.is_some_and(|replica| replica.failures >= FAILURES_MAX)
     }
 
-    fn is_alive(&self, process: &Process) -> bool {
+    fn is_live(&self, process: &Process) -> bool {
         self.peers.iter().any(|peer| peer.process == *process)
     }
 
-    fn stays(&self, process: &Process) -> bool {
+    fn is_still_suitable(&self, process: &Process) -> bool {
         let peer = self.peers.iter().find(|peer| peer.process == *process);
         peer.is_some_and(|peer| {
-            let better = !self.is_good(peer) && self.peers.iter().any(|other| self.is_good(other));
-            !self.passed_over.contains_key(process) && !better
+            let better_exists =
+                !self.is_preferred(peer) && self.peers.iter().any(|other| self.is_preferred(other));
+            !self.backoff_until.contains_key(process) && !better_exists
         })
     }
 
-    fn is_good(&self, peer: &Peer) -> bool {
+    fn is_preferred(&self, peer: &Peer) -> bool {
         !peer.leaving && peer.failure_domain != self.failure_domain
     }
 
-    /// The best peer: staying, in another failure domain, and otherwise spread evenly over the peers.
-    fn best(&self) -> Option<Process> {
+    /// Returns the most suitable peer: preferably on a host that is not being removed, and in another
+    /// failure domain. A hash spreads the choice evenly over equally suitable peers.
+    fn best_peer(&self) -> Option<Process> {
         let fit = self
             .peers
             .iter()
-            .filter(|peer| !self.passed_over.contains_key(&peer.process));
+            .filter(|peer| !self.backoff_until.contains_key(&peer.process));
         let best = fit.min_by_key(|peer| {
             let same_domain = peer.failure_domain == self.failure_domain;
             (peer.leaving, same_domain, self.rank(&peer.process))
--- a/crates/burdockroad/src/journal/writer/waiters.rs
+++ b/crates/burdockroad/src/journal/writer/waiters.rs
@@ -1,26 +1,26 @@
-//! Appends that wait until their records are durable.
+//! Appends that wait for their records to become durable.
 
 use std::time::{Duration, Instant};
 
 use crate::journal::{Durability, JournalError, Position, Ticket};
 
-/// How far the records of a journal are durable.
+/// Current durability of the records of a journal.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
-    /// Position after the last record that is stored; 0 before the first segment is.
+    /// Position after the last stored record; 0 before the first segment is stored.
     pub(super) stored_end: Position,
-    /// Position after the last record that is stored or has a copy.
+    /// Position after the last record that is stored or replicated.
     pub(super) replicated_end: Position,
-    /// Whether the store fails at present.
+    /// Whether the store is considered down.
     pub(super) store_down: bool,
-    /// Whether a peer can take copies at present.
+    /// Whether a peer can currently accept copies.
     pub(super) tail_usable: bool,
-    /// When a later try may succeed.
+    /// Delay before a retry of a failed append.
     pub(super) retry_after: Duration,
 }
 
-/// The answer to one append.
-pub(super) type Answer = (Ticket, Result<(), JournalError>);
+/// Result of one append.
+pub(super) type Completion = (Ticket, Result<(), JournalError>);
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Waiters {
@@ -45,33 +45,34 @@
         });
     }
 
-    /// Whether one of them needs the next write at once.
-    pub(super) fn urgent(&self, progress: &Progress) -> bool {
+    /// Returns whether any waiting append requires an immediate write.
+    pub(super) fn is_urgent(&self, progress: &Progress) -> bool {
         self.waiting
             .iter()
             .any(|waiter| waiter.durability == Durability::Stored || !progress.tail_usable)
     }
 
-    /// When the first of them has waited long enough.
+    /// Returns the earliest deadline of all waiting appends.
     pub(super) fn next_deadline(&self) -> Option<Instant> {
         self.waiting.iter().map(|waiter| waiter.deadline).min()
     }
 
-    /// Takes out those whose records are durable, or cannot be made so in time.
-    pub(super) fn settle(&mut self, progress: &Progress, now: Instant) -> Vec<Answer> {
-        let mut answers = Vec::new();
+    /// Removes and returns the appends whose records are durable, have timed out, or cannot currently
+    /// become durable.
+    pub(super) fn settle(&mut self, progress: &Progress, now: Instant) -> Vec<Completion> {
+        let mut completions = Vec::new();
         self.waiting.retain(|waiter| match waiter.outcome(progress, now) {
             Some(outcome) => {
-                answers.push((waiter.ticket, outcome));
+                completions.push((waiter.ticket, outcome));
                 false
             }
             None => true,
         });
-        answers
+        completions
     }
 
-    /// Tells all of them that the journal is sealed.
-    pub(super) fn fence(&mut self) -> Vec<Answer> {
+    /// Fails all waiting appends because the journal is sealed.
+    pub(super) fn fence(&mut self) -> Vec<Completion> {
         let waiting = std::mem::take(&mut self.waiting);
         let tickets = waiting.into_iter().map(|waiter| waiter.ticket);
         tickets
@@ -90,7 +91,7 @@
         if durable {
             return Some(Ok(()));
         }
-        if now < self.deadline && !progress.hopeless(self.durability) {
+        if now < self.deadline && !progress.is_unattainable(self.durability) {
             return None;
         }
         Some(Err(progress.unavailable()))
@@ -98,8 +99,9 @@
 }
 
 impl Progress {
-    /// Whether waiting for that durability is of no use at present.
-    pub(super) fn hopeless(&self, durability: Durability) -> bool {
+    /// Returns whether records cannot currently reach this durability, so that waiting would be
+    /// useless.
+    pub(super) fn is_unattainable(&self, durability: Durability) -> bool {
         match durability {
             Durability::Queued => false,
             Durability::Replicated => self.store_down && !self.tail_usable,
--- a/crates/burdockroad/tests/journal_cleaning.rs
+++ b/crates/burdockroad/tests/journal_cleaning.rs
@@ -72,7 +72,7 @@
             for action in actions {
                 match action {
                     Action::Write { .. } => writer.written(WriteReply::Done, now),
-                    Action::Answer { result, .. } => assert_eq!(result, Ok(())),
+                    Action::Complete { result, .. } => assert_eq!(result, Ok(())),
                     other => asked.push(other),
                 }
             }
--- a/crates/burdockroad/tests/journal_interleavings/world.rs
+++ b/crates/burdockroad/tests/journal_interleavings/world.rs
@@ -9,7 +9,7 @@
 use burdockroad::{
     Record, SegmentNumber,
     journal::{
-        Action, Copies, Durability, JournalError, Peer, ReadReply, Seal, Segment, StoredSegment, TailCopy,
+        Action, Durability, JournalError, Peer, ReadReply, Seal, Segment, StoredSegment, TailBatch, TailCopy,
         TailReply, TailTable, TailTableOptions, Ticket, WriteReply, Writer, WriterOptions, join,
     },
     ownership::Process,
@@ -59,9 +59,9 @@
     Read {
         segment: SegmentNumber,
     },
-    Copies {
+    TailBatch {
         to: Process,
-        copies: Copies,
+        copies: TailBatch,
         answered: bool,
     },
     Remove {
@@ -273,7 +273,7 @@
     fn poll(&mut self) {
         for action in self.writer.poll(self.now) {
             match action {
-                Action::Answer { ticket, result } => self.answered(ticket, &result),
+                Action::Complete { ticket, result } => self.answered(ticket, &result),
                 Action::Write { segment, value } => {
                     self.messages.push(Message::Write {
                         segment,
@@ -283,7 +283,7 @@
                 }
                 Action::ReadBack { segment } => self.messages.push(Message::Read { segment }),
                 Action::Replicate { to, copies } => {
-                    self.messages.push(Message::Copies {
+                    self.messages.push(Message::TailBatch {
                         to,
                         copies,
                         answered: false,
@@ -346,7 +346,7 @@
                 };
                 self.writer.read_back(reply, self.now);
             }
-            Message::Copies { to, copies, answered } => self.deliver_copies(to, copies, answered),
+            Message::TailBatch { to, copies, answered } => self.deliver_copies(to, copies, answered),
             Message::Remove { from, to, answered } => {
                 let lost = !answered && self.rng.random_ratio(1, 5);
                 if lost {
@@ -411,12 +411,12 @@
         WriteReply::Done
     }
 
-    fn deliver_copies(&mut self, to: Process, copies: Copies, answered: bool) {
+    fn deliver_copies(&mut self, to: Process, copies: TailBatch, answered: bool) {
         if !answered && self.rng.random_ratio(1, 10) {
             // Its reply comes too late; the copies may arrive later still, or twice.
             self.writer
                 .replicated(&to, copies.session, TailReply::Failed, self.now);
-            self.messages.push(Message::Copies {
+            self.messages.push(Message::TailBatch {
                 to,
                 copies,
                 answered: true,
@@ -426,11 +426,11 @@
         let session = copies.session;
         let peer = self.peers.iter_mut().find(|peer| peer.process == to && peer.up);
         let reply = match peer {
-            Some(peer) => peer.table.keep(&self.me, copies.clone()),
+            Some(peer) => peer.table.append_batch(&self.me, copies.clone()),
             None => TailReply::Failed,
         };
         if self.rng.random_ratio(1, 10) {
-            self.messages.push(Message::Copies {
+            self.messages.push(Message::TailBatch {
                 to: to.clone(),
                 copies,
                 answered: true,
