--- a/crates/burdockroad/src/config.rs
+++ b/crates/burdockroad/src/config.rs
@@ -1,8 +1,8 @@
-//! The one configuration document, which alone changes what the system does.
+//! Configuration document, the single source of configuration changes.
 //!
-//! [`parse`] reads its text, [`diff`] tells two documents apart, [`VersionedDocument`] is its form in
-//! the store, [`KeyTable`] finds the account of a caller's key, and [`FreshnessTracker`] decides whether a
-//! host may still rely on its document.
+//! [`parse`] parses and validates its text, [`diff`] compares two documents, [`VersionedDocument`] is
+//! the stored form, [`KeyTable`] maps caller keys to accounts, and [`FreshnessTracker`] decides whether
+//! a host may still rely on its document.
 //!
 //! # Example
 //!
--- a/crates/burdockroad/src/config/check.rs
+++ b/crates/burdockroad/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Reads the text of a document and checks all of it.
+//! Parses and validates the text of a document.
 
 use std::collections::HashSet;
 
@@ -19,12 +19,12 @@
     versioned::{ENVELOPE_MAX_BYTES, envelope_bytes},
 };
 
-/// Reads the text of a document, in JSON with comments.
+/// Parses and validates a document in JSON with comments.
 ///
 /// # Errors
 ///
-/// Returns everything that is wrong with the text, in the order of the places. A text whose form is
-/// broken gives one finding only, since what follows the break cannot be told.
+/// Returns all findings, ordered by location. A syntax error gives only one finding, because the text
+/// after it cannot be parsed.
 ///
 /// # Example
 ///
@@ -45,11 +45,11 @@
         let message = format!(
             "the document takes {bytes} bytes in the key-value service; allowed: up to {ENVELOPE_MAX_BYTES}"
         );
-        reader.report(node.place(), &message);
+        reader.report(node.location(), &message);
     }
 }
 
-/// The names seen so far, and the references to be resolved when all names are known.
+/// Names defined so far, and references that are resolved after the whole document has been read.
 #[derive(Debug)]
 struct Checker {
     sites: NameTable,
@@ -119,7 +119,7 @@
         let all_read = sites.len() == node.list_len();
         if !sites.is_empty() && all_read && sites.iter().all(takes_none) {
             reader.report(
-                node.place(),
+                node.location(),
                 "found weight 0 for every site; allowed: at least one site that takes new programs",
             );
         }
@@ -228,7 +228,7 @@
             let name = Reference::read(reader, node, &mut self.set_references)?;
             if !seen.insert(name.clone()) {
                 reader.report(
-                    node.place(),
+                    node.location(),
                     &format!("the endpoint set `{name}` is listed twice"),
                 );
             }
@@ -236,7 +236,7 @@
         })?;
         if node.list_len() == 0 {
             reader.report(
-                node.place(),
+                node.location(),
                 "found an empty list; allowed: one endpoint set or more",
             );
         }
@@ -300,7 +300,8 @@
         })
     }
 
-    /// Two endpoints at one address would be given twice the calls that the process serves at once.
+    /// Reads an address that no other endpoint has. Two endpoints at one address would receive twice
+    /// the number of concurrent calls that the process can serve.
     fn endpoint_address(&mut self, reader: &mut Reader<'_>, node: &Node<'_>) -> Option<String> {
         let address = reader.address(node)?;
         self.addresses.add(reader, node, &address);
--- a/crates/burdockroad/src/config/diff.rs
+++ b/crates/burdockroad/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! What changed between two documents.
+//! Differences between two documents.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -11,11 +11,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Change {
-    /// Where it is, with entities by their names, such as `accounts.trust-duty.burst`.
+    /// Path of the difference, in which entities are identified by name, such as
+    /// `accounts.trust-duty.burst`.
     pub path: String,
-    /// What stood there, in JSON; none when it was added.
+    /// JSON value before the change; none if the value was added.
     pub before: Option<String>,
-    /// What stands there, in JSON; none when it was removed.
+    /// JSON value after the change; none if the value was removed.
     pub after: Option<String>,
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// Lists what changed, entity by entity; the order of entities and comments do not count.
+/// Returns the differences, entity by entity. The order of entities and the comments are ignored.
 ///
 /// # Example
 ///
@@ -50,7 +51,8 @@
 }
 
 fn to_value(document: &Document) -> Value {
-    // The document holds only texts, numbers and lists, all of which have a form in JSON.
+    // The document contains only strings, numbers, booleans and lists, all of which can be represented
+    // in JSON.
     serde_json::to_value(document).unwrap_or_default()
 }
 
@@ -82,7 +84,7 @@
     }
 }
 
-/// Returns the parts of an object, or the entities of a list by their names; none for all else.
+/// Returns the fields of an object, or the entities of a list by name, or none for other values.
 fn children(value: &Value) -> Option<BTreeMap<&str, &Value>> {
     match value {
         Value::Object(fields) => {
--- a/crates/burdockroad/src/config/document.rs
+++ b/crates/burdockroad/src/config/document.rs
@@ -13,24 +13,24 @@
     ids::{AccountId, EndpointId, HostId, KeyId, PoolId, RouteId, SiteId},
 };
 
-/// Everything that operators decide, for all hosts and both sites.
+/// Configuration set by the operators, for all hosts of both sites.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// The sites that work can move between, with their shares of new programs.
+    /// Sites that programs can be moved between, with their shares of new programs.
     #[schemars(length(max = SITES_MAX))]
     pub sites: Vec<Site>,
-    /// The client accounts.
+    /// Client accounts.
     #[schemars(length(max = ACCOUNTS_MAX))]
     pub accounts: Vec<Account>,
-    /// Where calls can go.
+    /// Routes that callers can use.
     #[schemars(length(max = ROUTES_MAX))]
     pub routes: Vec<Route>,
-    /// The endpoints, in sets that each share one queue.
+    /// Sets of endpoints; the endpoints of a set share one queue.
     #[schemars(length(max = ENDPOINT_SETS_MAX))]
     pub endpoint_sets: Vec<EndpointSet>,
-    /// Budgets of programs that do not state their own.
+    /// Budgets of programs that do not specify their own.
     #[serde(default)]
     pub budget_defaults: BudgetDefaults,
 }
@@ -43,7 +43,8 @@
     /// Name of the site.
     #[schemars(regex(pattern = NAME_PATTERN))]
     pub id: SiteId,
-    /// Share of new programs, relative to the other sites' weights; 0 takes no new programs.
+    /// Share of new programs, relative to the weights of the other sites; a site with weight 0 receives
+    /// no new programs.
     #[schemars(range(max = SITE_WEIGHT_MAX))]
     pub weight: u32,
 }
@@ -56,114 +57,114 @@
     /// Name of the account.
     #[schemars(regex(pattern = NAME_PATTERN))]
     pub id: AccountId,
-    /// Calls a second that the account may make, over all hosts.
+    /// Maximum sustained rate of calls per second, over all hosts.
     #[schemars(range(min = RATE_MIN_PER_S, max = RATE_MAX_PER_S))]
     pub rate_per_s: f64,
-    /// Calls that the account may make at once after a pause, over all hosts.
+    /// Maximum number of calls in a burst after an idle period, over all hosts.
     #[schemars(range(min = 1, max = BURST_MAX))]
     pub burst: u32,
-    /// Share of the endpoints under contention, relative to the other accounts' weights.
+    /// Share of the endpoints under contention, relative to the weights of the other accounts.
     #[serde(default = "default_weight")]
     #[schemars(range(min = ACCOUNT_WEIGHT_MIN, max = ACCOUNT_WEIGHT_MAX))]
     pub weight: f64,
-    /// The account's keys.
+    /// Keys of the account.
     #[serde(default)]
     #[schemars(length(max = KEYS_PER_ACCOUNT_MAX))]
     pub keys: Vec<Key>,
 }
 
-/// One caller's key, of which only a hash is kept.
+/// Key of a caller, stored only as a hash.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// Public name of the key.
+    /// Public id of the key.
     #[schemars(regex(pattern = NAME_PATTERN))]
     pub id: KeyId,
-    /// SHA-256 of the whole key, as 64 lower-case hexadecimal digits.
+    /// SHA-256 digest of the complete key, as 64 lower-case hexadecimal digits.
     #[schemars(regex(pattern = HASH_PATTERN))]
     pub sha256: String,
-    /// Whether the key has been withdrawn.
+    /// Whether the key was withdrawn, which makes it invalid.
     #[serde(default)]
     pub withdrawn: bool,
 }
 
-/// Where calls can go: a model, or a plain service.
+/// Destination of calls: a model or an ordinary service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Name of the route; for a model route also the model name that callers give.
+    /// Name of the route. Callers of a model route also use it as the model name.
     #[schemars(regex(pattern = NAME_PATTERN))]
     pub id: RouteId,
-    /// What answers on the route.
+    /// Kind of endpoints that serve the route.
     pub kind: RouteKind,
-    /// Who may use the route.
+    /// Callers that may use the route.
     #[serde(default)]
     pub access: Access,
-    /// Whether a repeated run of a call does no harm. Completions always count as idempotent.
+    /// Whether calls can safely be run more than once. Completions always count as idempotent.
     #[serde(default)]
     pub idempotent: bool,
-    /// Endpoint sets that serve the route, one or more a site.
+    /// Endpoint sets that serve the route, at least one per site.
     #[schemars(length(min = 1, max = ENDPOINT_SETS_MAX))]
     pub endpoint_sets: Vec<PoolId>,
 }
 
-/// What answers on a route.
+/// Kind of endpoints that serve a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
     /// Model engines, at `/v1/chat/completions`.
     Model,
-    /// Plain services, at `/services/{route}/...`.
+    /// Ordinary services, at `/services/{route}/...`.
     Service,
 }
 
-/// Who may use a route.
+/// Callers that may use a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Access {
-    /// Callers with a key of any account.
+    /// Callers with a valid key of any account.
     #[default]
     Keyed,
-    /// Everybody.
+    /// All callers.
     Open,
 }
 
-/// Endpoints that share one queue.
+/// A set of endpoints that share one queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSet {
-    /// Name of the set.
+    /// Name of the endpoint set.
     #[schemars(regex(pattern = NAME_PATTERN))]
     pub id: PoolId,
-    /// Site that the endpoints stand in.
+    /// Site of the endpoints.
     #[schemars(regex(pattern = NAME_PATTERN))]
     pub site: SiteId,
-    /// What the endpoints do with an order that carries an old fencing number.
+    /// How the endpoints handle an order with an outdated fencing number.
     #[serde(default)]
     pub fencing: Fencing,
-    /// The endpoints.
+    /// Endpoints of the set.
     #[schemars(length(max = ENDPOINTS_PER_SET_MAX))]
     pub endpoints: Vec<Endpoint>,
 }
 
-/// What endpoints do with an order that carries an old fencing number.
+/// How endpoints handle an order with an outdated fencing number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// They refuse it.
+    /// Endpoints refuse the order.
     Refused,
-    /// They carry it out as any other.
+    /// Endpoints carry out the order like any other.
     #[default]
     Ignored,
 }
 
-/// One process that answers calls.
+/// A process that answers calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
@@ -171,37 +172,37 @@
     /// Name of the endpoint.
     #[schemars(regex(pattern = NAME_PATTERN))]
     pub id: EndpointId,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
-    /// Host that it runs on, as the platform's host list names it.
+    /// Host that the endpoint runs on, as named in the platform's host list.
     #[schemars(regex(pattern = NAME_PATTERN))]
     pub host_id: HostId,
-    /// Failure domain that it stands in.
+    /// Failure domain of the endpoint.
     #[schemars(regex(pattern = NAME_PATTERN))]
     pub failure_domain: String,
-    /// Calls that it serves at once.
+    /// Number of calls that the endpoint can serve concurrently.
     #[schemars(range(min = 1, max = SLOTS_MAX))]
     pub slots: u32,
-    /// Whether the operators are emptying it.
+    /// Whether the operators are draining the endpoint.
     #[serde(default)]
     pub draining: bool,
 }
 
-/// Budgets of programs that do not state their own.
+/// Budgets of programs that do not specify their own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetDefaults {
-    /// Tokens that engines may generate for a program and its sub-agents.
+    /// Maximum number of tokens generated for a program and its sub-agents.
     #[schemars(range(min = 1, max = BUDGET_TOKENS_MAX))]
     pub max_tokens: u64,
-    /// Calls that a program and its sub-agents may send.
+    /// Maximum number of calls sent by a program and its sub-agents.
     #[schemars(range(min = 1, max = BUDGET_CALLS_MAX))]
     pub max_calls: u32,
-    /// Seconds from a program's creation to its end.
+    /// Maximum duration of a program from its creation, in seconds.
     #[schemars(range(min = 1, max = BUDGET_DURATION_MAX_S))]
     pub max_duration_s: u64,
-    /// Tokens set aside for a completion that states no limit of its own.
+    /// Tokens reserved for a completion that does not specify its own limit.
     #[schemars(range(min = 1, max = COMPLETION_TOKENS_MAX))]
     pub completion_max_tokens: u64,
 }
--- a/crates/burdockroad/src/config/finding.rs
+++ b/crates/burdockroad/src/config/finding.rs
@@ -1,31 +1,31 @@
-//! What is wrong with a text, and where.
+//! Errors found in a text, with their locations.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// Most edits by which a known name may differ from a given one and still be proposed.
+/// Maximum edit distance between a name and a suggested name.
 const NEAR_MISS_EDITS_MAX: usize = 3;
 
-/// Longest name, in characters, for which a near miss is sought.
+/// Maximum length of a name for which a similar name is searched, in characters.
 const NEAR_MISS_CHARS_MAX: usize = 64;
 
-/// Shortest name, in bytes, for which a longer known name that begins with it is proposed.
+/// Minimum length of a name for which a longer known name with this prefix is suggested, in bytes.
 const PREFIX_BYTES_MIN: usize = 3;
 
-/// One fault of a text.
+/// One error in a text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Finding {
-    /// Line, from 1.
+    /// Line number; the first line is 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters; the first column is 1.
     pub column: usize,
-    /// Path that leads to the value, such as `$.accounts[2].burst`.
+    /// Path of the value, such as `$.accounts[2].burst`.
     pub path: String,
-    /// What was found, and what is allowed.
+    /// Description of the value found and the values allowed.
     pub message: String,
-    /// Known name that was probably meant.
+    /// Similar known name, which was probably intended.
     pub near_miss: Option<String>,
 }
 
@@ -43,36 +43,38 @@
     }
 }
 
-/// Returns the known name that is nearest to a given one, if one is near enough.
+/// Returns the known name that is most similar to a given one, or none if no name is similar enough.
 pub(crate) fn near_miss<'a>(given: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
     let given: Vec<char> = given.chars().collect();
     if given.len() > NEAR_MISS_CHARS_MAX {
         return None;
     }
     let edits_max = NEAR_MISS_EDITS_MAX.min(given.len().div_ceil(2));
-    let near = |edits: usize, name: &str| edits <= edits_max || begins_with(name, &given);
+    let near = |edits: usize, name: &str| edits <= edits_max || extends_given(name, &given);
     known
         .into_iter()
-        .map(|name| (edits(&given, name), name))
+        .map(|name| (edit_distance(&given, name), name))
         .filter(|&(edits, name)| near(edits, name))
         .min()
         .map(|(_, name)| name.to_owned())
 }
 
-/// Whether a known name begins with a given one that is long enough to mean something.
-fn begins_with(name: &str, given: &[char]) -> bool {
+/// Returns whether a known name starts with the given one, provided that the given one is not too
+/// short.
+fn extends_given(name: &str, given: &[char]) -> bool {
     let given: String = given.iter().collect();
     given.len() >= PREFIX_BYTES_MIN && name.starts_with(&given)
 }
 
-/// Counts the insertions, removals and replacements that turn one name into another.
-fn edits(from: &[char], to: &str) -> usize {
+/// Returns the edit distance: the number of insertions, deletions and replacements that turn one name
+/// into the other.
+fn edit_distance(from: &[char], to: &str) -> usize {
     let mut row: Vec<usize> = (0..=from.len()).collect();
-    for (line, wanted) in to.chars().enumerate() {
+    for (index, target) in to.chars().enumerate() {
         let mut diagonal = row[0];
-        row[0] = line + 1;
+        row[0] = index + 1;
         for (column, &given) in from.iter().enumerate() {
-            let replaced = diagonal + usize::from(given != wanted);
+            let replaced = diagonal + usize::from(given != target);
             diagonal = row[column + 1];
             row[column + 1] = replaced.min(row[column] + 1).min(diagonal + 1);
         }
--- a/crates/burdockroad/src/config/freshness.rs
+++ b/crates/burdockroad/src/config/freshness.rs
@@ -1,13 +1,13 @@
-//! Decides whether a host's document may still be relied on.
+//! Decides whether a host may still rely on its document.
 //!
-//! A host that cannot learn of changes must not go on accepting keys, since one may have been
-//! withdrawn. When the key-value service is down for everybody no change can happen, and then service
-//! goes on. The rule that tells the two apart stands at [`FreshnessTracker::decide`].
+//! A host that may have missed a change must stop accepting keys, because one of them may have been
+//! withdrawn. If the key-value service is down for all hosts, no change can happen, and hosts continue
+//! to serve. [`FreshnessTracker::decide`] describes the rule that distinguishes the two cases.
 //!
-//! A *confirmation* is the statement that a version was the newest one at some moment. All moments are
-//! those at which a question was *sent*, never those at which an answer arrived: a process that was
-//! paused finds old answers in its buffers and would take them for new ones. For the same reason a
-//! peer's statement counts only in the answer to this host's own question.
+//! A *confirmation* states that a version was the newest one at some time. That time is always when the
+//! request was *sent*, never when the response arrived: after a pause, a process finds old responses in
+//! its buffers and would otherwise treat them as recent. For the same reason, a statement of a peer
+//! counts only in a response to a request from this host.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,46 +16,47 @@
 
 use crate::{DocumentVersion, HostId};
 
-/// Whether a host may accept keys by its document.
+/// Decision on whether a host may accept keys according to its document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// The document was confirmed lately, by this host or by a peer.
+    /// The document was confirmed within [`FreshnessLimits::confirmation_max_age`], by this host or by
+    /// a peer.
     Fresh,
-    /// Nobody can confirm it, so nobody can change it either.
+    /// No host can confirm the document, so it cannot have been changed.
     OutageForAll,
-    /// A change may have happened that this host has not heard of.
+    /// The document may have been changed without this host having received the change.
     CutOff,
 }
 
-/// Ages up to which something that was heard counts.
+/// Maximum ages of confirmations and peer responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessLimits {
-    /// Age up to which a confirmation counts.
+    /// Maximum age of a confirmation.
     pub confirmation_max_age: Duration,
-    /// Age up to which an answer of a peer counts as having heard the peer.
-    pub heard_max_age: Duration,
+    /// Maximum age of a response from a peer for which the peer counts as live.
+    pub peer_response_max_age: Duration,
 }
 
-/// What one peer said in its newest answer.
+/// Content of the newest response of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PeerStatement {
-    /// When the question was sent.
-    asked_at: Instant,
-    /// Version that the peer has in force.
+    /// When the request was sent.
+    requested_at: Instant,
+    /// Version in force at the peer.
     version: DocumentVersion,
-    /// Moment for which the peer vouches that the version was the newest.
+    /// Time at which the version was the newest one, as attested by the peer.
     confirmed_at: Option<Instant>,
 }
 
-/// What a host knows about how current its document is.
+/// Tracks how recently the document of a host was confirmed.
 #[derive(Clone, Debug)]
 pub struct FreshnessTracker {
     host_id: HostId,
     limits: FreshnessLimits,
     version: DocumentVersion,
-    highest_heard: DocumentVersion,
+    highest_seen: DocumentVersion,
     confirmed_at: Option<Instant>,
-    listed: Option<BTreeSet<HostId>>,
+    listed_hosts: Option<BTreeSet<HostId>>,
     peers: BTreeMap<HostId, PeerStatement>,
 }
 
@@ -63,21 +64,21 @@
     fn default() -> Self {
         Self {
             confirmation_max_age: Duration::from_secs(3),
-            heard_max_age: Duration::from_secs(2),
+            peer_response_max_age: Duration::from_secs(2),
         }
     }
 }
 
 impl FreshnessTracker {
-    /// Makes the tracker of a host that has no document yet, which is version 0.
+    /// Creates the tracker of a host without a document, which is version 0.
     pub fn new(host_id: HostId, limits: FreshnessLimits) -> Self {
         Self {
             host_id,
             limits,
             version: 0,
-            highest_heard: 0,
+            highest_seen: 0,
             confirmed_at: None,
-            listed: None,
+            listed_hosts: None,
             peers: BTreeMap::new(),
         }
     }
@@ -87,74 +88,78 @@
         self.version
     }
 
-    /// Returns the highest version that this host or a peer has in force.
-    pub fn highest_heard(&self) -> DocumentVersion {
-        self.highest_heard
+    /// Returns the highest version in force at this host or at any peer that responded.
+    pub fn highest_seen(&self) -> DocumentVersion {
+        self.highest_seen
     }
 
-    /// Puts a version in force, and returns whether it was higher than the one before.
+    /// Puts a version in force, and returns whether it is higher than the previous one.
     ///
-    /// Earlier confirmations stay: what was newest at their moment was no newer than this version.
+    /// Earlier confirmations stay valid: the version that was newest at their time is not newer than
+    /// this one.
     pub fn put_in_force(&mut self, version: DocumentVersion) -> bool {
         if version <= self.version {
             return false;
         }
         self.version = version;
-        self.highest_heard = self.highest_heard.max(version);
+        self.highest_seen = self.highest_seen.max(version);
         for statement in self.peers.values() {
-            self.confirmed_at = self.confirmed_at.max(statement.vouch_for(version));
+            self.confirmed_at = self.confirmed_at.max(statement.attestation_for(version));
         }
         true
     }
 
-    /// Takes note that the store named a version as the newest, in answer to a question of `asked_at`.
+    /// Records that the store returned a version as the newest, in response to a request sent at
+    /// `requested_at`.
     ///
-    /// An answer that is older than what is known already confirms nothing.
-    pub fn confirm(&mut self, version: DocumentVersion, asked_at: Instant) {
-        if version == self.version && version == self.highest_heard {
-            self.confirmed_at = self.confirmed_at.max(Some(asked_at));
+    /// A response with a version lower than the highest seen confirms nothing.
+    pub fn confirm(&mut self, version: DocumentVersion, requested_at: Instant) {
+        if version == self.version && version == self.highest_seen {
+            self.confirmed_at = self.confirmed_at.max(Some(requested_at));
         }
     }
 
-    /// Takes note of a peer's answer to a question of `asked_at`.
+    /// Records the response of a peer to a request sent at `requested_at`.
     pub fn observe_peer(
         &mut self,
         host_id: &HostId,
-        asked_at: Instant,
+        requested_at: Instant,
         version: DocumentVersion,
-        vouch_age: Option<Duration>,
+        attestation_age: Option<Duration>,
     ) {
-        let newer = |known: &PeerStatement| known.asked_at >= asked_at;
-        if *host_id == self.host_id || self.peers.get(host_id).is_some_and(newer) {
+        let is_newer = |previous: &PeerStatement| previous.requested_at >= requested_at;
+        if *host_id == self.host_id || self.peers.get(host_id).is_some_and(is_newer) {
             return;
         }
         let statement = PeerStatement {
-            asked_at,
+            requested_at,
             version,
-            confirmed_at: vouch_age.and_then(|age| asked_at.checked_sub(age)),
+            confirmed_at: attestation_age.and_then(|age| requested_at.checked_sub(age)),
         };
-        self.highest_heard = self.highest_heard.max(version);
-        self.confirmed_at = self.confirmed_at.max(statement.vouch_for(self.version));
+        self.highest_seen = self.highest_seen.max(version);
+        self.confirmed_at = self.confirmed_at.max(statement.attestation_for(self.version));
         self.peers.insert(host_id.clone(), statement);
     }
 
-    /// Takes note of the platform's list of entry hosts.
+    /// Sets the entry hosts listed by the platform.
     pub fn observe_list(&mut self, host_ids: impl IntoIterator<Item = HostId>) {
-        let listed: BTreeSet<HostId> = host_ids.into_iter().collect();
-        self.peers.retain(|host_id, _| listed.contains(host_id));
-        self.listed = Some(listed);
+        let listed_hosts: BTreeSet<HostId> = host_ids.into_iter().collect();
+        self.peers.retain(|host_id, _| listed_hosts.contains(host_id));
+        self.listed_hosts = Some(listed_hosts);
     }
 
-    /// Returns the age of the newest confirmation, which this host may pass on; none if there is none.
-    pub fn vouch_age(&self, now: Instant) -> Option<Duration> {
+    /// Returns the age of the newest confirmation, which this host attests to its peers, or none if
+    /// there is no confirmation.
+    pub fn attestation_age(&self, now: Instant) -> Option<Duration> {
         self.confirmed_at
             .map(|confirmed_at| now.saturating_duration_since(confirmed_at))
     }
 
-    /// Returns the peer with the highest version above this host's, from which to fetch it.
+    /// Returns the peer with the highest version above this host's, from which the document should be
+    /// fetched.
     ///
-    /// A host without a document takes one only from a peer that can confirm it: before a restart it
-    /// may have had a higher version than peers that nothing confirms.
+    /// A host without a document fetches one only from a peer that can confirm it. Before a restart,
+    /// the host may have had a higher version than peers without a recent confirmation.
     pub fn peer_to_fetch_from(&self, now: Instant) -> Option<&HostId> {
         let peers = self.peers.iter();
         let ahead = peers.filter(|(_, statement)| statement.version > self.version);
@@ -162,19 +167,20 @@
             self.version > 0 || is_within(statement.confirmed_at, now, self.limits.confirmation_max_age)
         });
         usable
-            .max_by_key(|(_, statement)| (statement.version, statement.asked_at))
+            .max_by_key(|(_, statement)| (statement.version, statement.requested_at))
             .map(|(host_id, _)| host_id)
     }
 
-    /// Decides whether the document may be relied on now.
+    /// Decides whether the document may be relied on at this time.
     ///
-    /// 1. Confirmed within the limit, by this host or by a peer that vouches for the same version:
-    ///    [`Fresh`](Freshness::Fresh).
-    /// 2. Otherwise, when most of the listed hosts answer, this one counted, and none of them has a higher
-    ///    version or can confirm any: [`OutageForAll`](Freshness::OutageForAll).
-    /// 3. Otherwise, and whenever there is no document: [`CutOff`](Freshness::CutOff).
+    /// 1. If the version was confirmed within the limit, by this host or by a peer that attests the same
+    ///    version: [`Fresh`](Freshness::Fresh).
+    /// 2. Otherwise, if a majority of the listed hosts, including this one, is live, and no peer has a
+    ///    higher version or can confirm any version: [`OutageForAll`](Freshness::OutageForAll).
+    /// 3. Otherwise, and always without a document: [`CutOff`](Freshness::CutOff).
     ///
-    /// Exactly half of the hosts is not most of them, so of two halves neither goes on.
+    /// Exactly half of the hosts is not a majority, so neither half of an evenly partitioned fleet
+    /// continues.
     pub fn decide(&self, now: Instant) -> Freshness {
         if self.version == 0 {
             return Freshness::CutOff;
@@ -182,35 +188,36 @@
         if is_within(self.confirmed_at, now, self.limits.confirmation_max_age) {
             return Freshness::Fresh;
         }
-        let behind = self.highest_heard > self.version;
-        if behind || self.any_peer_confirms(now) || !self.hears_most(now) {
+        let behind = self.highest_seen > self.version;
+        if behind || self.any_peer_confirms(now) || !self.majority_live(now) {
             return Freshness::CutOff;
         }
         Freshness::OutageForAll
     }
 
-    /// Whether most of the listed hosts answer; a host always hears itself.
+    /// Returns whether a majority of the listed hosts is live. The host itself always counts as live.
     ///
-    /// A list without this host is an old or a wrong one, by which nothing can be told: an empty one would
-    /// make a host that is cut off the only one of its fleet.
-    fn hears_most(&self, now: Instant) -> bool {
-        let Some(listed) = &self.listed else {
+    /// A list without this host is outdated or wrong, so no majority can be derived from it. With an
+    /// empty list, a partitioned host would be the only host of its fleet.
+    fn majority_live(&self, now: Instant) -> bool {
+        let Some(listed_hosts) = &self.listed_hosts else {
             return false;
         };
-        if !listed.contains(&self.host_id) {
+        if !listed_hosts.contains(&self.host_id) {
             return false;
         }
-        let others = listed.iter().filter(|host_id| **host_id != self.host_id);
-        let heard = others.filter(|host_id| self.hears(host_id, now)).count() + 1;
-        2 * heard > listed.len()
+        let others = listed_hosts.iter().filter(|host_id| **host_id != self.host_id);
+        let live = others.filter(|host_id| self.is_live(host_id, now)).count() + 1;
+        2 * live > listed_hosts.len()
     }
 
-    fn hears(&self, host_id: &HostId, now: Instant) -> bool {
-        let asked_at = self.peers.get(host_id).map(|statement| statement.asked_at);
-        is_within(asked_at, now, self.limits.heard_max_age)
+    fn is_live(&self, host_id: &HostId, now: Instant) -> bool {
+        let requested_at = self.peers.get(host_id).map(|statement| statement.requested_at);
+        is_within(requested_at, now, self.limits.peer_response_max_age)
     }
 
-    /// Whether a peer that answers can confirm any version, so that the store is not down for everybody.
+    /// Returns whether any peer can confirm any version, in which case the store is not down for all
+    /// hosts.
     fn any_peer_confirms(&self, now: Instant) -> bool {
         let max_age = self.limits.confirmation_max_age;
         let mut statements = self.peers.values();
@@ -219,9 +226,9 @@
 }
 
 impl PeerStatement {
-    /// The moment for which the peer confirms a version; a lower version's vouch would be an old answer,
-    /// and a higher one's does not cover it.
-    fn vouch_for(&self, version: DocumentVersion) -> Option<Instant> {
+    /// Returns the time at which the peer attests that `version` was the newest. A response with a
+    /// lower version is outdated, and one with a higher version does not confirm this one.
+    fn attestation_for(&self, version: DocumentVersion) -> Option<Instant> {
         self.confirmed_at.filter(|_| self.version == version)
     }
 }
--- a/crates/burdockroad/src/config/keys.rs
+++ b/crates/burdockroad/src/config/keys.rs
@@ -1,4 +1,4 @@
-//! Callers' keys: how they are made, and whose they are.
+//! Caller keys: creation and lookup.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -14,26 +14,26 @@
     config::document::{Document, Key},
 };
 
-/// Random bytes of a key's secret part.
+/// Length of the secret part of a key, in random bytes.
 const SECRET_BYTES: usize = 32;
 
-/// Random bytes of a key's public id.
+/// Length of the public id of a key, in random bytes.
 const ID_BYTES: usize = 6;
 
 /// SHA-256 of a whole key.
 type KeyDigest = [u8; 32];
 
-/// The valid keys of a document, by their hashes.
+/// Valid keys of a document, by their digests.
 ///
-/// Withdrawn keys are absent. Keys are random and long, so a slow hash or a salt would add nothing,
-/// and a lookup by the digest leaks no more about a key than its digest does.
+/// Withdrawn keys are not included. Keys are long and random, so a slow hash or a salt would add no
+/// security, and the timing of a lookup reveals at most the digest of a key.
 #[derive(Clone, Debug, Default)]
 pub struct KeyTable {
     matches: HashMap<KeyDigest, KeyMatch>,
     valid: HashSet<KeyMatch>,
 }
 
-/// Whose a key is.
+/// Account and public id of a valid key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyMatch {
     /// Account that the key belongs to.
@@ -42,14 +42,14 @@
     pub key_id: KeyId,
 }
 
-/// A new key, and its entry for the document.
+/// A new key and its entry for the document.
 ///
-/// The secret is shown by no `Debug`.
+/// The `Debug` output does not contain the secret.
 #[derive(Clone)]
 pub struct IssuedKey {
-    /// The whole key, which the caller presents.
+    /// The complete key, which the caller presents.
     pub secret: String,
-    /// What the document keeps of it.
+    /// Entry of the key in the document.
     pub entry: Key,
 }
 
@@ -71,12 +71,12 @@
         Self { matches, valid }
     }
 
-    /// Whether a key that was looked up before is still valid for its account.
+    /// Returns whether a key that was looked up earlier is still valid for its account.
     pub fn contains(&self, key_match: &KeyMatch) -> bool {
         self.valid.contains(key_match)
     }
 
-    /// Returns whose a presented key is; none when it is unknown or withdrawn.
+    /// Returns the account and id of a presented key, or none if the key is unknown or withdrawn.
     ///
     /// # Example
     ///
@@ -95,7 +95,7 @@
         self.matches.len()
     }
 
-    /// Whether there is no valid key.
+    /// Returns whether there is no valid key.
     pub fn is_empty(&self) -> bool {
         self.matches.is_empty()
     }
@@ -109,7 +109,7 @@
     }
 }
 
-/// Makes a key of the form `brk_{key id}_{43 characters of base64url}`.
+/// Creates a key of the form `brk_{key id}_{43 characters of base64url}`.
 pub fn new_key(rng: &mut dyn CryptoRng) -> IssuedKey {
     let id = hex(&random_bytes::<ID_BYTES>(rng));
     let random = URL_SAFE_NO_PAD.encode(random_bytes::<SECRET_BYTES>(rng));
@@ -122,7 +122,7 @@
     IssuedKey { secret, entry }
 }
 
-/// Returns what the document keeps of a key: its SHA-256 in hexadecimal digits.
+/// Returns the SHA-256 digest of a key in hexadecimal digits, as stored in the document.
 pub fn key_hash(key: &str) -> String {
     hex(&digest(key))
 }
@@ -139,7 +139,7 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        // Writing to a text cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = write!(text, "{byte:02x}");
         text
     })
--- a/crates/burdockroad/src/config/limits.rs
+++ b/crates/burdockroad/src/config/limits.rs
@@ -1,9 +1,9 @@
-//! Limits of a document's counts and numbers, for its checks and for its JSON Schema.
+//! Limits on counts and numbers in a document, used for validation and in the JSON Schema.
 
-/// Names of entities, as a pattern for the JSON Schema; the check itself is `reader::is_name`.
+/// JSON Schema pattern for entity names. Validation uses `reader::is_name`.
 pub(super) const NAME_PATTERN: &str = "^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$";
 
-/// A SHA-256, as a pattern for the JSON Schema.
+/// JSON Schema pattern for SHA-256 digests.
 pub(super) const HASH_PATTERN: &str = "^[0-9a-f]{64}$";
 
 pub(super) const SITES_MAX: usize = 16;
--- a/crates/burdockroad/src/config/names.rs
+++ b/crates/burdockroad/src/config/names.rs
@@ -1,21 +1,21 @@
-//! Names that a document defines, and the references to them.
+//! Names defined in a document, and references to them.
 
 use std::collections::HashMap;
 
-use crate::config::reader::{Node, Place, Reader};
+use crate::config::reader::{Location, Node, Reader};
 
-/// The names of one kind of entity.
+/// Defined names of one kind of entity.
 #[derive(Debug)]
 pub(super) struct NameTable {
     kind: &'static str,
     lines: HashMap<String, usize>,
 }
 
-/// A use of a name.
+/// Reference to a name.
 #[derive(Debug)]
 pub(super) struct Reference {
     name: String,
-    place: Place,
+    location: Location,
 }
 
 impl NameTable {
@@ -26,16 +26,16 @@
         }
     }
 
-    /// Reads the name of an entity, and notes it when another has it already.
+    /// Reads the name of an entity, and reports it if it is already defined.
     pub(super) fn define(&mut self, reader: &mut Reader<'_>, node: &Node<'_>) -> Option<String> {
         let name = reader.name(node)?;
         self.add(reader, node, &name);
         Some(name)
     }
 
-    /// Takes a text that must differ from all others of its kind.
+    /// Adds a text that must be unique among its kind.
     pub(super) fn add(&mut self, reader: &mut Reader<'_>, node: &Node<'_>, text: &str) {
-        let line = reader.line(node.place());
+        let line = reader.line(node.location());
         let Some(first) = self.lines.get(text) else {
             self.lines.insert(text.to_owned(), line);
             return;
@@ -44,23 +44,23 @@
             "found a second {} like that of line {first}; each must differ",
             self.kind
         );
-        reader.report(node.place(), &message);
+        reader.report(node.location(), &message);
     }
 
-    /// Notes the references that lead nowhere.
+    /// Reports references to undefined names.
     pub(super) fn resolve(&self, reader: &mut Reader<'_>, references: &[Reference]) {
         for reference in references {
             if !self.lines.contains_key(&reference.name) {
                 let message = format!("there is no {} `{}`", self.kind, reference.name);
                 let known = self.lines.keys().map(String::as_str);
-                reader.report_unknown(&reference.place, &message, &reference.name, known);
+                reader.report_unknown(&reference.location, &message, &reference.name, known);
             }
         }
     }
 }
 
 impl Reference {
-    /// Reads a use of a name, and keeps it for [`NameTable::resolve`].
+    /// Reads a reference, and records it for [`NameTable::resolve`].
     pub(super) fn read(
         reader: &mut Reader<'_>,
         node: &Node<'_>,
@@ -69,7 +69,7 @@
         let name = reader.name(node)?;
         references.push(Self {
             name: name.clone(),
-            place: node.place().clone(),
+            location: node.location().clone(),
         });
         Some(name)
     }
--- a/crates/burdockroad/src/config/reader.rs
+++ b/crates/burdockroad/src/config/reader.rs
@@ -1,7 +1,7 @@
-//! Reads JSON with comments and notes every fault with its place.
+//! Reads JSON with comments and reports every error with its location.
 //!
-//! A derive of `serde` would stop at the first fault and know no place, so document and settings are
-//! read through this module instead.
+//! A derived `serde` deserializer stops at the first error and does not report its location, so the
+//! document and the settings are read with this module instead.
 
 use std::{collections::HashSet, ops::RangeInclusive};
 
@@ -14,13 +14,13 @@
 
 use crate::config::finding::{Finding, near_miss};
 
-/// Longest name of an entity, in characters.
+/// Maximum length of an entity name, in characters.
 const NAME_CHARS_MAX: usize = 64;
 
-/// Longest part of a found text that a finding repeats, in characters.
+/// Maximum number of characters of a value that a finding quotes.
 const FOUND_CHARS_MAX: usize = 40;
 
-/// Most findings that are kept of one text.
+/// Maximum number of findings per text.
 const FINDINGS_MAX: usize = 1_000;
 
 /// Collects the findings of one text.
@@ -31,33 +31,33 @@
     findings: Vec<Finding>,
 }
 
-/// Place of a value: where it stands, and the path that leads to it.
+/// Location of a value: its offset in the text and its path.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Location {
     offset: usize,
     path: String,
 }
 
-/// One value of the text.
+/// A value in the text.
 #[derive(Clone, Debug)]
 pub struct Node<'v> {
     value: &'v Value<'v>,
-    place: Place,
+    location: Location,
 }
 
-/// The fields of one object, each taken at most once.
+/// Fields of one object. Each field is read at most once.
 #[derive(Debug)]
 pub struct Fields<'v> {
-    place: Place,
+    location: Location,
     properties: Vec<&'v ObjectProp<'v>>,
     known: Vec<&'static str>,
 }
 
-/// Reads a text by a function that turns its outermost value into the wanted type.
+/// Parses a text and converts its outermost value with `convert`.
 ///
 /// # Errors
 ///
-/// Returns all findings, in the order of their places.
+/// Returns all findings, ordered by location.
 pub fn read<T>(
     text: &str,
     convert: impl FnOnce(&mut Reader<'_>, &Node<'_>) -> Option<T>,
@@ -66,24 +66,27 @@
     let parsed = match parse_to_ast(text, &CollectOptions::default(), &strict_options()) {
         Ok(parsed) => parsed,
         Err(error) => {
-            let place = Place::root_at(error.range().start);
+            let location = Location::root_at(error.range().start);
             reader.report(
-                &place,
+                &location,
                 &format!("this is not JSON with comments: {}", error.kind()),
             );
             return Err(reader.findings);
         }
     };
     let Some(value) = &parsed.value else {
-        reader.report(&Place::root_at(0), "the text holds no value; an object is needed");
+        reader.report(
+            &Location::root_at(0),
+            "the text holds no value; an object is needed",
+        );
         return Err(reader.findings);
     };
-    let place = Place::root_at(value.range().start);
-    let result = convert(&mut reader, &Node { value, place });
+    let location = Location::root_at(value.range().start);
+    let result = convert(&mut reader, &Node { value, location });
     reader.finish(result)
 }
 
-/// Comments and trailing commas are allowed; all else is as in JSON.
+/// Returns parse options that allow comments and trailing commas but otherwise require strict JSON.
 fn strict_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
@@ -120,30 +123,31 @@
         Err(self.findings)
     }
 
-    /// Notes a fault at a place.
-    pub fn report(&mut self, place: &Place, message: &str) {
-        self.note(place, message, None);
+    /// Reports an error at a location.
+    pub fn report(&mut self, location: &Location, message: &str) {
+        self.add_finding(location, message, None);
     }
 
-    /// Notes a name that is not known, and the known name that is nearest to it.
+    /// Reports an unknown name, and suggests the most similar known name.
     pub fn report_unknown<'n>(
         &mut self,
-        place: &Place,
+        location: &Location,
         message: &str,
         given: &str,
         known: impl IntoIterator<Item = &'n str>,
     ) {
         if self.findings.len() < FINDINGS_MAX {
-            self.note(place, message, near_miss(given, known));
+            self.add_finding(location, message, near_miss(given, known));
         }
     }
 
-    /// Returns the line of a place, from 1.
-    pub fn line(&self, place: &Place) -> usize {
-        self.line_starts.partition_point(|&start| start <= place.offset)
+    /// Returns the line of a location; the first line is 1.
+    pub fn line(&self, location: &Location) -> usize {
+        self.line_starts
+            .partition_point(|&start| start <= location.offset)
     }
 
-    /// Reads a text.
+    /// Reads a string.
     pub fn string(&mut self, node: &Node<'_>) -> Option<String> {
         match node.value.as_string_lit() {
             Some(literal) => Some(literal.value.clone().into_owned()),
@@ -151,7 +155,8 @@
         }
     }
 
-    /// Reads a text without repeating it in a finding, since it may be a secret.
+    /// Reads a SHA-256 digest. Findings do not quote the value, because it may be a secret that was
+    /// entered by mistake.
     pub fn secret_hash(&mut self, node: &Node<'_>) -> Option<String> {
         let text = self.string(node)?;
         let allowed = "0123456789abcdef";
@@ -162,7 +167,7 @@
             "found a text of {} characters; allowed: a SHA-256 as 64 lower-case hexadecimal digits",
             text.chars().count()
         );
-        self.report(&node.place, &message);
+        self.report(&node.location, &message);
         None
     }
 
@@ -178,7 +183,7 @@
         )
     }
 
-    /// Reads an IP number and port.
+    /// Reads an IP address and port.
     pub fn address(&mut self, node: &Node<'_>) -> Option<String> {
         let text = self.string(node)?;
         if is_address(&text) {
@@ -190,7 +195,7 @@
         )
     }
 
-    /// Reads a whole number within a range.
+    /// Reads an integer within a range.
     pub fn integer(&mut self, node: &Node<'_>, range: RangeInclusive<u64>) -> Option<u64> {
         let literal = node.value.as_number_lit().map(|literal| literal.value);
         let number = literal.and_then(|literal| literal.parse().ok());
@@ -203,7 +208,7 @@
         }
     }
 
-    /// Reads a whole number that fits into 32 bits, within a range.
+    /// Reads a 32-bit integer within a range.
     pub fn integer_u32(&mut self, node: &Node<'_>, range: RangeInclusive<u32>) -> Option<u32> {
         let range = u64::from(*range.start())..=u64::from(*range.end());
         let number = self.integer(node, range)?;
@@ -231,7 +236,7 @@
         }
     }
 
-    /// Reads one of a few words.
+    /// Reads one of a set of words.
     pub fn choice<T: Copy>(&mut self, node: &Node<'_>, choices: &[(&str, T)]) -> Option<T> {
         let words: Vec<&str> = choices.iter().map(|&(word, _)| word).collect();
         let allowed = format!("one of `{}`", words.join("`, `"));
@@ -242,14 +247,14 @@
         if let Some((_, choice)) = choices.iter().find(|(word, _)| *word == given) {
             return Some(*choice);
         }
-        let message = format!("found {}; allowed: {allowed}", found(node.value));
-        self.report_unknown(&node.place, &message, given, words);
+        let message = format!("found {}; allowed: {allowed}", describe(node.value));
+        self.report_unknown(&node.location, &message, given, words);
         None
     }
 
-    /// Reads a list of no more than `count_max` values, each by `convert`.
+    /// Reads a list of at most `count_max` values, and converts each with `convert`.
     ///
-    /// A value that cannot be read is left out, and noted.
+    /// A value that cannot be converted is reported and omitted.
     pub fn list<'v, T>(
         &mut self,
         node: &Node<'v>,
@@ -262,39 +267,39 @@
         let count = array.elements.len();
         if count > count_max {
             self.report(
-                &node.place,
+                &node.location,
                 &format!("found a list of {count} values; allowed: up to {count_max}"),
             );
             return None;
         }
         let mut values = Vec::with_capacity(count);
         for (index, value) in array.elements.iter().enumerate() {
-            let place = Place {
+            let location = Location {
                 offset: value.range().start,
-                path: format!("{}[{index}]", node.place.path),
+                path: format!("{}[{index}]", node.location.path),
             };
-            values.extend(convert(self, &Node { value, place }));
+            values.extend(convert(self, &Node { value, location }));
         }
         Some(values)
     }
 
-    /// Notes that a value is not of the allowed form.
+    /// Reports that a value does not have the allowed form.
     pub fn mismatch<T>(&mut self, node: &Node<'_>, allowed: &str) -> Option<T> {
-        let message = format!("found {}; allowed: {allowed}", found(node.value));
-        self.report(&node.place, &message);
+        let message = format!("found {}; allowed: {allowed}", describe(node.value));
+        self.report(&node.location, &message);
         None
     }
 
-    fn note(&mut self, place: &Place, message: &str, near_miss: Option<String>) {
+    fn add_finding(&mut self, location: &Location, message: &str, near_miss: Option<String>) {
         if self.findings.len() >= FINDINGS_MAX {
             return;
         }
-        let line = self.line(place);
-        let before = &self.text[self.line_starts[line - 1]..place.offset];
+        let line = self.line(location);
+        let before = &self.text[self.line_starts[line - 1]..location.offset];
         self.findings.push(Finding {
             line,
             column: before.chars().count() + 1,
-            path: place.path.clone(),
+            path: location.path.clone(),
             message: message.to_owned(),
             near_miss,
         });
@@ -302,23 +307,23 @@
 }
 
 impl Node<'_> {
-    /// Returns the place of the value.
-    pub fn place(&self) -> &Place {
-        &self.place
+    /// Returns the location of the value.
+    pub fn location(&self) -> &Location {
+        &self.location
     }
 
-    /// Returns how many values a list holds, also those that cannot be read; 0 for all else.
+    /// Returns the length of a list, including values that cannot be read; 0 for other values.
     pub fn list_len(&self) -> usize {
         self.value.as_array().map_or(0, |array| array.elements.len())
     }
 
-    /// Whether the value is `null`.
+    /// Returns whether the value is `null`.
     pub fn is_null(&self) -> bool {
         matches!(self.value, Value::NullKeyword(_))
     }
 }
 
-impl Place {
+impl Location {
     fn root_at(offset: usize) -> Self {
         Self {
             offset,
@@ -328,13 +333,13 @@
 }
 
 impl<'v> Fields<'v> {
-    /// Opens an object, and notes fields that are given twice.
+    /// Opens an object, and reports duplicate fields.
     pub fn open(reader: &mut Reader<'_>, node: &Node<'v>) -> Option<Self> {
         let Some(object) = node.value.as_object() else {
             return reader.mismatch(node, "an object in braces");
         };
         let fields = Self {
-            place: node.place.clone(),
+            location: node.location.clone(),
             properties: object.properties.iter().collect(),
             known: Vec::new(),
         };
@@ -342,40 +347,40 @@
         Some(fields)
     }
 
-    /// Takes a field that may be left out.
+    /// Returns the value of an optional field.
     pub fn optional(&mut self, name: &'static str) -> Option<Node<'v>> {
         self.known.push(name);
         let property = self
             .properties
             .iter()
             .find(|property| property.name.as_str() == name)?;
-        let place = Place {
+        let location = Location {
             offset: property.value.range().start,
-            path: format!("{}.{name}", self.place.path),
+            path: format!("{}.{name}", self.location.path),
         };
         Some(Node {
             value: &property.value,
-            place,
+            location,
         })
     }
 
-    /// Takes a field, and notes when it is missing.
+    /// Returns the value of a required field, and reports it if it is missing.
     pub fn required(&mut self, reader: &mut Reader<'_>, name: &'static str) -> Option<Node<'v>> {
         let node = self.optional(name);
         if node.is_none() {
-            reader.report(&self.place, &format!("the field `{name}` is missing"));
+            reader.report(&self.location, &format!("the field `{name}` is missing"));
         }
         node
     }
 
-    /// Notes all fields that nothing has taken.
+    /// Reports all fields that have not been read.
     pub fn close(self, reader: &mut Reader<'_>) {
         for property in &self.properties {
             let name = property.name.as_str();
             if !self.known.contains(&name) {
-                let place = self.place_of(property);
+                let location = self.location_of(property);
                 let message = format!("there is no field `{}`", shorten(name));
-                reader.report_unknown(&place, &message, name, self.known.iter().copied());
+                reader.report_unknown(&location, &message, name, self.known.iter().copied());
             }
         }
     }
@@ -386,20 +391,20 @@
             let name = property.name.as_str();
             if !seen.insert(name) {
                 let message = format!("the field `{}` is given twice", shorten(name));
-                reader.report(&self.place_of(property), &message);
+                reader.report(&self.location_of(property), &message);
             }
         }
     }
 
-    fn place_of(&self, property: &ObjectProp<'_>) -> Place {
-        Place {
+    fn location_of(&self, property: &ObjectProp<'_>) -> Location {
+        Location {
             offset: property.range.start,
-            path: format!("{}.{}", self.place.path, shorten(property.name.as_str())),
+            path: format!("{}.{}", self.location.path, shorten(property.name.as_str())),
         }
     }
 }
 
-/// Whether a text can be the name of an entity.
+/// Returns whether a text is a valid entity name.
 pub fn is_name(text: &str) -> bool {
     let allowed = |character: char| character.is_ascii_alphanumeric() || "._-".contains(character);
     text.len() <= NAME_CHARS_MAX
@@ -413,7 +418,7 @@
 }
 
 /// Describes a value for a finding.
-fn found(value: &Value<'_>) -> String {
+fn describe(value: &Value<'_>) -> String {
     match value {
         Value::StringLit(literal) => format!("`{}`", shorten(&literal.value)),
         Value::NumberLit(literal) => shorten(literal.value),
--- a/crates/burdockroad/src/config/versioned.rs
+++ b/crates/burdockroad/src/config/versioned.rs
@@ -1,4 +1,4 @@
-//! The form that a document has in the key-value service.
+//! Stored form of a document in the key-value service.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,24 +7,24 @@
     config::{check::parse, document::Document, finding::Finding},
 };
 
-/// Largest value of the key-value service, in bytes.
+/// Maximum size of a value in the key-value service, in bytes.
 pub(super) const ENVELOPE_MAX_BYTES: usize = 1_000_000;
 
-/// Room for all of the envelope but the text, in bytes.
+/// Space reserved for the envelope around the text, in bytes.
 const ENVELOPE_FRAME_BYTES: usize = 64;
 
-/// A document with its version and the text that the operators wrote.
+/// A document with its version and original text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionedDocument {
-    /// Version; each accepted change adds one.
+    /// Version number; each accepted change increments it by 1.
     pub version: DocumentVersion,
-    /// The text, with its comments.
+    /// The original text, including comments.
     pub text: String,
-    /// What the text says.
+    /// The parsed document.
     pub document: Document,
 }
 
-/// The stored form.
+/// Stored form of a document.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 struct Envelope {
@@ -33,11 +33,11 @@
 }
 
 impl VersionedDocument {
-    /// Checks a text and gives it a version.
+    /// Parses a text and assigns a version to it.
     ///
     /// # Errors
     ///
-    /// Returns everything that is wrong with the text.
+    /// Returns all findings in the text.
     pub fn new(version: DocumentVersion, text: impl Into<String>) -> std::result::Result<Self, Vec<Finding>> {
         let text = text.into();
         let document = parse(&text)?;
@@ -48,18 +48,18 @@
         })
     }
 
-    /// Reads the stored form.
+    /// Decodes the stored form.
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are not that form, or its text is not a valid document.
+    /// Fails if the bytes are not a valid envelope, or if its text is not a valid document.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self> {
         let envelope: Envelope = serde_json::from_slice(bytes)
             .map_err(|error| Error::new("the stored document has no envelope").with_cause(error))?;
         Self::new(envelope.version, envelope.text).map_err(|findings| invalid(&findings))
     }
 
-    /// Writes the stored form.
+    /// Encodes the stored form.
     ///
     /// # Example
     ///
@@ -76,7 +76,7 @@
     }
 }
 
-/// Returns how many bytes the stored form of a text takes at most.
+/// Returns an upper bound on the size of the stored form of a text, in bytes.
 pub(super) fn envelope_bytes(text: &str) -> usize {
     serde_json::Value::from(text).to_string().len() + ENVELOPE_FRAME_BYTES
 }
--- a/crates/burdockroad/src/journal/join.rs
+++ b/crates/burdockroad/src/journal/join.rs
@@ -62,7 +62,7 @@
 impl Joiner {
     fn add_segment(&mut self, segment: &Segment) -> Result<()> {
         let next = *self.next.get_or_insert(segment.first_position);
-        let is_first = self.writer_id.is_none();
+        let first = self.writer_id.is_none();
         if *self.writer_id.get_or_insert(segment.writer_id) != segment.writer_id {
             return Err(Error::new("the journal contains segments of two writers"));
         }
@@ -72,7 +72,7 @@
                 "a segment starts at position {found}, expected {next}"
             )));
         }
-        if is_first {
+        if first {
             self.starts_mid_record = segment.continues;
         }
         for piece in &segment.pieces {
--- a/crates/burdockroad/src/journal/writer.rs
+++ b/crates/burdockroad/src/journal/writer.rs
@@ -317,7 +317,7 @@
             return;
         };
         in_flight.step = Step::Writing;
-        self.pacer.take_token(now);
+        self.pacer.take(now);
         self.store.retry_at = None;
         actions.push(Action::Write {
             segment: in_flight.group.segment,
--- a/crates/burdockroad/src/journal/writer/index.rs
+++ b/crates/burdockroad/src/journal/writer/index.rs
@@ -20,12 +20,12 @@
         match record.role {
             Role::Change => {}
             Role::Base => {
-                self.remove(&record.root_id);
+                self.remove_tree(&record.root_id);
                 let trees = self.trees_of.entry(record.first_segment).or_default();
                 trees.insert(record.root_id.clone());
                 self.base_of.insert(record.root_id, record.first_segment);
             }
-            Role::End => self.remove(&record.root_id),
+            Role::End => self.remove_tree(&record.root_id),
         }
     }
 
@@ -42,7 +42,7 @@
         trees.take(count_max).cloned().collect()
     }
 
-    fn remove(&mut self, root_id: &ProgramId) {
+    fn remove_tree(&mut self, root_id: &ProgramId) {
         let Some(base) = self.base_of.remove(root_id) else {
             return;
         };
--- a/crates/burdockroad/src/journal/writer/pacer.rs
+++ b/crates/burdockroad/src/journal/writer/pacer.rs
@@ -55,7 +55,7 @@
     }
 
     /// Takes a token for one write.
-    pub(super) fn take_token(&mut self, now: Instant) {
+    pub(super) fn take(&mut self, now: Instant) {
         // At the time returned by `allowed_at`, rounding may leave the token count slightly below 1.
         self.tokens = (self.tokens_at(now) - 1.0).max(0.0);
         self.updated_at = now;
--- a/crates/burdockroad/src/program/replay.rs
+++ b/crates/burdockroad/src/program/replay.rs
@@ -60,8 +60,8 @@
     /// Fails if records between the current state of the tree and this record are missing, or if the
     /// record is not valid in that state. The tree is then unchanged.
     pub fn apply(&mut self, record: Record) -> Result<()> {
-        let last = self.last_sequence(&record.root_id);
-        if record.sequence <= last {
+        let current_sequence = self.last_sequence(&record.root_id);
+        if record.sequence <= current_sequence {
             return Ok(());
         }
         match record.event {
--- a/crates/burdockroad/tests/freshness.rs
+++ b/crates/burdockroad/tests/freshness.rs
@@ -26,7 +26,7 @@
     Store,
     Peer {
         host: usize,
-        vouch_age: Option<Duration>,
+        attestation_age: Option<Duration>,
     },
 }
 
@@ -80,7 +80,7 @@
             version: self.hosts[peer].version(),
             from: From::Peer {
                 host: peer,
-                vouch_age: self.hosts[peer].vouch_age(self.now),
+                attestation_age: self.hosts[peer].attestation_age(self.now),
             },
         });
     }
@@ -102,9 +102,9 @@
                 }
                 From::Peer {
                     host: peer,
-                    vouch_age,
+                    attestation_age,
                 } => {
-                    host.observe_peer(&name(peer), answer.asked_at, answer.version, vouch_age);
+                    host.observe_peer(&name(peer), answer.asked_at, answer.version, attestation_age);
                 }
             }
         }
