--- a/crates/burdockroad-daemon/tests/fleet/programs.rs
+++ b/crates/burdockroad-daemon/tests/fleet/programs.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use burdockroad::{
-    ownership::{Candidate, OwnershipMap, Process, first_map},
+    ownership::{Candidate, OwnershipMap, Process, initial_map},
     program::{Budget, CachedPrefix, NewProgram, ProgramsOptions, Refusal},
     program_id,
 };
@@ -40,7 +40,7 @@
         failure_domain: "domain".to_owned(),
         weight: 1,
     };
-    first_map(&[candidate], 1).unwrap()
+    initial_map(&[candidate], 1).unwrap()
 }
 
 fn new_program(random: &str) -> NewProgram {
--- a/crates/burdockroad/src/membership.rs
+++ b/crates/burdockroad/src/membership.rs
@@ -1,16 +1,18 @@
-//! Which hosts are up, as one host sees it.
+//! Failure detection: the hosts that are live, as seen by one host.
 //!
-//! A [`Table`] takes in the platform's host list, which lags, and heartbeats. It says which processes
-//! may be taken over, and for how long this process may act as an owner. Clocks decide when something
-//! is tried; what is true is decided by the journals and the ownership map.
+//! A [`Table`] processes heartbeats and the host list of the platform, which may be outdated. It
+//! determines which processes can be taken over, and until when this process may act as an owner.
+//! Clocks only decide when an operation is attempted. Its correctness is ensured by the journals and
+//! the ownership map.
 //!
 //! # Why a lease ends before a takeover starts
 //!
-//! The hosts that vote on a process are the other hosts of the ownership map, and of a large fleet the
-//! few that monitor it. A process holds its lease while half of the voters, rounded up, answered a
-//! heartbeat that it *sent* within the lease time. A takeover needs more than half of the voters,
-//! rounded down, that have heard nothing for the suspicion time, which is longer. The two sets share a
-//! host, so both cannot be.
+//! The voters for a process are the other hosts in the ownership map; in a large fleet, only the hosts
+//! that monitor the process. A process holds its lease while at least half of its voters have
+//! acknowledged a heartbeat that it *sent* within the lease time. A takeover requires more than half of
+//! the voters to have received no heartbeat from the process within the suspicion time, which is longer
+//! than the lease time. The two sets of voters overlap in at least one host, so a lease and a takeover
+//! cannot coincide.
 
 mod options;
 mod peer;
@@ -18,6 +20,6 @@
 
 pub use self::{
     options::Options,
-    peer::{ListedMember, Member, Sighting},
-    table::{Gone, Table, Target, TooFewAnswers},
+    peer::{HeartbeatReport, ListedMember, Member},
+    table::{DeadProcess, Table, Target, TooFewAcknowledgements},
 };
--- a/crates/burdockroad/src/membership/options.rs
+++ b/crates/burdockroad/src/membership/options.rs
@@ -1,40 +1,40 @@
-//! Times and sizes of the membership.
+//! Options of the membership.
 
 use std::time::Duration;
 
-/// Time between two heartbeats to one host.
+/// Interval between two heartbeats to a host.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time without a heartbeat after which a host is suspected.
+/// Time without a heartbeat after which a host is suspected to have failed.
 const SUSPICION_TIME: Duration = Duration::from_millis(1_500);
 
-/// Time after sending a heartbeat for which its answer lets a process act as an owner.
+/// Time for which an acknowledged heartbeat allows a process to act as an owner, from when it was sent.
 const LEASE_TIME: Duration = Duration::from_secs(1);
 
-/// Time between two ticks after which this process counts as having been paused.
+/// Interval between two ticks above which this process is considered to have been paused.
 const PAUSE_GAP: Duration = Duration::from_millis(750);
 
-/// Number of hosts up to which every host sends heartbeats to every other.
+/// Maximum number of hosts for which every host sends heartbeats to every other.
 const FULL_MESH_HOSTS_MAX: usize = 16;
 
-/// Number of hosts that monitor each host of a larger fleet.
+/// Number of hosts that monitor each host in a larger fleet.
 const MONITORS_PER_HOST: usize = 8;
 
-/// Times and sizes of the membership.
+/// Options of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Time between two heartbeats to one host.
+    /// Interval between two heartbeats to a host.
     pub heartbeat_interval: Duration,
-    /// Time without a heartbeat after which a host is suspected.
+    /// Time without a heartbeat after which a host is suspected to have failed.
     pub suspicion_time: Duration,
-    /// Time after sending a heartbeat for which its answer lets a process act as an owner; shorter than
-    /// the suspicion time.
+    /// Time for which an acknowledged heartbeat allows a process to act as an owner, from when it was
+    /// sent. Must be shorter than the suspicion time.
     pub lease_time: Duration,
-    /// Time between two ticks after which this process counts as having been paused.
+    /// Interval between two ticks above which this process is considered to have been paused.
     pub pause_gap: Duration,
-    /// Number of hosts up to which every host sends heartbeats to every other.
+    /// Maximum number of hosts for which every host sends heartbeats to every other.
     pub full_mesh_hosts_max: usize,
-    /// Number of hosts that monitor each host of a larger fleet.
+    /// Number of hosts that monitor each host in a larger fleet.
     pub monitors_per_host: usize,
 }
 
--- a/crates/burdockroad/src/membership/peer.rs
+++ b/crates/burdockroad/src/membership/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of one other host.
+//! State of one peer host.
 
 use std::time::Instant;
 
@@ -7,93 +7,95 @@
     ownership::Process,
 };
 
-/// Number of former incarnations of a host whose late messages are known for what they are.
-const FORMER_INCARNATIONS_MAX: usize = 8;
+/// Maximum number of replaced incarnations tracked per host, in order to reject their late messages.
+const REPLACED_INCARNATIONS_MAX: usize = 8;
 
-/// A process, as it describes itself to its peers.
+/// Description of a process that it sends to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Member {
     /// The process.
     pub process: Process,
-    /// IP number and port for peers; empty where it is not known.
+    /// IP address and port for peers; empty if unknown.
     pub address: String,
-    /// Failure domain that its host stands in.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Whether its host is being taken away.
+    /// Whether the host is being removed.
     pub leaving: bool,
 }
 
-/// A host, as the platform lists it.
+/// A host listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedMember {
     /// The host.
     pub host_id: HostId,
-    /// IP number and port for peers.
+    /// IP address and port for peers.
     pub address: String,
-    /// Failure domain that it stands in.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Whether it is being taken away.
+    /// Whether the host is being removed.
     pub leaving: bool,
 }
 
-/// One heartbeat, or the answer to one.
+/// Content of a heartbeat or of the response to one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sighting {
+pub struct HeartbeatReport {
     /// The sender.
     pub member: Member,
-    /// Processes that the sender has heard from within its suspicion time.
+    /// Processes from which the sender received a heartbeat or response within its suspicion time.
     pub heard: Vec<Process>,
 }
 
-/// Row of the table.
+/// Row of the membership table.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) member: Member,
     pub(super) heard: Vec<Process>,
-    pub(super) first_heard_at: Instant,
-    pub(super) last_heard_at: Instant,
+    pub(super) first_received_at: Instant,
+    pub(super) last_received_at: Instant,
+    /// Time at which the newest acknowledged heartbeat was sent.
     pub(super) acknowledged_at: Option<Instant>,
-    former: Vec<Incarnation>,
+    replaced_incarnations: Vec<Incarnation>,
 }
 
 impl Peer {
-    pub(super) fn new(sighting: Sighting, now: Instant) -> Self {
+    pub(super) fn new(report: HeartbeatReport, now: Instant) -> Self {
         Self {
-            member: sighting.member,
-            heard: sighting.heard,
-            first_heard_at: now,
-            last_heard_at: now,
+            member: report.member,
+            heard: report.heard,
+            first_received_at: now,
+            last_received_at: now,
             acknowledged_at: None,
-            former: Vec::new(),
+            replaced_incarnations: Vec::new(),
         }
     }
 
-    /// Takes in a sighting; false when a process sent it that another one has replaced.
-    pub(super) fn observe(&mut self, sighting: Sighting, now: Instant) -> bool {
-        let known = self.member.process.incarnation;
-        let incarnation = sighting.member.process.incarnation;
-        if self.former.contains(&incarnation) {
+    /// Updates the row, and returns whether the report was accepted. A report from a replaced process
+    /// is rejected.
+    pub(super) fn observe(&mut self, report: HeartbeatReport, now: Instant) -> bool {
+        let current = self.member.process.incarnation;
+        let incarnation = report.member.process.incarnation;
+        if self.replaced_incarnations.contains(&incarnation) {
             return false;
         }
-        if incarnation != known {
-            self.retire(known);
-            self.first_heard_at = now;
+        if incarnation != current {
+            self.record_replaced(current);
+            self.first_received_at = now;
             self.acknowledged_at = None;
         }
-        let mut member = sighting.member;
+        let mut member = report.member;
         if member.address.is_empty() {
             member.address = std::mem::take(&mut self.member.address);
         }
         self.member = member;
-        self.heard = sighting.heard;
-        self.last_heard_at = now;
+        self.heard = report.heard;
+        self.last_received_at = now;
         true
     }
 
-    fn retire(&mut self, incarnation: Incarnation) {
-        if self.former.len() == FORMER_INCARNATIONS_MAX {
-            self.former.remove(0);
+    fn record_replaced(&mut self, incarnation: Incarnation) {
+        if self.replaced_incarnations.len() == REPLACED_INCARNATIONS_MAX {
+            self.replaced_incarnations.remove(0);
         }
-        self.former.push(incarnation);
+        self.replaced_incarnations.push(incarnation);
     }
 }
--- a/crates/burdockroad/src/membership/table.rs
+++ b/crates/burdockroad/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of hosts and the decisions over it.
+//! Membership table and the decisions based on it.
 
 use std::{
     cmp::Reverse,
@@ -10,12 +10,12 @@
     ids::HostId,
     membership::{
         options::Options,
-        peer::{ListedMember, Member, Peer, Sighting},
+        peer::{HeartbeatReport, ListedMember, Member, Peer},
     },
     ownership::{Process, rendezvous_order},
 };
 
-/// What one host knows of all others.
+/// State of all other hosts, as seen by one host.
 #[derive(Clone, Debug)]
 pub struct Table {
     options: Options,
@@ -23,35 +23,37 @@
     listed: BTreeMap<HostId, ListedMember>,
     peers: BTreeMap<HostId, Peer>,
     owners: BTreeSet<Process>,
-    ticked_at: Instant,
-    /// When this process last stopped listening, which is when it started or began to be paused.
+    last_tick_at: Instant,
+    /// When this process last stopped receiving heartbeats: at its start, or at the beginning of a
+    /// pause.
     paused_at: Instant,
-    /// Silence counts from here on: this process started, or woke from a pause.
-    listening_since: Instant,
-    /// Hosts that get heartbeats, worked out when the set of hosts changes.
-    contacts: BTreeSet<HostId>,
+    /// Start of the current observation period: the start of this process, or the end of its last
+    /// pause. Time without heartbeats is counted from here.
+    observing_since: Instant,
+    /// Hosts that receive heartbeats; updated when the set of hosts changes.
+    heartbeat_hosts: BTreeSet<HostId>,
 }
 
-/// Where to send a heartbeat.
+/// Destination of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The host.
     pub host_id: HostId,
-    /// IP number and port for peers.
+    /// IP address and port for peers.
     pub address: String,
 }
 
-/// A process that owns partitions and may be taken over.
+/// A process that owns partitions and can be taken over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Gone {
+pub struct DeadProcess {
     /// The process.
     pub process: Process,
-    /// Whether another process on its host has replaced it.
+    /// Whether another process on the same host has replaced it.
     pub replaced: bool,
 }
 
 impl Table {
-    /// Makes a table that knows only this process.
+    /// Creates a table that contains only this process.
     pub fn new(me: Member, options: Options, now: Instant) -> Self {
         Self {
             options,
@@ -59,19 +61,19 @@
             listed: BTreeMap::new(),
             peers: BTreeMap::new(),
             owners: BTreeSet::new(),
-            ticked_at: now,
+            last_tick_at: now,
             paused_at: now,
-            listening_since: now,
-            contacts: BTreeSet::new(),
+            observing_since: now,
+            heartbeat_hosts: BTreeSet::new(),
         }
     }
 
-    /// This process.
+    /// Returns the description of this process.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// Goes on as a new incarnation, after this process was fenced.
+    /// Continues as a new incarnation after this process was fenced.
     pub fn rejoin(&mut self, process: Process) {
         self.me.process = process;
         for peer in self.peers.values_mut() {
@@ -79,38 +81,39 @@
         }
     }
 
-    /// Says whether this host is being taken away.
+    /// Sets whether this host is being removed.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.me.leaving = leaving;
     }
 
-    /// Takes in the platform's host list.
+    /// Sets the hosts listed by the platform.
     pub fn set_listed(&mut self, listed: impl IntoIterator<Item = ListedMember>) {
         self.listed = listed
             .into_iter()
             .map(|member| (member.host_id.clone(), member))
             .collect();
-        self.choose_contacts();
+        self.update_heartbeat_hosts();
     }
 
-    /// Takes in the processes that the ownership map names.
+    /// Sets the processes named by the ownership map.
     pub fn set_owners(&mut self, owners: BTreeSet<Process>) {
         self.owners = owners;
     }
 
-    /// Takes in a heartbeat or the answer to one; false when it came late from a replaced process.
-    pub fn observe(&mut self, sighting: Sighting, now: Instant) -> bool {
-        let host_id = sighting.member.process.host_id.clone();
+    /// Processes a heartbeat or the response to one. Returns whether it was accepted; a late message
+    /// from a replaced process is rejected.
+    pub fn observe(&mut self, report: HeartbeatReport, now: Instant) -> bool {
+        let host_id = report.member.process.host_id.clone();
         if host_id == self.me.process.host_id {
             return false;
         }
         match self.peers.get_mut(&host_id) {
-            Some(peer) => peer.observe(sighting, now),
-            None => self.add_peer(host_id, sighting, now),
+            Some(peer) => peer.observe(report, now),
+            None => self.add_peer(host_id, report, now),
         }
     }
 
-    /// Takes note that a process answered the heartbeat that was sent to it at `sent_at`.
+    /// Records that a process acknowledged the heartbeat sent to it at `sent_at`.
     pub fn acknowledge(&mut self, process: &Process, sent_at: Instant) {
         let Some(peer) = self.peers.get_mut(&process.host_id) else {
             return;
@@ -120,25 +123,30 @@
         }
     }
 
-    /// Takes note of the time; true when this process was paused, so that all hosts are given time
-    /// again before one is suspected.
+    /// Advances the time. Returns true if this process was paused, in which case all hosts get the full
+    /// suspicion time again.
     pub fn tick(&mut self, now: Instant) -> bool {
-        let gap = now.saturating_duration_since(self.ticked_at);
+        let gap = now.saturating_duration_since(self.last_tick_at);
         let paused = gap > self.options.pause_gap;
         if paused {
-            self.paused_at = self.ticked_at;
-            self.listening_since = now;
+            self.paused_at = self.last_tick_at;
+            self.observing_since = now;
         }
-        self.ticked_at = now;
+        self.last_tick_at = now;
         paused
     }
 
-    /// Where heartbeats are due: to the hosts that this one monitors or that monitor it, and, to ask
-    /// about a silent one, to the others that monitor that.
+    /// Returns the hosts that should receive a heartbeat: those that this host monitors, those that
+    /// monitor it, and the voters for each unresponsive process for which this host is also a voter.
+    /// Their responses contain their votes.
     pub fn targets(&self, now: Instant) -> Vec<Target> {
-        let mut hosts = self.contacts.clone();
+        let mut hosts = self.heartbeat_hosts.clone();
         let me = &self.me.process.host_id;
-        for process in self.owners.iter().filter(|process| !self.hears(process, now)) {
+        for process in self
+            .owners
+            .iter()
+            .filter(|process| !self.is_live_process(process, now))
+        {
             let voters = self.voters(&process.host_id);
             if voters.contains(me) {
                 hosts.extend(voters);
@@ -148,155 +156,165 @@
         hosts.iter().filter_map(|host_id| self.target(host_id)).collect()
     }
 
-    /// The processes that were heard from within the suspicion time.
+    /// Returns the processes from which a heartbeat or response was received within the suspicion time.
     pub fn heard(&self, now: Instant) -> Vec<Process> {
         self.peers
             .values()
-            .filter(|peer| self.is_alive(peer, now))
+            .filter(|peer| self.is_live(peer, now))
             .map(|peer| peer.member.process.clone())
             .collect()
     }
 
-    /// All peers that were heard from, and whether each is up; listed hosts that were never heard from
-    /// are left out.
+    /// Returns all peers that were ever heard from, and whether each is live. Listed hosts that never
+    /// sent a message are not included.
     pub fn members(&self, now: Instant) -> Vec<(Member, bool)> {
         self.peers
             .values()
-            .map(|peer| (self.described(peer), self.is_alive(peer, now)))
+            .map(|peer| (self.merged_member(peer), self.is_live(peer, now)))
             .collect()
     }
 
-    /// Hosts that the platform lists, without this one.
+    /// Iterates over the hosts listed by the platform, except this one.
     pub fn listed(&self) -> impl Iterator<Item = &ListedMember> {
         self.listed
             .values()
             .filter(|listed| listed.host_id != self.me.process.host_id)
     }
 
-    /// Whether every listed host was heard from within the suspicion time.
-    pub fn hears_all_listed(&self, now: Instant) -> bool {
+    /// Returns whether every other listed host is live.
+    pub fn all_listed_live(&self, now: Instant) -> bool {
         self.listed().all(|listed| {
             self.peers
                 .get(&listed.host_id)
-                .is_some_and(|peer| self.is_alive(peer, now))
+                .is_some_and(|peer| self.is_live(peer, now))
         })
     }
 
-    /// The processes that may be taken over now.
-    pub fn gone(&self, now: Instant) -> Vec<Gone> {
+    /// Returns the processes that can be taken over.
+    pub fn dead(&self, now: Instant) -> Vec<DeadProcess> {
         self.owners
             .iter()
             .filter(|process| **process != self.me.process)
-            .filter_map(|process| self.judge(process, now))
+            .filter_map(|process| self.check_dead(process, now))
             .collect()
     }
 
-    /// Until when this process may act as an owner; none when it never may not, for want of voters.
+    /// Returns the time until which this process may act as an owner, or none if there is no limit
+    /// because no host votes on this process.
     ///
     /// # Errors
     ///
-    /// Fails when it may not act at all, since too few voters have answered yet.
-    pub fn lease_until(&self) -> Result<Option<Instant>, TooFewAnswers> {
+    /// Fails if too few voters have acknowledged a heartbeat yet. The process must not act as an owner
+    /// then.
+    pub fn lease_until(&self) -> Result<Option<Instant>, TooFewAcknowledgements> {
         let voters = self.voters(&self.me.process.host_id);
         let needed = voters.len().div_ceil(2);
         let Some(position) = needed.checked_sub(1) else {
             return Ok(None);
         };
-        let mut answers: Vec<Instant> = voters
+        let mut acknowledged: Vec<Instant> = voters
             .iter()
             .filter_map(|host_id| self.peers.get(host_id)?.acknowledged_at)
             .collect();
-        answers.sort_by_key(|&sent_at| Reverse(sent_at));
-        let oldest = answers.get(position).ok_or(TooFewAnswers)?;
+        acknowledged.sort_by_key(|&sent_at| Reverse(sent_at));
+        let oldest = acknowledged.get(position).ok_or(TooFewAcknowledgements)?;
         Ok(Some(*oldest + self.options.lease_time))
     }
 
-    fn judge(&self, process: &Process, now: Instant) -> Option<Gone> {
-        let gone = |replaced| Gone {
+    fn check_dead(&self, process: &Process, now: Instant) -> Option<DeadProcess> {
+        let dead = |replaced| DeadProcess {
             process: process.clone(),
             replaced,
         };
         if process.host_id == self.me.process.host_id {
-            return Some(gone(true));
+            return Some(dead(true));
         }
         match self.peers.get(&process.host_id) {
-            Some(peer) if self.is_alive(peer, now) => (peer.member.process != *process).then(|| gone(true)),
-            _ => self.confirmed(process, now).then(|| gone(false)),
+            Some(peer) if self.is_live(peer, now) => (peer.member.process != *process).then(|| dead(true)),
+            _ => self.is_confirmed_dead(process, now).then(|| dead(false)),
         }
     }
 
-    /// Whether enough other hosts do not hear the process either.
-    fn confirmed(&self, process: &Process, now: Instant) -> bool {
-        if self.hears(process, now) {
+    /// Returns whether enough voters have not received heartbeats from the process either.
+    fn is_confirmed_dead(&self, process: &Process, now: Instant) -> bool {
+        if self.is_live_process(process, now) {
             return false;
         }
         let voters = self.voters(&process.host_id);
-        let silent = voters
+        let dead_votes = voters
             .iter()
-            .filter(|host_id| self.votes_against(host_id, process, now))
+            .filter(|host_id| self.votes_dead(host_id, process, now))
             .count();
         let needed = if voters.is_empty() {
             0
         } else {
             voters.len() / 2 + 1
         };
-        silent >= needed && self.most_heard_agree(process, now)
+        dead_votes >= needed && self.majority_agrees(process, now)
     }
 
-    fn most_heard_agree(&self, process: &Process, now: Instant) -> bool {
-        let heard: Vec<&Peer> = self
+    fn majority_agrees(&self, process: &Process, now: Instant) -> bool {
+        let live_peers: Vec<&Peer> = self
             .peers
             .values()
-            .filter(|peer| self.is_alive(peer, now))
+            .filter(|peer| self.is_live(peer, now))
             .collect();
-        let hearing = heard.iter().filter(|peer| peer.heard.contains(process)).count();
-        // This process does not hear it, and counts.
-        hearing * 2 < heard.len() + 1
+        let still_live = live_peers
+            .iter()
+            .filter(|peer| peer.heard.contains(process))
+            .count();
+        // This host, which does not receive heartbeats from the process, also counts.
+        still_live * 2 < live_peers.len() + 1
     }
 
-    fn votes_against(&self, host_id: &HostId, process: &Process, now: Instant) -> bool {
+    fn votes_dead(&self, host_id: &HostId, process: &Process, now: Instant) -> bool {
         if *host_id == self.me.process.host_id {
             return true;
         }
         let Some(peer) = self.peers.get(host_id) else {
             return false;
         };
-        // A process that has just started hears nobody yet, which says nothing.
-        let known_for = now.saturating_duration_since(peer.first_heard_at);
-        self.is_alive(peer, now) && known_for >= self.options.suspicion_time && !peer.heard.contains(process)
+        // The report of a recently started process may lack other processes, so it does not count as a
+        // vote.
+        let tracked_for = now.saturating_duration_since(peer.first_received_at);
+        self.is_live(peer, now) && tracked_for >= self.options.suspicion_time && !peer.heard.contains(process)
     }
 
-    /// Whether silence of a process has lasted shorter than the suspicion time.
-    fn hears(&self, process: &Process, now: Instant) -> bool {
-        let heard_at = self
+    /// Returns whether the time since the last heartbeat or response of the process, or since the start of the
+    /// observation period if that is later, is shorter than the suspicion time.
+    fn is_live_process(&self, process: &Process, now: Instant) -> bool {
+        let last_received_at = self
             .peers
             .get(&process.host_id)
             .filter(|peer| peer.member.process == *process)
-            .map_or(self.listening_since, |peer| {
-                peer.last_heard_at.max(self.listening_since)
+            .map_or(self.observing_since, |peer| {
+                peer.last_received_at.max(self.observing_since)
             });
-        now.saturating_duration_since(heard_at) < self.options.suspicion_time
+        now.saturating_duration_since(last_received_at) < self.options.suspicion_time
     }
 
-    fn is_alive(&self, peer: &Peer, now: Instant) -> bool {
-        // After a pause, peers that were up before it are taken to be up until they had time to show it.
-        let since_heard = now.saturating_duration_since(peer.last_heard_at);
-        let silent_before = self.paused_at.saturating_duration_since(peer.last_heard_at);
-        let was_alive = silent_before < self.options.suspicion_time;
-        let listening = now.saturating_duration_since(self.listening_since);
-        since_heard < self.options.suspicion_time || (was_alive && listening < self.options.suspicion_time)
+    fn is_live(&self, peer: &Peer, now: Instant) -> bool {
+        // After a pause, peers that were live before it count as live until the suspicion time has
+        // passed again.
+        let since_received = now.saturating_duration_since(peer.last_received_at);
+        let age_at_pause = self.paused_at.saturating_duration_since(peer.last_received_at);
+        let was_live = age_at_pause < self.options.suspicion_time;
+        let observed_for = now.saturating_duration_since(self.observing_since);
+        since_received < self.options.suspicion_time
+            || (was_live && observed_for < self.options.suspicion_time)
     }
 
-    /// The hosts whose word counts on whether a host is up.
+    /// Returns the hosts that vote on whether a host is live.
     fn voters(&self, host_id: &HostId) -> Vec<HostId> {
-        self.closest(host_id, &self.electorate())
+        self.monitors_of(host_id, &self.voting_hosts())
     }
 
-    /// The hosts of the ownership map that still exist; before there is a map, those listed.
+    /// Returns the hosts in the ownership map that still exist, or the listed hosts if there is no map
+    /// yet.
     ///
-    /// The map is agreed on, the list lags: but a host that the list has dropped, and that sends
-    /// nothing, must not count for ever.
-    fn electorate(&self) -> BTreeSet<HostId> {
+    /// All hosts agree on the map, whereas the list may be outdated. However, a host that was removed
+    /// from the list and has sent this host no message must not count as a voter indefinitely.
+    fn voting_hosts(&self) -> BTreeSet<HostId> {
         if self.owners.is_empty() {
             return self.listed.keys().cloned().collect();
         }
@@ -311,29 +329,31 @@
             .collect()
     }
 
-    fn add_peer(&mut self, host_id: HostId, sighting: Sighting, now: Instant) -> bool {
-        self.peers.insert(host_id, Peer::new(sighting, now));
-        self.choose_contacts();
+    fn add_peer(&mut self, host_id: HostId, report: HeartbeatReport, now: Instant) -> bool {
+        self.peers.insert(host_id, Peer::new(report, now));
+        self.update_heartbeat_hosts();
         true
     }
 
-    /// The hosts that monitor this one, and those that it monitors: all of a small fleet.
-    fn choose_contacts(&mut self) {
+    /// Sets the heartbeat destinations: hosts that monitor this one and hosts that it monitors. In a
+    /// small fleet, these are all hosts.
+    fn update_heartbeat_hosts(&mut self) {
         let me = self.me.process.host_id.clone();
         let mut hosts: BTreeSet<HostId> = self.listed.keys().cloned().collect();
         hosts.extend(self.peers.keys().cloned());
         hosts.insert(me.clone());
-        let mut contacts: BTreeSet<HostId> = self.closest(&me, &hosts).into_iter().collect();
+        let mut heartbeat_hosts: BTreeSet<HostId> = self.monitors_of(&me, &hosts).into_iter().collect();
         for host_id in hosts.iter().filter(|host_id| **host_id != me) {
-            if self.closest(host_id, &hosts).contains(&me) {
-                contacts.insert(host_id.clone());
+            if self.monitors_of(host_id, &hosts).contains(&me) {
+                heartbeat_hosts.insert(host_id.clone());
             }
         }
-        self.contacts = contacts;
+        self.heartbeat_hosts = heartbeat_hosts;
     }
 
-    /// All other hosts of a small set; of a large one, those that rank first for `host_id`.
-    fn closest(&self, host_id: &HostId, hosts: &BTreeSet<HostId>) -> Vec<HostId> {
+    /// Returns the hosts that monitor `host_id`: all other hosts of a small set, or those with the
+    /// highest rank for `host_id` in a large one.
+    fn monitors_of(&self, host_id: &HostId, hosts: &BTreeSet<HostId>) -> Vec<HostId> {
         let others = hosts.iter().filter(|other| *other != host_id).cloned();
         if hosts.len() <= self.options.full_mesh_hosts_max {
             return others.collect();
@@ -344,9 +364,9 @@
     }
 
     fn target(&self, host_id: &HostId) -> Option<Target> {
-        let heard = self.peers.get(host_id).map(|peer| &peer.member.address);
+        let reported = self.peers.get(host_id).map(|peer| &peer.member.address);
         let listed = self.listed.get(host_id).map(|listed| &listed.address);
-        let address = heard
+        let address = reported
             .filter(|address| !address.is_empty())
             .or(listed)
             .filter(|address| !address.is_empty())?;
@@ -356,7 +376,7 @@
         })
     }
 
-    fn described(&self, peer: &Peer) -> Member {
+    fn merged_member(&self, peer: &Peer) -> Member {
         let listed = self.listed.get(&peer.member.process.host_id);
         let mut member = peer.member.clone();
         if let Some(listed) = listed {
@@ -369,6 +389,6 @@
     }
 }
 
-/// Too few voters have answered for this process to act as an owner.
+/// Error returned if too few voters have acknowledged a heartbeat for this process to act as an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooFewAnswers;
+pub struct TooFewAcknowledgements;
--- a/crates/burdockroad/src/ownership.rs
+++ b/crates/burdockroad/src/ownership.rs
@@ -1,8 +1,8 @@
-//! Which process serves which partition, and how that changes.
+//! Assignment of partitions to processes, and its changes.
 //!
-//! The [`OwnershipMap`] is one value that changes by compare-and-swap. The functions here decide what
-//! it should become; whether a change may be made at all depends on what is durable where, which the
-//! caller sees to: the new owner has a partition's programs in its own journal before the map names it.
+//! The [`OwnershipMap`] is a single value that is updated by compare-and-swap. The functions in this
+//! module compute the next version of the map. The caller ensures that a change is safe: the new owner
+//! must have the programs of a partition in its own journal before the map names it.
 
 mod map;
 mod plan;
@@ -10,6 +10,6 @@
 
 pub use self::{
     map::{Move, Owner, OwnershipMap, Process},
-    plan::{Candidate, first_map, rebalance, takeover_moves},
+    plan::{Candidate, initial_map, rebalance, takeover_moves},
     rank::{rendezvous_order, takeover_rank},
 };
--- a/crates/burdockroad/src/ownership/map.rs
+++ b/crates/burdockroad/src/ownership/map.rs
@@ -1,4 +1,4 @@
-//! The ownership map and its stored form.
+//! Ownership map and its stored form.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,13 +9,13 @@
     ids::{Epoch, HostId, Incarnation, PARTITIONS, PartitionId},
 };
 
-/// One run of a daemon on a host.
+/// One run of the daemon on a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Process {
     /// The host.
     pub host_id: HostId,
-    /// The run.
+    /// Number of the run.
     pub incarnation: Incarnation,
 }
 
@@ -25,33 +25,34 @@
 pub struct Owner {
     /// The owning process.
     pub process: Process,
-    /// Grows with each change of the owner.
+    /// Number that increases with each change of owner.
     pub epoch: Epoch,
 }
 
-/// A change of one partition's owner.
+/// Change of the owner of one partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The partition.
     pub partition: PartitionId,
-    /// The owner that the change starts from.
+    /// Owner before the change.
     pub from: Process,
-    /// The owner that it leads to.
+    /// Owner after the change.
     pub to: Process,
 }
 
-/// Owner of every partition, as one version of the map has it.
+/// Owners of all partitions, at one version of the map.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnershipMap {
-    /// Grows by one with each change.
+    /// Version number; each change increments it by 1.
     pub version: u64,
-    /// Random number of the change that led to this version, by which its writer knows it again.
+    /// Random number of the change that created this version, by which the writer of the change
+    /// recognizes it.
     pub change_id: u64,
-    /// The owners, by the partition's number.
+    /// Owners, indexed by partition number.
     pub owners: Vec<Owner>,
 }
 
-/// Stored form, which names each process once.
+/// Stored form of the map, which contains each process only once.
 #[derive(Serialize, Deserialize)]
 struct StoredMap {
     version: u64,
@@ -67,12 +68,12 @@
 }
 
 impl OwnershipMap {
-    /// The owner of a partition.
+    /// Returns the owner of a partition.
     pub fn owner(&self, partition: PartitionId) -> Option<&Owner> {
         self.owners.get(usize::from(partition))
     }
 
-    /// The partitions that a process owns.
+    /// Returns the partitions owned by a process.
     pub fn partitions_of(&self, process: &Process) -> Vec<PartitionId> {
         (0..PARTITIONS)
             .filter(|&partition| {
@@ -82,14 +83,16 @@
             .collect()
     }
 
-    /// The processes that own a partition.
+    /// Returns the processes that own at least one partition.
     pub fn processes(&self) -> BTreeSet<Process> {
         self.owners.iter().map(|owner| owner.process.clone()).collect()
     }
 
-    /// The next version, in which the moves have been made; a map without moves only grows its version.
+    /// Returns the next version of the map, with the moves applied. Without moves, only the version and
+    /// change id differ.
     ///
-    /// None when a move does not start from the present owner: it was planned on another map.
+    /// Returns none if a move does not start from the current owner, because it was planned for another
+    /// version.
     pub fn with_moves(&self, moves: &[Move], change_id: u64) -> Option<Self> {
         let mut next = self.clone();
         next.version += 1;
@@ -105,11 +108,11 @@
         Some(next)
     }
 
-    /// Encodes the map for the key-value service, as JSON.
+    /// Encodes the map as JSON for the key-value service.
     ///
     /// # Errors
     ///
-    /// Fails only when the encoder does.
+    /// Fails if the encoder fails.
     pub fn encode(&self) -> Result<Vec<u8>> {
         let processes: Vec<Process> = self.processes().into_iter().collect();
         let positions: BTreeMap<&Process, usize> = processes
@@ -135,18 +138,18 @@
             .map_err(|cause| Error::new("the ownership map could not be encoded").with_cause(cause))
     }
 
-    /// Decodes a map that [`encode`](Self::encode) wrote.
+    /// Decodes a map written by [`encode`](Self::encode).
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are not a whole map.
+    /// Fails if the bytes are not a complete map.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         let stored: StoredMap = serde_json::from_slice(bytes)
             .map_err(|cause| Error::new("the ownership map could not be decoded").with_cause(cause))?;
         if stored.partitions.len() != usize::from(PARTITIONS) {
             let found = stored.partitions.len();
             return Err(Error::new(format!(
-                "the ownership map has {found} partitions instead of {PARTITIONS}"
+                "the ownership map has {found} partitions, expected {PARTITIONS}"
             )));
         }
         let owners = stored
@@ -167,7 +170,7 @@
         let process = self
             .processes
             .get(stored.process)
-            .ok_or_else(|| Error::new("the ownership map names a process that it does not list"))?;
+            .ok_or_else(|| Error::new("the ownership map refers to a process that it does not contain"))?;
         Ok(Owner {
             process: process.clone(),
             epoch: stored.epoch,
--- a/crates/burdockroad/src/ownership/plan.rs
+++ b/crates/burdockroad/src/ownership/plan.rs
@@ -1,4 +1,4 @@
-//! What the ownership map should become.
+//! Planning of changes to the ownership map.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -12,30 +12,29 @@
 pub struct Candidate {
     /// The process.
     pub process: Process,
-    /// Failure domain that its host stands in.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Share of the partitions that it should own, against the other candidates; 0 for a leaving host.
+    /// Share of the partitions, relative to the weights of the other candidates; 0 for a host that is
+    /// being removed.
     pub weight: u32,
 }
 
-/// Row of the table that a plan is worked out on.
-struct Holding<'a> {
+/// Partitions of one candidate, and the number that it should own.
+struct CandidateShare<'a> {
     candidate: &'a Candidate,
-    held: Vec<PartitionId>,
+    partitions: Vec<PartitionId>,
     share: usize,
 }
 
-/// The map of a system that has none yet.
-///
-/// None when no candidate has a weight.
-pub fn first_map(candidates: &[Candidate], change_id: u64) -> Option<OwnershipMap> {
-    let mut table = holdings(candidates, &OwnershipMap::default());
+/// Returns the map of a new system, or none if no candidate has a weight above 0.
+pub fn initial_map(candidates: &[Candidate], change_id: u64) -> Option<OwnershipMap> {
+    let mut table = candidate_shares(candidates, &OwnershipMap::default());
     let total = usize::from(PARTITIONS);
     assign_shares(&mut table, total);
     let mut owners = vec![Owner::default(); total];
     for partition in 0..PARTITIONS {
-        let receiver = neediest(&table)?;
-        table[receiver].held.push(partition);
+        let receiver = furthest_below_share(&table)?;
+        table[receiver].partitions.push(partition);
         owners[usize::from(partition)] = Owner {
             process: table[receiver].candidate.process.clone(),
             epoch: 1,
@@ -48,19 +47,20 @@
     })
 }
 
-/// The fewest moves after which the candidates own their shares, and no failure domain more than needed.
+/// Returns the smallest set of moves after which each candidate owns its share and no failure domain
+/// owns more than necessary.
 ///
-/// Partitions of processes that are no candidates stay: they are taken over, not moved.
+/// Partitions of processes that are not candidates are not moved, because they are taken over instead.
 pub fn rebalance(map: &OwnershipMap, candidates: &[Candidate]) -> Vec<Move> {
-    let mut table = holdings(candidates, map);
-    let total = table.iter().map(|row| row.held.len()).sum();
+    let mut table = candidate_shares(candidates, map);
+    let total = table.iter().map(|row| row.partitions.len()).sum();
     assign_shares(&mut table, total);
     let mut moves = Vec::new();
     for (from, partition) in take_surplus(&mut table) {
-        let Some(receiver) = neediest(&table) else {
+        let Some(receiver) = furthest_below_share(&table) else {
             break;
         };
-        table[receiver].held.push(partition);
+        table[receiver].partitions.push(partition);
         moves.push(Move {
             partition,
             from,
@@ -70,24 +70,24 @@
     moves
 }
 
-/// The moves by which a successor gets all that a process owns.
-pub fn takeover_moves(map: &OwnershipMap, gone: &Process, successor: &Process) -> Vec<Move> {
-    map.partitions_of(gone)
+/// Returns the moves that transfer all partitions of a process to its successor.
+pub fn takeover_moves(map: &OwnershipMap, dead: &Process, successor: &Process) -> Vec<Move> {
+    map.partitions_of(dead)
         .into_iter()
         .map(|partition| Move {
             partition,
-            from: gone.clone(),
+            from: dead.clone(),
             to: successor.clone(),
         })
         .collect()
 }
 
-fn holdings<'a>(candidates: &'a [Candidate], map: &OwnershipMap) -> Vec<Holding<'a>> {
-    let mut table: Vec<Holding<'a>> = candidates
+fn candidate_shares<'a>(candidates: &'a [Candidate], map: &OwnershipMap) -> Vec<CandidateShare<'a>> {
+    let mut table: Vec<CandidateShare<'a>> = candidates
         .iter()
-        .map(|candidate| Holding {
+        .map(|candidate| CandidateShare {
             candidate,
-            held: map.partitions_of(&candidate.process),
+            partitions: map.partitions_of(&candidate.process),
             share: 0,
         })
         .collect();
@@ -95,8 +95,9 @@
     table
 }
 
-/// Gives each candidate the whole part of its share, then hands out what is left one by one.
-fn assign_shares(table: &mut [Holding<'_>], total: usize) {
+/// Assigns each candidate the integer part of its share, then distributes the remaining partitions one
+/// by one.
+fn assign_shares(table: &mut [CandidateShare<'_>], total: usize) {
     let weights: usize = table.iter().map(|row| row.candidate.weight as usize).sum();
     if weights == 0 {
         return;
@@ -105,31 +106,36 @@
         row.share = total * row.candidate.weight as usize / weights;
     }
     let mut rest = total - table.iter().map(|row| row.share).sum::<usize>();
-    let mut raised = vec![false; table.len()];
+    let mut rounded_up = vec![false; table.len()];
     while rest > 0 {
-        let Some(position) = next_raised(table, &raised) else {
+        let Some(position) = next_to_round_up(table, &rounded_up) else {
             return;
         };
         table[position].share += 1;
-        raised[position] = true;
+        rounded_up[position] = true;
         rest -= 1;
     }
 }
 
-/// Prefers a candidate that holds more than its share already, so that nothing has to move, and then
-/// one in the failure domain with the smallest share.
-fn next_raised(table: &[Holding<'_>], raised: &[bool]) -> Option<usize> {
+/// Returns the candidate whose share is rounded up next. Prefers candidates that already own more than
+/// their share, because nothing has to be moved then, and after that those in the failure domain with
+/// the smallest share.
+fn next_to_round_up(table: &[CandidateShare<'_>], rounded_up: &[bool]) -> Option<usize> {
     let domains = domain_shares(table);
     (0..table.len())
-        .filter(|&position| table[position].candidate.weight > 0 && !raised[position])
+        .filter(|&position| table[position].candidate.weight > 0 && !rounded_up[position])
         .min_by_key(|&position| {
             let row = &table[position];
-            let keeps = row.held.len() > row.share;
-            (!keeps, domains[row.candidate.failure_domain.as_str()], position)
+            let has_surplus = row.partitions.len() > row.share;
+            (
+                !has_surplus,
+                domains[row.candidate.failure_domain.as_str()],
+                position,
+            )
         })
 }
 
-fn domain_shares<'a>(table: &[Holding<'a>]) -> BTreeMap<&'a str, usize> {
+fn domain_shares<'a>(table: &[CandidateShare<'a>]) -> BTreeMap<&'a str, usize> {
     let mut shares = BTreeMap::new();
     for row in table {
         *shares.entry(row.candidate.failure_domain.as_str()).or_default() += row.share;
@@ -137,13 +143,13 @@
     shares
 }
 
-fn take_surplus(table: &mut [Holding<'_>]) -> Vec<(Process, PartitionId)> {
+fn take_surplus(table: &mut [CandidateShare<'_>]) -> Vec<(Process, PartitionId)> {
     let mut surplus = Vec::new();
     for row in table {
-        let kept = row.share.min(row.held.len());
+        let kept = row.share.min(row.partitions.len());
         let process = &row.candidate.process;
         surplus.extend(
-            row.held
+            row.partitions
                 .drain(kept..)
                 .map(|partition| (process.clone(), partition)),
         );
@@ -151,12 +157,12 @@
     surplus
 }
 
-/// The candidate that is furthest below its share.
-fn neediest(table: &[Holding<'_>]) -> Option<usize> {
+/// Returns the candidate that is furthest below its share.
+fn furthest_below_share(table: &[CandidateShare<'_>]) -> Option<usize> {
     (0..table.len())
-        .filter(|&position| table[position].held.len() < table[position].share)
+        .filter(|&position| table[position].partitions.len() < table[position].share)
         .min_by_key(|&position| {
             let row = &table[position];
-            (Reverse(row.share - row.held.len()), position)
+            (Reverse(row.share - row.partitions.len()), position)
         })
 }
--- a/crates/burdockroad/src/ownership/rank.rs
+++ b/crates/burdockroad/src/ownership/rank.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: an order of hosts that all hosts agree on without a message.
+//! Rendezvous hashing, which gives all hosts the same order of hosts without communication.
 
 use std::cmp::Reverse;
 
@@ -6,7 +6,7 @@
 
 use crate::{ids::HostId, ownership::Process};
 
-/// The hosts in the order of their rendezvous hash for a name, the highest first.
+/// Returns the hosts in descending order of their rendezvous hash for a name.
 pub fn rendezvous_order(name: &str, host_ids: impl IntoIterator<Item = HostId>) -> Vec<HostId> {
     let seed = xxh3_64_with_seed(name.as_bytes(), 0);
     let mut ordered: Vec<HostId> = host_ids.into_iter().collect();
@@ -17,12 +17,13 @@
     ordered
 }
 
-/// How many hosts go before this one in taking over from a process.
+/// Returns the number of hosts that attempt a takeover from a process before this host does.
 ///
-/// A new process on the same host goes first, since it is free and reads what its own host wrote. The
-/// rank only spreads attempts in time; several hosts may try at once.
-pub fn takeover_rank(gone: &Process, host_id: &HostId, live: impl IntoIterator<Item = HostId>) -> usize {
-    let mut order = rendezvous_order(&gone.host_id, live);
-    order.sort_by_key(|other| *other != gone.host_id);
+/// A new process on the same host comes first, because it owns no partitions yet and reads records that
+/// were written on its own host. The rank only staggers the attempts; several hosts may attempt a
+/// takeover at the same time.
+pub fn takeover_rank(dead: &Process, host_id: &HostId, live: impl IntoIterator<Item = HostId>) -> usize {
+    let mut order = rendezvous_order(&dead.host_id, live);
+    order.sort_by_key(|other| *other != dead.host_id);
     order.iter().take_while(|other| *other != host_id).count()
 }
--- a/crates/burdockroad/tests/membership.rs
+++ b/crates/burdockroad/tests/membership.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use burdockroad::{
-    membership::{ListedMember, Member, Options, Sighting, Table},
+    membership::{HeartbeatReport, ListedMember, Member, Options, Table},
     ownership::Process,
 };
 
@@ -64,7 +64,7 @@
                     .map(|other| process(other, 1))
                     .collect();
                 let member = member(host, 1);
-                self.table.observe(Sighting { member, heard }, self.now);
+                self.table.observe(HeartbeatReport { member, heard }, self.now);
                 if reaches(host, 0) {
                     self.table.acknowledge(&process(host, 1), self.now);
                 }
@@ -72,9 +72,9 @@
         }
     }
 
-    fn gone(&self) -> Vec<Process> {
-        let gone = self.table.gone(self.now);
-        gone.into_iter().map(|gone| gone.process).collect()
+    fn dead(&self) -> Vec<Process> {
+        let dead = self.table.dead(self.now);
+        dead.into_iter().map(|dead| dead.process).collect()
     }
 
     fn may_act(&self) -> bool {
@@ -108,7 +108,7 @@
         assert!(case.may_act(), "{name}: before");
         case.run(20, hears);
         let expected: Vec<Process> = expected.iter().map(|&host| process(host, 1)).collect();
-        assert_eq!(case.gone(), expected, "{name}");
+        assert_eq!(case.dead(), expected, "{name}");
         assert_eq!(case.may_act(), may_act, "{name}: lease");
     }
 }
@@ -117,22 +117,22 @@
 fn gone_replaced_incarnation_at_once() {
     let mut case = Case::new(3);
     case.run(20, |_, _| true);
-    let sighting = |incarnation| Sighting {
+    let report = |incarnation| HeartbeatReport {
         member: member(2, incarnation),
         heard: Vec::new(),
     };
-    assert!(case.table.observe(sighting(2), case.now));
-    assert_eq!(case.gone(), [process(2, 1)]);
+    assert!(case.table.observe(report(2), case.now));
+    assert_eq!(case.dead(), [process(2, 1)]);
     // A late heartbeat of the former process does not bring it back.
-    assert!(!case.table.observe(sighting(1), case.now));
-    assert_eq!(case.gone(), [process(2, 1)]);
+    assert!(!case.table.observe(report(1), case.now));
+    assert_eq!(case.dead(), [process(2, 1)]);
 }
 
 #[test]
 fn gone_own_former_incarnation() {
     let mut case = Case::new(3);
     case.table.rejoin(process(0, 2));
-    assert_eq!(case.gone(), [process(0, 1)]);
+    assert_eq!(case.dead(), [process(0, 1)]);
 }
 
 #[test]
@@ -140,12 +140,12 @@
     let mut case = Case::new(3);
     case.run(20, |_, _| true);
     case.run(7, |a, b| a != 2 && b != 2 && !(a == 0 && b == 1));
-    let sighting = Sighting {
+    let report = HeartbeatReport {
         member: member(1, 2),
         heard: Vec::new(),
     };
-    case.table.observe(sighting, case.now);
-    assert!(!case.gone().contains(&process(2, 1)));
+    case.table.observe(report, case.now);
+    assert!(!case.dead().contains(&process(2, 1)));
 }
 
 #[test]
@@ -155,7 +155,7 @@
     case.now += Duration::from_mins(1);
     assert!(!case.may_act());
     assert!(case.table.tick(case.now));
-    assert_eq!(case.gone(), []);
+    assert_eq!(case.dead(), []);
     assert_eq!(case.table.heard(case.now).len(), 6);
     case.run(8, |_, _| false);
     assert_eq!(case.table.heard(case.now), []);
@@ -164,11 +164,11 @@
 #[test]
 fn observe_unlisted_host() {
     let mut case = Case::new(2);
-    let sighting = Sighting {
+    let report = HeartbeatReport {
         member: member(5, 1),
         heard: Vec::new(),
     };
-    case.table.observe(sighting, case.now);
+    case.table.observe(report, case.now);
     let targets = case.table.targets(case.now);
     assert!(targets.iter().any(|target| target.host_id == "host-5"));
 }
@@ -218,13 +218,13 @@
                 .map(|other| process(other, 1))
                 .collect();
             let member = member(host, 1);
-            other.table.observe(Sighting { member, heard }, other.now);
+            other.table.observe(HeartbeatReport { member, heard }, other.now);
         }
         let taken = other
             .table
-            .gone(other.now)
+            .dead(other.now)
             .iter()
-            .any(|gone| gone.process == process(0, 1));
+            .any(|dead| dead.process == process(0, 1));
         assert!(!(taken && owner.may_act()), "step {step}");
         assert!(taken || step < cut_at + 8, "step {step}: never taken over");
     }
