--- a/crates/burdockroad/examples/embed.rs
+++ b/crates/burdockroad/examples/embed.rs
@@ -1,7 +1,7 @@
-//! Program order and quota without the daemon.
+//! Program ordering and rate limiting without the daemon.
 //!
-//! The program's host is this example: it keeps the records in a list, sends calls to a function, and
-//! asks for tokens before it does.
+//! This example takes the role of a host: it keeps the journal in a list, replaces endpoints by a
+//! function, and acquires a token from the account's bucket before each call.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -17,7 +17,7 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut journal = Vec::new();
     let mut programs = Programs::new(ProgramsOptions::default());
-    let mut gate = Gate::new(Limits {
+    let mut limiter = AccountLimiter::new(Limits {
         rate_per_s: 5.0,
         burst: 2,
     });
@@ -35,14 +35,14 @@
     };
     journal.push(programs.create(new, SystemTime::now())?);
     for number in 1..=4 {
-        let waited = gate.pass();
+        let waited = limiter.acquire();
         journal.extend(run(&mut programs, &program_id, number)?);
         println!("call={number} waited_ms={}", waited.as_millis());
     }
     let repeated = programs.begin(request(&program_id, 2), SystemTime::now())?;
     println!("repeated_call={repeated:?}");
 
-    // Another process that has the records has the program.
+    // Another process can rebuild the program from its records.
     let mut replay = Replay::new();
     for record in journal {
         replay.apply(record)?;
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// Runs one call: set the budget aside and record it, send it, record the answer.
+/// Runs one call: reserves budget and records the intent, sends the call, and records the response.
 fn run(
     programs: &mut Programs,
     program_id: &str,
@@ -80,7 +80,7 @@
         message: Some(format!("\"answer after {} messages\"", prepared.prompt.len())),
     };
     let settled = programs.settle(&program_id.to_owned(), Outcome::Answered(answer), 12);
-    Ok([prepared.record, settled.ok_or("the call is gone")?])
+    Ok([prepared.record, settled.ok_or("the call is no longer open")?])
 }
 
 fn request(program_id: &str, number: u32) -> CallRequest {
@@ -97,14 +97,14 @@
     }
 }
 
-/// One account's bucket, with this host as its owner and its only holder.
-struct Gate {
+/// Rate limiter of one account. This host owns the bucket and is its only holder.
+struct AccountLimiter {
     bucket: Bucket,
     holder: Holder,
     calls: u64,
 }
 
-impl Gate {
+impl AccountLimiter {
     fn new(limits: Limits) -> Self {
         let mut holder = Holder::new();
         holder.set_rate(limits.rate_per_s);
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Waits until the account may make a call, and returns for how long.
-    fn pass(&mut self) -> Duration {
+    /// Waits until the account may make a call, and returns the time waited.
+    fn acquire(&mut self) -> Duration {
         let since = Instant::now();
         let latest = since + Duration::from_secs(4);
         self.calls += 1;
--- a/crates/burdockroad/tests/config.rs
+++ b/crates/burdockroad/tests/config.rs
@@ -1,4 +1,4 @@
-//! Keys, differences and stored form of documents, and texts that are no documents.
+//! Keys, differences and the stored form of documents, and invalid documents.
 
 use burdockroad::{
     Document,
@@ -72,7 +72,7 @@
     assert_eq!(changes[0].to_string(), "~ accounts.trust-duty.burst: 10 -> 11");
 }
 
-/// The checks read the same document as the data model's own deserializer.
+/// `parse` and the derived deserializer of the data model give the same document.
 #[test]
 fn parse_agrees_with_data_model() {
     let examples = [
@@ -124,7 +124,7 @@
         let _ = VersionedDocument::from_bytes(&bytes);
     }
 
-    /// Damage to a valid document gives a document or findings whose places lie within the text.
+    /// A damaged document either still parses, or gives findings with locations inside the text.
     #[test]
     fn parse_damaged_document(at in 0..VALID.len(), removed in 0..40_usize, added in "[\\[\\]{},:\"0-9a-zä\n]{0,6}") {
         let end = (at + removed).min(VALID.len());
--- a/crates/burdockroad/tests/config_parse.rs
+++ b/crates/burdockroad/tests/config_parse.rs
@@ -1,10 +1,11 @@
-//! Documents as files, with the findings that each must give beside it.
+//! Documents in files, each with a file of the expected findings.
 
 use std::{fs, path::Path};
 
 use burdockroad::config;
 
-/// The findings of `NAME.jsonc`, one a line, stand in `NAME.findings`; a valid document has none.
+/// `NAME.findings` contains the expected findings of `NAME.jsonc`, one per line. It is empty for a
+/// valid document.
 fn parse_document(path: &Path) -> datatest_stable::Result<()> {
     let text = fs::read_to_string(path)?;
     let expected = fs::read_to_string(path.with_extension("findings"))?;
--- a/crates/burdockroad/tests/freshness.rs
+++ b/crates/burdockroad/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Whether documents may be relied on, in small fleets whose links are cut and whose answers are late.
+//! Freshness decisions in small fleets with network partitions and delayed responses.
 
 use std::time::{Duration, Instant};
 
@@ -10,19 +10,19 @@
 
 const STEP: Duration = Duration::from_millis(250);
 
-/// Time after which a state of the links must show in every decision.
-const SETTLED: Duration = Duration::from_secs(6);
+/// Time after which all decisions reflect a change of the network.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
 
-/// An answer under way.
-struct Answer {
+/// A response in transit.
+struct Response {
     arrives_at: Instant,
     host: usize,
-    asked_at: Instant,
+    requested_at: Instant,
     version: DocumentVersion,
-    from: From,
+    from: Sender,
 }
 
-enum From {
+enum Sender {
     Store,
     Peer {
         host: usize,
@@ -30,12 +30,12 @@
     },
 }
 
-/// Hosts, and a store whose newest version is known at each moment.
+/// Hosts, and a store whose newest version at each time is recorded.
 struct Fleet {
     now: Instant,
     hosts: Vec<FreshnessTracker>,
     writes: Vec<Instant>,
-    answers: Vec<Answer>,
+    responses: Vec<Response>,
 }
 
 impl Fleet {
@@ -53,32 +53,32 @@
             now,
             hosts,
             writes: vec![now],
-            answers: Vec::new(),
+            responses: Vec::new(),
         }
     }
 
-    /// Newest version in the store at a moment.
+    /// Returns the newest version in the store at a given time.
     fn version_at(&self, moment: Instant) -> DocumentVersion {
         self.writes.iter().filter(|&&write| write <= moment).count() as u64
     }
 
-    fn ask_store(&mut self, host: usize, delay: Duration) {
-        self.answers.push(Answer {
+    fn request_from_store(&mut self, host: usize, delay: Duration) {
+        self.responses.push(Response {
             arrives_at: self.now + delay,
             host,
-            asked_at: self.now,
+            requested_at: self.now,
             version: self.version_at(self.now),
-            from: From::Store,
+            from: Sender::Store,
         });
     }
 
-    fn ask_peer(&mut self, host: usize, peer: usize, delay: Duration) {
-        self.answers.push(Answer {
+    fn request_from_peer(&mut self, host: usize, peer: usize, delay: Duration) {
+        self.responses.push(Response {
             arrives_at: self.now + delay,
             host,
-            asked_at: self.now,
+            requested_at: self.now,
             version: self.hosts[peer].version(),
-            from: From::Peer {
+            from: Sender::Peer {
                 host: peer,
                 attestation_age: self.hosts[peer].attestation_age(self.now),
             },
@@ -88,29 +88,34 @@
     fn deliver(&mut self) {
         let now = self.now;
         let (due, waiting) = self
-            .answers
+            .responses
             .drain(..)
-            .partition(|answer| answer.arrives_at <= now);
-        self.answers = waiting;
-        let due: Vec<Answer> = due;
-        for answer in due {
-            let host = &mut self.hosts[answer.host];
-            match answer.from {
-                From::Store => {
-                    host.put_in_force(answer.version);
-                    host.confirm(answer.version, answer.asked_at);
+            .partition(|response| response.arrives_at <= now);
+        self.responses = waiting;
+        let due: Vec<Response> = due;
+        for response in due {
+            let host = &mut self.hosts[response.host];
+            match response.from {
+                Sender::Store => {
+                    host.put_in_force(response.version);
+                    host.confirm(response.version, response.requested_at);
                 }
-                From::Peer {
+                Sender::Peer {
                     host: peer,
                     attestation_age,
                 } => {
-                    host.observe_peer(&name(peer), answer.asked_at, answer.version, attestation_age);
+                    host.observe_peer(
+                        &name(peer),
+                        response.requested_at,
+                        response.version,
+                        attestation_age,
+                    );
                 }
             }
         }
     }
 
-    /// Lets hosts fetch documents from peers that they reach.
+    /// Lets hosts fetch documents from the peers that they can reach.
     fn fetch(&mut self, reaches: impl Fn(usize, usize) -> bool) {
         for host in 0..self.hosts.len() {
             let peer = self.hosts[host].peer_to_fetch_from(self.now).cloned();
@@ -126,17 +131,18 @@
         self.hosts.iter().map(|host| host.decide(self.now)).collect()
     }
 
-    /// Runs with whole links: hosts of one group reach each other, and some reach the store.
+    /// Runs the fleet without delays: the hosts of a group reach each other, and some hosts reach the
+    /// store.
     fn run(&mut self, groups: &[usize], store_reached: &[bool], duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
             let size = self.hosts.len();
             for host in 0..size {
                 if store_reached[host] {
-                    self.ask_store(host, Duration::ZERO);
+                    self.request_from_store(host, Duration::ZERO);
                 }
                 for peer in (0..size).filter(|&peer| peer != host && groups[peer] == groups[host]) {
-                    self.ask_peer(host, peer, Duration::ZERO);
+                    self.request_from_peer(host, peer, Duration::ZERO);
                 }
             }
             self.deliver();
@@ -150,7 +156,7 @@
     host.to_string()
 }
 
-/// One state of the links, and what every host must decide once it has lasted.
+/// A state of the network, and the decisions that hosts must reach after [`SETTLE_TIME`].
 struct Case {
     groups: &'static [usize],
     store_reached: &'static [bool],
@@ -161,31 +167,32 @@
 fn decide_links_cut() {
     use Freshness::{CutOff, Fresh, OutageForAll};
     let cases = [
-        // A single host goes on without the store.
+        // A single host continues without the store.
         Case {
             groups: &[0],
             store_reached: &[false],
             expected: &[OutageForAll],
         },
-        // The store is down for all.
+        // The store is down for all hosts.
         Case {
             groups: &[0, 0, 0],
             store_reached: &[false, false, false],
             expected: &[OutageForAll, OutageForAll, OutageForAll],
         },
-        // One host of the group still reaches the store.
+        // One host of the group reaches the store.
         Case {
             groups: &[0, 0, 0],
             store_reached: &[false, true, false],
             expected: &[Fresh, Fresh, Fresh],
         },
-        // One host is alone, without the store; the others have it.
+        // One host is partitioned from the others and from the store.
         Case {
             groups: &[0, 0, 1],
             store_reached: &[true, true, false],
             expected: &[Fresh, Fresh, CutOff],
         },
-        // One host is alone with the store; the others cannot know that it is down for them only.
+        // One host is partitioned from the others but reaches the store. The others cannot detect that
+        // the store is down only for them.
         Case {
             groups: &[0, 0, 1],
             store_reached: &[false, false, true],
@@ -197,13 +204,13 @@
             store_reached: &[false, false, false, false],
             expected: &[CutOff, CutOff, CutOff, CutOff],
         },
-        // Two halves, of which one reaches the store by one host.
+        // Two halves, one of which reaches the store through one host.
         Case {
             groups: &[0, 0, 1, 1],
             store_reached: &[true, false, false, false],
             expected: &[Fresh, Fresh, CutOff, CutOff],
         },
-        // No host hears any other.
+        // No host reaches any other.
         Case {
             groups: &[0, 1, 2],
             store_reached: &[false, true, false],
@@ -213,9 +220,9 @@
     for case in cases {
         let size = case.groups.len();
         let mut fleet = Fleet::new(size);
-        fleet.run(&vec![0; size], &vec![true; size], SETTLED);
+        fleet.run(&vec![0; size], &vec![true; size], SETTLE_TIME);
         assert_eq!(fleet.decisions(), vec![Fresh; size]);
-        fleet.run(case.groups, case.store_reached, SETTLED);
+        fleet.run(case.groups, case.store_reached, SETTLE_TIME);
         assert_eq!(
             fleet.decisions(),
             case.expected,
@@ -223,8 +230,8 @@
             case.groups,
             case.store_reached
         );
-        // When the links are whole again, all are fresh again.
-        fleet.run(&vec![0; size], &vec![true; size], SETTLED);
+        // After the network recovers, all hosts are fresh again.
+        fleet.run(&vec![0; size], &vec![true; size], SETTLE_TIME);
         assert_eq!(fleet.decisions(), vec![Fresh; size]);
     }
 }
@@ -232,7 +239,7 @@
 #[test]
 fn put_in_force_spreads_through_peers() {
     let mut fleet = Fleet::new(7);
-    fleet.run(&[0; 7], &[true; 7], SETTLED);
+    fleet.run(&[0; 7], &[true; 7], SETTLE_TIME);
     let store_reached = [false, false, false, true, false, false, false];
     fleet.writes.push(fleet.now);
     fleet.run(&[0; 7], &store_reached, Duration::from_secs(1));
@@ -243,16 +250,17 @@
 #[test]
 fn put_in_force_after_restart() {
     let mut fleet = Fleet::new(3);
-    fleet.run(&[0; 3], &[true; 3], SETTLED);
-    fleet.run(&[0; 3], &[false; 3], SETTLED);
+    fleet.run(&[0; 3], &[true; 3], SETTLE_TIME);
+    fleet.run(&[0; 3], &[false; 3], SETTLE_TIME);
     let mut restarted = FreshnessTracker::new(name(2), FreshnessLimits::default());
     restarted.observe_list((0..3).map(name));
     fleet.hosts[2] = restarted;
-    // No peer can confirm its version, so the host may have had a higher one: it waits.
-    fleet.run(&[0; 3], &[false; 3], SETTLED);
+    // No peer can confirm its version, and the host may have had a higher one before the restart, so it
+    // does not fetch the document.
+    fleet.run(&[0; 3], &[false; 3], SETTLE_TIME);
     assert_eq!(fleet.hosts[2].version(), 0);
     assert_eq!(fleet.hosts[2].decide(fleet.now), Freshness::CutOff);
-    // One peer confirms again.
+    // One peer can confirm the version again.
     fleet.run(&[0; 3], &[true, false, false], Duration::from_secs(1));
     assert_eq!(fleet.hosts[2].version(), 1);
     assert_eq!(fleet.hosts[2].decide(fleet.now), Freshness::Fresh);
@@ -264,11 +272,11 @@
     let mut host = FreshnessTracker::new(name(0), FreshnessLimits::default());
     host.observe_list((0..2).map(name));
     host.put_in_force(3);
-    // The store's answer names a version below the one that a peer has.
+    // The store returns a version lower than the one in force at a peer.
     host.observe_peer(&name(1), now, 4, None);
     host.confirm(3, now);
     assert_eq!(host.decide(now), Freshness::CutOff);
-    // A confirmation counts from the question, however late its answer arrives.
+    // A confirmation counts from the time of the request, no matter how late the response arrives.
     host.put_in_force(4);
     host.confirm(4, now);
     assert_eq!(host.decide(now + Duration::from_secs(3)), Freshness::Fresh);
@@ -276,7 +284,7 @@
 }
 
 #[test]
-fn observe_peer_late_answer() {
+fn observe_peer_late_response() {
     let second = Duration::from_secs(1);
     let now = Instant::now() + 1_000 * second;
     let mut host = FreshnessTracker::new(name(0), FreshnessLimits::default());
@@ -284,10 +292,11 @@
     host.put_in_force(3);
     host.observe_peer(&name(1), now, 3, None);
     assert_eq!(host.decide(now + second), Freshness::OutageForAll);
-    // An answer to an earlier question does not hide the newer one.
+    // A response to an earlier request does not replace the newer one.
     host.observe_peer(&name(1), now.checked_sub(10 * second).unwrap_or(now), 2, None);
     assert_eq!(host.decide(now + second), Freshness::OutageForAll);
-    // A peer that lags confirms nothing here, but shows that the store is not down for all.
+    // A peer with a lower version does not confirm this host's version, but shows that the store is not
+    // down for all hosts.
     host.observe_peer(&name(2), now, 2, Some(second));
     assert_eq!(host.decide(now + second), Freshness::CutOff);
 }
@@ -307,9 +316,9 @@
     assert_eq!(host.decide(now), Freshness::OutageForAll);
 }
 
-/// What one host does in one step, and how late the answers are, in steps.
+/// Actions of one host in one step, with the delays of responses in steps.
 #[derive(Clone, Debug)]
-struct Move {
+struct Step {
     host: usize,
     store_delay: Option<u32>,
     peer: Option<(usize, u32)>,
@@ -317,12 +326,12 @@
     writes: bool,
 }
 
-fn any_move() -> impl Strategy<Value = Move> {
+fn any_step() -> impl Strategy<Value = Step> {
     let delay = prop_oneof![4 => Just(0), 1 => 1..40_u32];
     let store_delay = proptest::option::of(delay.clone());
     let peer = proptest::option::of((0..4_usize, delay));
     (0..4_usize, store_delay, peer, any::<bool>(), any::<u8>()).prop_map(
-        |(host, store_delay, peer, fetches, chance)| Move {
+        |(host, store_delay, peer, fetches, chance)| Step {
             host,
             store_delay,
             peer,
@@ -333,25 +342,25 @@
 }
 
 proptest! {
-    /// A host that calls its document fresh has a version that was the newest one within the limit,
-    /// whichever answers are late, old or lost; and no version ever goes down.
+    /// A host that decides that its document is fresh has a version that was the newest one within the
+    /// limit, no matter which responses are delayed or lost. Versions never decrease.
     #[test]
-    fn decide_fresh_is_recent(moves in proptest::collection::vec(any_move(), 0..400)) {
+    fn decide_fresh_is_recent(steps in proptest::collection::vec(any_step(), 0..400)) {
         let mut fleet = Fleet::new(4);
         let limit = FreshnessLimits::default().confirmation_max_age;
-        for one in moves {
+        for step in steps {
             let before: Vec<_> = fleet.hosts.iter().map(FreshnessTracker::version).collect();
-            if one.writes {
+            if step.writes {
                 fleet.writes.push(fleet.now);
             }
-            if let Some(delay) = one.store_delay {
-                fleet.ask_store(one.host, STEP * delay);
+            if let Some(delay) = step.store_delay {
+                fleet.request_from_store(step.host, STEP * delay);
             }
-            if let Some((peer, delay)) = one.peer {
-                fleet.ask_peer(one.host, peer, STEP * delay);
+            if let Some((peer, delay)) = step.peer {
+                fleet.request_from_peer(step.host, peer, STEP * delay);
             }
             fleet.deliver();
-            if one.fetches {
+            if step.fetches {
                 fleet.fetch(|_, _| true);
             }
             for (host, before) in fleet.hosts.iter().zip(before) {
--- a/crates/burdockroad/tests/journal_cleaning.rs
+++ b/crates/burdockroad/tests/journal_cleaning.rs
@@ -1,4 +1,4 @@
-//! Which segments a writer removes, and which trees it asks to write again.
+//! Removal of segments, and requests for new snapshots.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -9,10 +9,10 @@
     program::Event,
 };
 
-/// Segments above which the writer cleans.
+/// Number of segments above which the writer removes old ones.
 const SEGMENTS_MAX: u64 = 4;
 
-/// Name of a case, the records as root and kind, and the segments that are to be removed.
+/// Name of the case, records as pairs of root and kind, and the range of segments to be removed.
 type Case = (
     &'static str,
     &'static [(&'static str, &'static str)],
@@ -40,7 +40,7 @@
     Writer::new(options, now)
 }
 
-/// A record that a tree can be read from, one that builds on it, or its end.
+/// Creates a record that a tree can be read from, one that depends on it, or one that removes the tree.
 fn record(root_id: &str, kind: &str) -> Record {
     let event = match kind {
         "base" => Event::Created {
@@ -63,9 +63,9 @@
     }
 }
 
-/// Stores each record in a segment of its own, and returns what the writer asks for besides.
+/// Stores each record in its own segment, and returns all other actions requested by the writer.
 fn store(writer: &mut Writer, records: &[Record], now: Instant) -> Vec<Action> {
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     for record in records {
         writer.append(std::slice::from_ref(record), Durability::Stored, 1, now);
         while let Some(actions) = Some(writer.poll(now)).filter(|actions| !actions.is_empty()) {
@@ -73,16 +73,16 @@
                 match action {
                     Action::Write { .. } => writer.written(WriteReply::Done, now),
                     Action::Complete { result, .. } => assert_eq!(result, Ok(())),
-                    other => asked.push(other),
+                    other => requested.push(other),
                 }
             }
         }
     }
-    asked
+    requested
 }
 
 #[test]
-fn poll_removes_what_nothing_needs() {
+fn poll_removes_unneeded_segments() {
     let table: [Case; 5] = [
         (
             "few segments",
@@ -141,29 +141,29 @@
             .iter()
             .map(|(root_id, kind)| record(root_id, kind))
             .collect();
-        let asked = store(&mut writer, &records, now);
+        let requested = store(&mut writer, &records, now);
         let expected: Vec<_> = expected
             .into_iter()
             .map(|(from, to)| Action::Remove { from, to })
             .collect();
-        assert_eq!(asked, expected, "{case}");
+        assert_eq!(requested, expected, "{case}");
     }
 }
 
 #[test]
-fn poll_asks_for_snapshots() {
+fn poll_requests_snapshots() {
     let now = Instant::now();
     let mut writer = writer(now);
     let trees = ["a", "b", "c", "d", "e"].map(|root_id| record(root_id, "base"));
-    let asked = store(&mut writer, &trees, now);
+    let requested = store(&mut writer, &trees, now);
     let root_ids = vec!["a".to_owned(), "b".to_owned()];
-    assert_eq!(asked, [Action::Snapshot { root_ids }]);
-    // The trees are written again, and what they needed is removed.
-    let asked = store(&mut writer, &[record("a", "base"), record("b", "base")], now);
-    assert_eq!(asked, [Action::Remove { from: 1, to: 2 }]);
+    assert_eq!(requested, [Action::Snapshot { root_ids }]);
+    // New snapshots of the trees are stored, and the segments that they needed are removed.
+    let requested = store(&mut writer, &[record("a", "base"), record("b", "base")], now);
+    assert_eq!(requested, [Action::Remove { from: 1, to: 2 }]);
     writer.removed(true);
     assert_eq!(writer.poll(now), [Action::Remove { from: 2, to: 3 }]);
-    // A removal that failed is tried again.
+    // A failed removal is retried.
     writer.removed(false);
     assert_eq!(writer.poll(now), [Action::Remove { from: 2, to: 3 }]);
 }
--- a/crates/burdockroad/tests/journal_interleavings.rs
+++ b/crates/burdockroad/tests/journal_interleavings.rs
@@ -1,38 +1,39 @@
-//! Thousands of seeded interleavings of one journal's writer, the store, the peers and a successor.
+//! Several thousand seeded interleavings of a journal writer, the store, the peers and a successor.
 //!
-//! Replies come late, out of order, twice or never; writes take effect after they were given up; peers
-//! die and restart; the writer goes on while it is being replaced, and after its journal was removed.
+//! Replies are delayed, reordered, duplicated or lost. Writes take effect after the writer has given
+//! them up. Peers fail and restart. The writer continues while it is replaced, and after its journal
+//! has been removed.
 
 #[path = "journal_interleavings/world.rs"]
 mod world;
 
 use self::world::World;
 
-/// Number of seeds that are tried.
+/// Number of consecutive seeds.
 const SEEDS: u64 = 3_000;
 
-/// Seeds that once failed.
-const KEPT_SEEDS: [u64; 1] = [14_781];
+/// Seeds that found a fault before it was fixed.
+const REGRESSION_SEEDS: [u64; 1] = [14_781];
 
 #[test]
 fn journal_survives_interleavings() {
-    // Another range may be tried by hand; CI takes the same seeds each time.
+    // `FIRST_SEED` selects another range of seeds for manual runs. CI always uses the same range.
     let first = std::env::var("FIRST_SEED").map_or(0, |text| text.parse().expect("a number"));
-    let mut recovered = world::Counts::default();
-    for seed in KEPT_SEEDS.into_iter().chain(first..first + SEEDS) {
+    let mut confirmed = world::Counts::default();
+    for seed in REGRESSION_SEEDS.into_iter().chain(first..first + SEEDS) {
         let outcome = std::panic::catch_unwind(|| World::new(seed).run());
         match outcome {
-            Ok(counts) => recovered.add(counts),
+            Ok(counts) => confirmed.add(counts),
             Err(cause) => {
                 eprintln!("seed {seed} fails");
                 std::panic::resume_unwind(cause);
             }
         }
     }
-    // The cases are of use only if each kind of durability was confirmed often.
-    println!("{recovered:?}");
-    assert!(recovered.stored > SEEDS, "{recovered:?}");
-    assert!(recovered.replicated > SEEDS, "{recovered:?}");
-    assert!(recovered.tails_sealed > SEEDS / 10, "{recovered:?}");
-    assert!(recovered.from_copies > SEEDS / 10, "{recovered:?}");
+    // The interleavings are useful only if they confirm records of each durability often.
+    println!("{confirmed:?}");
+    assert!(confirmed.stored > SEEDS, "{confirmed:?}");
+    assert!(confirmed.replicated > SEEDS, "{confirmed:?}");
+    assert!(confirmed.tails_sealed > SEEDS / 10, "{confirmed:?}");
+    assert!(confirmed.from_copies > SEEDS / 10, "{confirmed:?}");
 }
--- a/crates/burdockroad/tests/journal_interleavings/world.rs
+++ b/crates/burdockroad/tests/journal_interleavings/world.rs
@@ -1,4 +1,4 @@
-//! One writer, the store, three peers and a successor, driven by a seed.
+//! Simulation of one writer, the store, three peers and a successor, driven by a seed.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -18,19 +18,19 @@
 use rand::{RngExt, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
 
-/// Steps of one run before the successor begins, at most.
-const STEPS_BEFORE: usize = 120;
+/// Maximum number of steps before the successor seals the journal.
+const STEPS_BEFORE_SEAL: usize = 120;
 
-/// Steps between two moves of the successor, at most.
+/// Maximum number of steps between two actions of the successor.
 const STEPS_BETWEEN: usize = 12;
 
-/// Steps after the journal was removed.
+/// Maximum number of steps after the journal was removed.
 const STEPS_AFTER: usize = 60;
 
-/// Each record with a position that this number divides needs none before it.
-const BASE_EVERY: u64 = 5;
+/// Interval of positions at which a record can be read without earlier records.
+const BASE_INTERVAL: u64 = 5;
 
-/// What the runs confirmed.
+/// Numbers of records confirmed in all runs.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) stored: u64,
@@ -48,13 +48,14 @@
     }
 }
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 enum Message {
+    /// `replied` is set if the writer has already received a reply, so that only the effect remains.
     Write {
         segment: SegmentNumber,
         value: Arc<[u8]>,
-        answered: bool,
+        replied: bool,
     },
     Read {
         segment: SegmentNumber,
@@ -62,12 +63,12 @@
     TailBatch {
         to: Process,
         copies: TailBatch,
-        answered: bool,
+        replied: bool,
     },
     Remove {
         from: SegmentNumber,
         to: SegmentNumber,
-        answered: bool,
+        replied: bool,
     },
 }
 
@@ -85,35 +86,37 @@
     store: BTreeMap<SegmentNumber, Vec<u8>>,
     store_down: bool,
     messages: Vec<Message>,
-    /// The first segment of which no second write can be on its way.
+    /// The first segment that no delayed duplicate write can create again.
     opened: Option<SegmentNumber>,
-    given_up: BTreeSet<SegmentNumber>,
+    ambiguous_segments: BTreeSet<SegmentNumber>,
     peers: Vec<PeerHost>,
     appended: u64,
     waiting: HashMap<Ticket, (u64, Durability)>,
     last_ticket: Ticket,
-    /// Number of records that were confirmed as stored, and as replicated.
+    /// Number of records confirmed as stored.
     stored: u64,
+    /// Number of records confirmed as replicated.
     replicated: u64,
     counts: Counts,
 }
 
-/// What a successor read.
+/// Records recovered by a successor.
 struct Recovery {
     records: Vec<Record>,
     tail_count: usize,
-    /// Position of the last record that the segments hold whole, or that was cleaned away before.
+    /// Position of the last record that the segments contain completely, or that was removed before.
     stored_end: u64,
-    /// Whether every peer that a confirmation may rest on was asked.
+    /// Whether the tail peer named by the last segment was read.
     complete: bool,
 }
 
 impl Recovery {
-    /// Whether both hold the same from where the later one begins: a removal that was still on its way
-    /// may have taken what stands before, and copies may be gone that the other still had.
+    /// Returns whether both recoveries contain the same records, from the start of the later one. A
+    /// removal that was still in progress may have removed earlier records, and copies that one
+    /// successor read may be lost for the other.
     fn agrees_with(&self, other: &Self) -> bool {
-        let begin = |recovery: &Self| recovery.records.first().map_or(0, |record| record.sequence);
-        let from = begin(self).max(begin(other));
+        let start = |recovery: &Self| recovery.records.first().map_or(0, |record| record.sequence);
+        let from = start(self).max(start(other));
         let of = |recovery: &Self| -> Vec<Record> {
             let records = recovery.records.iter();
             records
@@ -134,7 +137,7 @@
             me: me.clone(),
             failure_domain: "x".to_owned(),
             writer_id: rng.random(),
-            // Small, so that groups and records often go over several segments.
+            // Small, so that groups and records often span several segments.
             segment_max_bytes: rng.random_range(1_100..2_000),
             writes_per_s: 50.0,
             writes_burst: 5.0,
@@ -158,7 +161,7 @@
             store_down: false,
             messages: Vec::new(),
             opened: None,
-            given_up: BTreeSet::new(),
+            ambiguous_segments: BTreeSet::new(),
             peers: peers.into(),
             appended: 0,
             waiting: HashMap::new(),
@@ -171,11 +174,12 @@
     }
 
     pub(crate) fn run(mut self) -> Counts {
-        self.see_peers();
-        self.steps(STEPS_BEFORE);
+        self.update_peers();
+        self.steps(STEPS_BEFORE_SEAL);
         let seal = self.seal();
         if self.opened.is_none() {
-            // No map names a process whose journal was never open, so nobody replaces it.
+            // The ownership map does not contain a process before its journal is open, so there is no
+            // successor.
             assert_eq!(
                 self.stored, 0,
                 "a record was confirmed before the journal was open"
@@ -185,9 +189,9 @@
         let first = self.recover(seal);
         self.check(&first);
         self.steps(STEPS_BETWEEN);
-        // The successor is replaced itself: another one seals again and reads.
-        let again = self.seal();
-        assert_eq!(again, seal, "a sealed journal got a second seal");
+        // The successor is replaced as well: another successor seals the journal again and reads it.
+        let second_seal = self.seal();
+        assert_eq!(second_seal, seal, "a sealed journal got a second seal");
         let second = self.recover(seal);
         self.check(&second);
         assert!(
@@ -197,7 +201,7 @@
         self.remove(seal);
         self.steps(STEPS_AFTER);
         self.deliver_all();
-        // Only a write that was given up before the journal was open may still arrive.
+        // Only a write that was given up before the journal was open may still take effect.
         let opened = self.opened.unwrap_or(SegmentNumber::MAX);
         assert!(
             self.store.keys().all(|&number| number < opened),
@@ -224,7 +228,7 @@
             70..90 => self.now += Duration::from_millis(self.rng.random_range(1..=300)),
             90..93 => self.change_peer(),
             93..95 => self.store_down = !self.store_down,
-            _ => self.see_peers(),
+            _ => self.update_peers(),
         }
         self.poll();
     }
@@ -248,8 +252,8 @@
     fn record(&mut self) -> Record {
         self.appended += 1;
         let size_bytes = self.rng.random_range(10..600);
-        // The tree can be read from each fifth record on, so that earlier segments can be removed.
-        let event = if self.appended.is_multiple_of(BASE_EVERY) {
+        // The tree can be read from every fifth record on, so that earlier segments can be removed.
+        let event = if self.appended.is_multiple_of(BASE_INTERVAL) {
             Event::Created {
                 program_id: "p".to_owned(),
                 account_id: "e".repeat(size_bytes),
@@ -273,12 +277,12 @@
     fn poll(&mut self) {
         for action in self.writer.poll(self.now) {
             match action {
-                Action::Complete { ticket, result } => self.answered(ticket, &result),
+                Action::Complete { ticket, result } => self.on_completed(ticket, &result),
                 Action::Write { segment, value } => {
                     self.messages.push(Message::Write {
                         segment,
                         value,
-                        answered: false,
+                        replied: false,
                     });
                 }
                 Action::ReadBack { segment } => self.messages.push(Message::Read { segment }),
@@ -286,14 +290,14 @@
                     self.messages.push(Message::TailBatch {
                         to,
                         copies,
-                        answered: false,
+                        replied: false,
                     });
                 }
                 Action::Remove { from, to } => {
                     self.messages.push(Message::Remove {
                         from,
                         to,
-                        answered: false,
+                        replied: false,
                     });
                 }
                 Action::Snapshot { .. } => {}
@@ -301,11 +305,8 @@
         }
     }
 
-    fn answered(&mut self, ticket: Ticket, result: &Result<(), JournalError>) {
-        let (end, durability) = self
-            .waiting
-            .remove(&ticket)
-            .expect("each append is answered once");
+    fn on_completed(&mut self, ticket: Ticket, result: &Result<(), JournalError>) {
+        let (end, durability) = self.waiting.remove(&ticket).expect("each append completes once");
         match (result, durability) {
             (Ok(()), Durability::Stored) => self.stored = self.stored.max(end),
             (Ok(()), Durability::Replicated) => self.replicated = self.replicated.max(end),
@@ -334,8 +335,8 @@
             Message::Write {
                 segment,
                 value,
-                answered,
-            } => self.deliver_write(segment, value, answered),
+                replied,
+            } => self.deliver_write(segment, value, replied),
             Message::Read { segment } => {
                 let reply = match self.store.get(&segment) {
                     _ if self.store_down => ReadReply::Unavailable {
@@ -346,29 +347,29 @@
                 };
                 self.writer.read_back(reply, self.now);
             }
-            Message::TailBatch { to, copies, answered } => self.deliver_copies(to, copies, answered),
-            Message::Remove { from, to, answered } => {
-                let lost = !answered && self.rng.random_ratio(1, 5);
+            Message::TailBatch { to, copies, replied } => self.deliver_batch(to, copies, replied),
+            Message::Remove { from, to, replied } => {
+                let lost = !replied && self.rng.random_ratio(1, 5);
                 if lost {
                     self.writer.removed(false);
                     self.messages.push(Message::Remove {
                         from,
                         to,
-                        answered: true,
+                        replied: true,
                     });
                     return;
                 }
                 self.store.retain(|&number, _| number < from || number >= to);
-                if !answered {
+                if !replied {
                     self.writer.removed(true);
                 }
             }
         }
     }
 
-    fn deliver_write(&mut self, segment: SegmentNumber, value: Arc<[u8]>, answered: bool) {
-        if answered {
-            // It was given up long ago, and arrives all the same.
+    fn deliver_write(&mut self, segment: SegmentNumber, value: Arc<[u8]>, replied: bool) {
+        if replied {
+            // The writer has given up this write, but it still takes effect.
             self.create(segment, &value);
             return;
         }
@@ -377,7 +378,7 @@
                 self.messages.push(Message::Write {
                     segment,
                     value,
-                    answered: true,
+                    replied: true,
                 });
                 WriteReply::Ambiguous
             }
@@ -392,9 +393,9 @@
             _ => self.create(segment, &value),
         };
         if reply == WriteReply::Ambiguous {
-            self.given_up.insert(segment);
+            self.ambiguous_segments.insert(segment);
         }
-        if reply == WriteReply::Done && !self.given_up.contains(&segment) {
+        if reply == WriteReply::Done && !self.ambiguous_segments.contains(&segment) {
             self.opened.get_or_insert(segment);
         }
         self.writer.written(reply, self.now);
@@ -411,15 +412,15 @@
         WriteReply::Done
     }
 
-    fn deliver_copies(&mut self, to: Process, copies: TailBatch, answered: bool) {
-        if !answered && self.rng.random_ratio(1, 10) {
-            // Its reply comes too late; the copies may arrive later still, or twice.
+    fn deliver_batch(&mut self, to: Process, copies: TailBatch, replied: bool) {
+        if !replied && self.rng.random_ratio(1, 10) {
+            // The reply is too late for the writer. The batch may arrive even later, or twice.
             self.writer
                 .replicated(&to, copies.session, TailReply::Failed, self.now);
             self.messages.push(Message::TailBatch {
                 to,
                 copies,
-                answered: true,
+                replied: true,
             });
             return;
         }
@@ -433,10 +434,10 @@
             self.messages.push(Message::TailBatch {
                 to: to.clone(),
                 copies,
-                answered: true,
+                replied: true,
             });
         }
-        if !answered {
+        if !replied {
             self.writer.replicated(&to, session, reply, self.now);
         }
     }
@@ -455,8 +456,8 @@
         }
     }
 
-    /// Tells the writer how the peers are, of which it else keeps an old view; some are overlooked.
-    fn see_peers(&mut self) {
+    /// Updates the writer's view of the peers, which is stale otherwise. Omits some peers at random.
+    fn update_peers(&mut self) {
         let mut view = Vec::new();
         for peer in &self.peers {
             if peer.up && self.rng.random_ratio(4, 5) {
@@ -470,7 +471,7 @@
         self.writer.set_peers(view, true);
     }
 
-    /// Puts a seal after the newest segment; the writer goes on between the steps.
+    /// Creates a seal after the newest segment. The writer continues between the steps.
     fn seal(&mut self) -> SegmentNumber {
         loop {
             let newest = self.store.iter().next_back();
@@ -493,20 +494,20 @@
 
     fn recover(&mut self, seal: SegmentNumber) -> Recovery {
         let mut copies = Vec::new();
-        let mut asked = Vec::new();
+        let mut read_peers = Vec::new();
         for index in 0..self.peers.len() {
             self.steps(STEPS_BETWEEN);
             let peer = &mut self.peers[index];
             if peer.up {
                 copies.push(peer.table.seal(&self.me, self.now));
-                asked.push(peer.process.clone());
+                read_peers.push(peer.process.clone());
             }
         }
         self.steps(STEPS_BETWEEN);
-        self.read(seal, &copies, &asked)
+        self.read(seal, &copies, &read_peers)
     }
 
-    fn read(&self, seal: SegmentNumber, copies: &[TailCopy], asked: &[Process]) -> Recovery {
+    fn read(&self, seal: SegmentNumber, copies: &[TailCopy], read_peers: &[Process]) -> Recovery {
         let segments: Vec<Segment> = self
             .store
             .range(..seal)
@@ -529,18 +530,18 @@
             stored_end,
             records: joined.records,
             tail_count: joined.tail_count,
-            complete: tail_peer.is_none_or(|tail_peer| asked.contains(tail_peer)),
+            complete: tail_peer.is_none_or(|tail_peer| read_peers.contains(tail_peer)),
         }
     }
 
-    /// Checks that all confirmed records are there, in their order and without gaps.
+    /// Checks that all confirmed records were recovered, in order and without gaps.
     fn check(&self, recovery: &Recovery) {
         let end = recovery.stored_end + recovery.tail_count as u64;
         let first = end + 1 - recovery.records.len() as u64;
         let sequences = recovery.records.iter().map(|record| record.sequence);
         assert!(sequences.eq(first..=end), "a record is missing or twice there");
         let stored_end = recovery.stored_end;
-        let base = stored_end / BASE_EVERY * BASE_EVERY;
+        let base = stored_end / BASE_INTERVAL * BASE_INTERVAL;
         assert!(
             base == 0 || first <= base,
             "record {base} is needed and was removed"
@@ -555,7 +556,7 @@
         }
     }
 
-    /// Removes the journal as a successor does: the seal last.
+    /// Removes the journal in the order that a successor uses, with the seal last.
     fn remove(&mut self, seal: SegmentNumber) {
         self.steps(STEPS_BETWEEN);
         self.store.retain(|&number, _| number >= seal);
--- a/crates/burdockroad/tests/membership.rs
+++ b/crates/burdockroad/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Decisions over the table of hosts.
+//! Decisions of the membership table.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
     ownership::Process,
 };
 
-/// Time between two steps of a case.
+/// Time between two steps of a test case.
 const STEP: Duration = Duration::from_millis(250);
 
 fn process(host: usize, incarnation: u64) -> Process {
@@ -37,7 +37,7 @@
         .collect()
 }
 
-/// Host 0 of a fleet whose hosts all own something.
+/// Host 0 of a fleet in which every host owns partitions.
 struct Case {
     table: Table,
     now: Instant,
@@ -53,7 +53,8 @@
         Self { table, now, hosts }
     }
 
-    /// Lets time pass while `reaches(a, b)` tells whether host `a` hears host `b`.
+    /// Advances the time by `steps`. `reaches(a, b)` returns whether host `a` receives messages from
+    /// host `b`.
     fn run(&mut self, steps: u32, reaches: impl Fn(usize, usize) -> bool) {
         for _ in 0..steps {
             self.now += STEP;
@@ -84,29 +85,47 @@
 }
 
 #[test]
-fn gone_table_of_cuts() {
-    type Hears = fn(usize, usize) -> bool;
-    let cases: [(&str, usize, Hears, &[usize], bool); 8] = [
-        ("all well", 7, |_, _| true, &[], true),
-        ("one killed", 7, |a, b| a != 6 && b != 6, &[6], true),
-        ("one of two killed", 2, |a, b| a != 1 && b != 1, &[1], false),
-        ("one of three killed", 3, |a, b| a != 2 && b != 2, &[2], true),
-        ("cut between two hosts", 7, |a, b| !(a == 0 && b == 6), &[], true),
-        ("this host is cut off", 7, |a, b| a != 0 && b != 0, &[], false),
-        ("on the smaller side", 7, |a, b| (a < 3) == (b < 3), &[], false),
+fn dead_partitioned_hosts() {
+    type Reaches = fn(usize, usize) -> bool;
+    let cases: [(&str, usize, Reaches, &[usize], bool); 8] = [
+        ("no failure", 7, |_, _| true, &[], true),
+        ("one host failed", 7, |a, b| a != 6 && b != 6, &[6], true),
+        ("one of two hosts failed", 2, |a, b| a != 1 && b != 1, &[1], false),
         (
-            "on the larger side",
+            "one of three hosts failed",
+            3,
+            |a, b| a != 2 && b != 2,
+            &[2],
+            true,
+        ),
+        (
+            "no link between two hosts",
+            7,
+            |a, b| !(a == 0 && b == 6),
+            &[],
+            true,
+        ),
+        ("this host is isolated", 7, |a, b| a != 0 && b != 0, &[], false),
+        (
+            "in the minority partition",
+            7,
+            |a, b| (a < 3) == (b < 3),
+            &[],
+            false,
+        ),
+        (
+            "in the majority partition",
             7,
             |a, b| (a < 4) == (b < 4),
             &[4, 5, 6],
             true,
         ),
     ];
-    for (name, hosts, hears, expected, may_act) in cases {
+    for (name, hosts, reaches, expected, may_act) in cases {
         let mut case = Case::new(hosts);
         case.run(20, |_, _| true);
         assert!(case.may_act(), "{name}: before");
-        case.run(20, hears);
+        case.run(20, reaches);
         let expected: Vec<Process> = expected.iter().map(|&host| process(host, 1)).collect();
         assert_eq!(case.dead(), expected, "{name}");
         assert_eq!(case.may_act(), may_act, "{name}: lease");
@@ -114,7 +133,7 @@
 }
 
 #[test]
-fn gone_replaced_incarnation_at_once() {
+fn dead_replaced_incarnation() {
     let mut case = Case::new(3);
     case.run(20, |_, _| true);
     let report = |incarnation| HeartbeatReport {
@@ -123,20 +142,20 @@
     };
     assert!(case.table.observe(report(2), case.now));
     assert_eq!(case.dead(), [process(2, 1)]);
-    // A late heartbeat of the former process does not bring it back.
+    // A late heartbeat of the replaced process does not make it live again.
     assert!(!case.table.observe(report(1), case.now));
     assert_eq!(case.dead(), [process(2, 1)]);
 }
 
 #[test]
-fn gone_own_former_incarnation() {
+fn dead_own_replaced_incarnation() {
     let mut case = Case::new(3);
     case.table.rejoin(process(0, 2));
     assert_eq!(case.dead(), [process(0, 1)]);
 }
 
 #[test]
-fn gone_word_of_new_process_does_not_count() {
+fn dead_new_process_does_not_vote() {
     let mut case = Case::new(3);
     case.run(20, |_, _| true);
     case.run(7, |a, b| a != 2 && b != 2 && !(a == 0 && b == 1));
@@ -186,17 +205,18 @@
             receivers[host] += 1;
         }
     }
-    let most = receivers.iter().max().unwrap();
-    let least = receivers.iter().min().unwrap();
-    assert!(*least >= options.monitors_per_host, "{least}");
-    assert!(*most <= 4 * options.monitors_per_host, "{most}");
+    let max_count = receivers.iter().max().unwrap();
+    let min_count = receivers.iter().min().unwrap();
+    assert!(*min_count >= options.monitors_per_host, "{min_count}");
+    assert!(*max_count <= 4 * options.monitors_per_host, "{max_count}");
 }
 
-/// The lease of a process that nobody hears has ended when the first other host may take it over.
+/// When the first other host may take over from a process that has been partitioned from all hosts, the
+/// lease of the process has ended.
 #[test]
 fn lease_until_before_takeover() {
     let hosts = 7;
-    // Host 0 is the owner that is cut off, seen from itself and from host 1.
+    // Host 0 is the partitioned owner. `owner` is the table of host 0, `other` that of host 1.
     let mut owner = Case::new(hosts);
     let mut other = Case::new(hosts);
     other.table = Table::new(member(1, 1), Options::default(), other.now);
@@ -204,28 +224,32 @@
     other
         .table
         .set_owners((0..hosts).map(|host| process(host, 1)).collect());
-    let cut_at = 20;
+    let partitioned_at = 20;
     for step in 0..60 {
-        let cut = step >= cut_at;
-        owner.run(1, |a, b| !cut || (a != 0 && b != 0));
+        let partitioned = step >= partitioned_at;
+        owner.run(1, |a, b| !partitioned || (a != 0 && b != 0));
         other.now = owner.now;
         other.table.tick(other.now);
-        for host in (0..hosts).filter(|&host| host != 1 && !(cut && host == 0)) {
-            // The others hear the owner for the whole suspicion time after its last heartbeat.
-            let hears_owner = step < cut_at + 6;
+        for host in (0..hosts).filter(|&host| host != 1 && !(partitioned && host == 0)) {
+            // The other hosts report the owner as live until the suspicion time after its last
+            // heartbeat.
+            let reports_owner = step < partitioned_at + 6;
             let heard = (0..hosts)
-                .filter(|&other| other != host && (other != 0 || hears_owner))
+                .filter(|&other| other != host && (other != 0 || reports_owner))
                 .map(|other| process(other, 1))
                 .collect();
             let member = member(host, 1);
             other.table.observe(HeartbeatReport { member, heard }, other.now);
         }
-        let taken = other
+        let taken_over = other
             .table
             .dead(other.now)
             .iter()
             .any(|dead| dead.process == process(0, 1));
-        assert!(!(taken && owner.may_act()), "step {step}");
-        assert!(taken || step < cut_at + 8, "step {step}: never taken over");
+        assert!(!(taken_over && owner.may_act()), "step {step}");
+        assert!(
+            taken_over || step < partitioned_at + 8,
+            "step {step}: never taken over"
+        );
     }
 }
--- a/crates/burdockroad/tests/ownership.rs
+++ b/crates/burdockroad/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Plans over the ownership map.
+//! Planning of changes to the ownership map.
 
 use std::collections::BTreeMap;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn first_map_shares_evenly() {
+fn initial_map_equal_shares() {
     for hosts in 1..=7 {
         let candidates: Vec<Candidate> = (0..hosts).map(|host| candidate(host, 1)).collect();
         let map = initial_map(&candidates, 9).unwrap();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn first_map_no_candidate() {
+fn initial_map_no_candidate() {
     assert_eq!(initial_map(&[], 9), None);
     assert_eq!(initial_map(&[candidate(0, 0)], 9), None);
 }
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn takeover_rank_returned_host_first() {
+fn takeover_rank_same_host_first() {
     let live = || (0..5).map(|host| process(host).host_id);
     let ranks: Vec<usize> = live()
         .map(|host_id| takeover_rank(&process(9), &host_id, live()))
@@ -93,7 +93,7 @@
 }
 
 proptest! {
-    /// After a rebalance every candidate owns its share, and no partition moved for nothing.
+    /// After a rebalance, every candidate owns its share, and no partition was moved without need.
     #[test]
     fn rebalance_join_and_leave(before in 1..8usize, weights in prop::collection::vec(0..3u32, 8)) {
         prop_assume!(weights.iter().any(|&weight| weight > 0));
@@ -107,14 +107,14 @@
         let moves = rebalance(&map, &new);
         let next = map.with_moves(&moves, 10).unwrap();
         let total: u32 = weights.iter().sum();
-        let (held, held_before) = (counts(&next), counts(&map));
+        let (owned, owned_before) = (counts(&next), counts(&map));
         let mut surplus = 0;
         for (host, &weight) in weights.iter().enumerate() {
-            let count = held.get(&process(host)).copied().unwrap_or(0);
+            let count = owned.get(&process(host)).copied().unwrap_or(0);
             let (whole, rest) = (256 * weight / total, 256 * weight % total);
             let allowed = whole as usize..=whole as usize + usize::from(rest > 0);
             prop_assert!(allowed.contains(&count), "host {}: {}", host, count);
-            surplus += held_before.get(&process(host)).copied().unwrap_or(0).saturating_sub(count);
+            surplus += owned_before.get(&process(host)).copied().unwrap_or(0).saturating_sub(count);
         }
         prop_assert_eq!(moves.len(), surplus);
         prop_assert!(rebalance(&next, &new).is_empty());
--- a/crates/burdockroad/tests/program_rules.rs
+++ b/crates/burdockroad/tests/program_rules.rs
@@ -1,4 +1,4 @@
-//! Order, budget, history and replay of programs under seeded interleavings.
+//! Ordering, budgets, history and replay of programs under random interleavings.
 
 use std::{
     collections::BTreeMap,
@@ -80,7 +80,7 @@
     }
 }
 
-fn answer(program_id: &str, number: u32) -> Outcome {
+fn response(program_id: &str, number: u32) -> Outcome {
     Outcome::Answered(CallResponse {
         status: 200,
         content_type: String::new(),
@@ -99,7 +99,7 @@
     replay.into_trees()
 }
 
-/// One step of a random run; numbers and endpoints are often wrong on purpose.
+/// One step of a random run. Call numbers and endpoints are often wrong on purpose.
 #[derive(Clone, Debug)]
 enum Step {
     Call {
@@ -159,19 +159,19 @@
     ]
 }
 
-/// What an outside observer of the endpoints saw of one program.
+/// Calls of one program, as observed by the endpoints.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     sent: Vec<(u32, bool, u8)>,
     answered: Vec<u32>,
 }
 
-/// A table, its journal, and what endpoints saw.
+/// A program table, its journal, and the calls observed by the endpoints.
 struct World {
     programs: Programs,
     records: Vec<Record>,
     now: SystemTime,
-    seen: BTreeMap<String, Seen>,
+    observed: BTreeMap<String, Observed>,
     sent_calls: u32,
     spent_tokens: u64,
 }
@@ -180,15 +180,15 @@
     fn new() -> Self {
         let mut records = Vec::new();
         let programs = table_with(&mut records);
-        let seen = BTreeMap::from([
-            (ROOT.to_owned(), Seen::default()),
-            (CHILD.to_owned(), Seen::default()),
+        let observed = BTreeMap::from([
+            (ROOT.to_owned(), Observed::default()),
+            (CHILD.to_owned(), Observed::default()),
         ]);
         Self {
             programs,
             records,
             now: start(),
-            seen,
+            observed,
             sent_calls: 0,
             spent_tokens: 0,
         }
@@ -205,7 +205,7 @@
                 max_tokens,
             } => {
                 let id = name(child);
-                let number = self.seen[id].sent.last().map_or(0, |sent| sent.0) + ahead;
+                let number = self.observed[id].sent.last().map_or(0, |sent| sent.0) + ahead;
                 self.call(
                     call(id, number, text, idempotent),
                     placement(endpoint, max_tokens),
@@ -239,9 +239,9 @@
         );
         self.records.push(prepared.record);
         self.sent_calls += 1;
-        let seen = self.seen.get_mut(&id).expect("a known program");
-        check_order(seen, number, idempotent);
-        seen.sent.push((number, idempotent, text));
+        let observed = self.observed.get_mut(&id).expect("a known program");
+        check_order(observed, number, idempotent);
+        observed.sent.push((number, idempotent, text));
     }
 
     fn settle(&mut self, id: &str, how: u8, spent_tokens: u64) {
@@ -256,7 +256,7 @@
         );
         let spent_tokens = spent_tokens.min(reserved_tokens);
         let outcome = match how {
-            0 | 1 => answer(id, number),
+            0 | 1 => response(id, number),
             2 => Outcome::NotRun,
             _ if idempotent => Outcome::Failed {
                 reason: "reset".to_owned(),
@@ -273,16 +273,16 @@
         };
         self.records.push(record);
         self.spent_tokens += spent_tokens;
-        let seen = self.seen.get_mut(id).expect("a known program");
+        let observed = self.observed.get_mut(id).expect("a known program");
         if not_run {
-            seen.sent.pop();
+            observed.sent.pop();
             self.sent_calls -= 1;
         } else if answered {
-            seen.answered.push(number);
+            observed.answered.push(number);
         }
     }
 
-    /// A successor replays the journal, with every record delivered twice.
+    /// Replaces the table by that of a successor, which replays every journal record twice.
     fn take_over(&mut self) {
         let mut twice = self.records.clone();
         twice.extend(self.records.clone());
@@ -329,18 +329,18 @@
             self.spent_tokens <= budget.max_tokens,
             "more tokens than the budget allows"
         );
-        let kept: BTreeMap<String, Tree> = self
+        let trees: BTreeMap<String, Tree> = self
             .programs
             .trees()
             .map(|tree| (tree.root_id.clone(), tree.clone()))
             .collect();
         assert_eq!(
             replay(&self.records),
-            kept,
+            trees,
             "the journal does not give the table back"
         );
-        for tree in kept.values() {
-            check_history(tree, &self.seen);
+        for tree in trees.values() {
+            check_history(tree, &self.observed);
         }
     }
 }
@@ -349,14 +349,15 @@
     if child { CHILD } else { ROOT }
 }
 
-/// A new number follows an ended call; a repeated one belongs to an idempotent call that failed.
-fn check_order(seen: &Seen, number: u32, _idempotent: bool) {
-    match seen.sent.last() {
+/// Checks that a new call number follows an ended call, and that a repeated number belongs to an
+/// idempotent call without a response.
+fn check_order(observed: &Observed, number: u32, _idempotent: bool) {
+    match observed.sent.last() {
         None => assert_eq!(number, 1, "the first call has number 1"),
         Some((last, last_idempotent, _)) if number == *last => {
             assert!(last_idempotent, "a call that may not be repeated was sent again");
             assert!(
-                !seen.answered.contains(&number),
+                !observed.answered.contains(&number),
                 "an answered call was sent again"
             );
         }
@@ -364,8 +365,8 @@
     }
 }
 
-/// The history holds the answers that arrived, in order, and nothing of another program.
-fn check_history(tree: &Tree, seen: &BTreeMap<String, Seen>) {
+/// Checks that the history contains exactly the responses received by the program, in order.
+fn check_history(tree: &Tree, observed: &BTreeMap<String, Observed>) {
     for (id, program) in &tree.programs {
         let answers: Vec<String> = program
             .messages()
@@ -376,7 +377,7 @@
             .calls
             .iter()
             .filter(|call| call.intent.kind == CallKind::Completion);
-        let answered = completions.filter(|call| seen[id].answered.contains(&call.number()));
+        let answered = completions.filter(|call| observed[id].answered.contains(&call.number()));
         let expected: Vec<String> = answered
             .map(|call| format!("\"answer to {id} {}\"", call.number()))
             .collect();
@@ -417,7 +418,7 @@
 }
 
 #[test]
-fn begin_repeats() {
+fn begin_retries() {
     let mut records = Vec::new();
     let mut programs = table_with(&mut records);
     let root = ROOT.to_owned();
@@ -435,7 +436,9 @@
     programs
         .send(&root, placement(0, 10), start())
         .expect("within the budget");
-    programs.settle(&root, answer(ROOT, 1), 4).expect("an open call");
+    programs
+        .settle(&root, response(ROOT, 1), 4)
+        .expect("an open call");
     let repeated = programs.begin(call(ROOT, 1, 7, true), start());
     assert!(matches!(repeated, Ok(CallDecision::Answered(_))), "{repeated:?}");
     assert_eq!(
@@ -466,7 +469,7 @@
         "a sub-agent shares the tokens that its parent set aside"
     );
     programs
-        .settle(&root, answer(ROOT, 1), 100)
+        .settle(&root, response(ROOT, 1), 100)
         .expect("an open call");
     let spent = Refusal::OverBudget {
         shortage: Shortage::Tokens,
@@ -496,7 +499,7 @@
         .send(&ROOT.to_owned(), placement(0, 1), start())
         .expect("within the budget");
     programs
-        .settle(&ROOT.to_owned(), answer(ROOT, 1), 1)
+        .settle(&ROOT.to_owned(), response(ROOT, 1), 1)
         .expect("an open call");
     let refused = programs.begin(call(ROOT, 2, 0, true), start());
     assert_eq!(refused, Err(Refusal::HistoryFull { max_bytes: 40 }));
