--- a/crates/burdockroad/src/config/check.rs
+++ b/crates/burdockroad/src/config/check.rs
@@ -115,9 +115,9 @@
 
     fn site_list(&mut self, reader: &mut Reader<'_>, node: &Node<'_>) -> Option<Vec<Site>> {
         let sites = reader.list(node, SITES_MAX, |reader, node| self.site(reader, node))?;
-        let takes_none = |site: &Site| site.weight == 0;
+        let has_zero_weight = |site: &Site| site.weight == 0;
         let all_read = sites.len() == node.list_len();
-        if !sites.is_empty() && all_read && sites.iter().all(takes_none) {
+        if !sites.is_empty() && all_read && sites.iter().all(has_zero_weight) {
             reader.report(
                 node.location(),
                 "found weight 0 for every site; allowed: at least one site that takes new programs",
--- a/crates/burdockroad/src/config/document.rs
+++ b/crates/burdockroad/src/config/document.rs
@@ -164,7 +164,7 @@
     Ignored,
 }
 
-/// A process that answers calls.
+/// A process that serves calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
--- a/crates/burdockroad/src/config/finding.rs
+++ b/crates/burdockroad/src/config/finding.rs
@@ -50,11 +50,11 @@
         return None;
     }
     let edits_max = NEAR_MISS_EDITS_MAX.min(given.len().div_ceil(2));
-    let near = |edits: usize, name: &str| edits <= edits_max || extends_given(name, &given);
+    let is_similar = |edits: usize, name: &str| edits <= edits_max || extends_given(name, &given);
     known
         .into_iter()
         .map(|name| (edit_distance(&given, name), name))
-        .filter(|&(edits, name)| near(edits, name))
+        .filter(|&(edits, name)| is_similar(edits, name))
         .min()
         .map(|(_, name)| name.to_owned())
 }
--- a/crates/burdockroad/src/config/freshness.rs
+++ b/crates/burdockroad/src/config/freshness.rs
@@ -112,7 +112,7 @@
     /// Records that the store returned a version as the newest, in response to a request sent at
     /// `requested_at`.
     ///
-    /// A response with a version lower than the highest seen confirms nothing.
+    /// The response confirms the document only if its version is in force here and is the highest seen.
     pub fn confirm(&mut self, version: DocumentVersion, requested_at: Instant) {
         if version == self.version && version == self.highest_seen {
             self.confirmed_at = self.confirmed_at.max(Some(requested_at));
@@ -233,6 +233,6 @@
     }
 }
 
-fn is_within(moment: Option<Instant>, now: Instant, max_age: Duration) -> bool {
-    moment.is_some_and(|moment| now.saturating_duration_since(moment) <= max_age)
+fn is_within(time: Option<Instant>, now: Instant, max_age: Duration) -> bool {
+    time.is_some_and(|time| now.saturating_duration_since(time) <= max_age)
 }
--- a/crates/burdockroad/src/journal/tail_table.rs
+++ b/crates/burdockroad/src/journal/tail_table.rs
@@ -14,7 +14,7 @@
 /// Copies of records that a writer sends to its tail peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TailBatch {
-    /// Session number, which increases each time the writer selects the peer anew. It identifies copies
+    /// Session number, which increases each time the writer selects the peer. It identifies copies
     /// of earlier sessions that arrive late.
     pub session: u64,
     /// Position of the first record.
@@ -53,8 +53,8 @@
 
 /// Tails of other hosts' journals, by writer.
 ///
-/// Records that exceed the limits are refused. Accepted records are never dropped before they are
-/// stored or sealed, because the writer relies on them.
+/// Records that exceed the limits are refused instead of dropped later, because a writer relies on the
+/// records that were accepted.
 #[derive(Clone, Debug, Default)]
 pub struct TailTable {
     options: TailTableOptions,
@@ -107,8 +107,8 @@
             };
         }
         tail.truncate_before(copies.stored_end);
-        let room = self.options.total_max_bytes.saturating_sub(self.bytes);
-        tail.extend(copies, room.min(self.options.writer_max_bytes));
+        let free_bytes = self.options.total_max_bytes.saturating_sub(self.bytes);
+        tail.extend(copies, free_bytes.min(self.options.writer_max_bytes));
         self.bytes += tail.bytes;
         TailReply::Held(tail.end())
     }
--- a/crates/burdockroad/src/journal/writer.rs
+++ b/crates/burdockroad/src/journal/writer.rs
@@ -98,9 +98,9 @@
     Writing,
     /// The read-back is in progress.
     Reading,
-    /// The write had an unknown outcome. The segment has to be read back.
+    /// The write had an unknown outcome. The segment must be read back.
     NeedsRead,
-    /// The segment was not found. The same value has to be written again, because the lost write may
+    /// The segment was not found. The same value must be written again, because the lost write may
     /// still arrive.
     NeedsWrite,
 }
@@ -254,7 +254,7 @@
         actions
     }
 
-    /// Returns when [`poll`](Self::poll) has to be called next, unless another event occurs first.
+    /// Returns when [`poll`](Self::poll) must be called next, unless another event occurs first.
     pub fn next_poll(&self, now: Instant) -> Option<Instant> {
         if self.fenced {
             return None;
@@ -405,7 +405,7 @@
         }
     }
 
-    /// Returns whether a segment has to be written before the batching window ends.
+    /// Returns whether a segment must be written before the batching window ends.
     ///
     /// This is the case after a failure: callers are refused until the store recovers, and only a write
     /// can detect that it has recovered.
--- a/crates/burdockroad/src/journal/writer/queue.rs
+++ b/crates/burdockroad/src/journal/writer/queue.rs
@@ -53,7 +53,7 @@
     first: Position,
     bytes: usize,
     /// Space for pieces in a segment, in bytes.
-    room_max: usize,
+    pieces_max_bytes: usize,
 }
 
 /// One segment to be written. Its value must not change while an earlier write of it may take effect.
@@ -74,7 +74,7 @@
             records: VecDeque::new(),
             first: 1,
             bytes: 0,
-            room_max: segment_max_bytes
+            pieces_max_bytes: segment_max_bytes
                 .saturating_sub(HEAD_BYTES)
                 .max(2 * PIECE_HEAD_BYTES),
         }
@@ -159,21 +159,21 @@
     }
 
     fn pieces(&self) -> (Vec<Piece>, usize) {
-        let mut room = self.room_max;
+        let mut free_bytes = self.pieces_max_bytes;
         let mut pieces = Vec::new();
         for record in &self.records {
             let rest = &record.bytes[record.stored_bytes..];
             let needed = rest.len() + PIECE_HEAD_BYTES;
-            if needed <= room {
-                room -= needed;
+            if needed <= free_bytes {
+                free_bytes -= needed;
                 pieces.push(piece(rest, true));
                 continue;
             }
-            // A record that fits into one segment is not split; it goes whole into the next one.
-            if needed <= self.room_max || room <= PIECE_HEAD_BYTES {
+            // A record that fits into one segment is not split; it is left for the next segment.
+            if needed <= self.pieces_max_bytes || free_bytes <= PIECE_HEAD_BYTES {
                 break;
             }
-            let taken = room - PIECE_HEAD_BYTES;
+            let taken = free_bytes - PIECE_HEAD_BYTES;
             pieces.push(piece(&rest[..taken], false));
             return (pieces, record.stored_bytes + taken);
         }
--- a/crates/burdockroad/src/journal/writer/removal.rs
+++ b/crates/burdockroad/src/journal/writer/removal.rs
@@ -69,8 +69,8 @@
         partial_record_segment: Option<SegmentNumber>,
         now: Instant,
     ) -> Option<Action> {
-        let full = self.count() > self.count_max || self.bytes > self.bytes_max;
-        if !full || self.removing_to.is_some() {
+        let over_limit = self.count() > self.count_max || self.bytes > self.bytes_max;
+        if !over_limit || self.removing_to.is_some() {
             return None;
         }
         let from = self.first_kept;
--- a/crates/burdockroad/src/journal/writer/tail.rs
+++ b/crates/burdockroad/src/journal/writer/tail.rs
@@ -40,7 +40,7 @@
     /// Former tail peers that have not yet been notified to drop their copies.
     released: Vec<Process>,
     last_session: u64,
-    /// Position after the last record that was reported durable on the strength of its copies alone.
+    /// Position after the last record that was reported durable because of its copies alone.
     relied_on_end: Position,
 }
 
@@ -102,7 +102,7 @@
     pub(super) fn is_usable(&self) -> bool {
         self.stored_peer.is_some()
             && self.majority_live
-            && self.required().all(|process| match process {
+            && self.required_peers().all(|process| match process {
                 Some(process) => self.is_live(process) && !self.has_failed(process),
                 None => false,
             })
@@ -113,17 +113,19 @@
         if !self.is_usable() {
             return 0;
         }
-        let acked = self.required().flatten().map(|process| self.acked_end(process));
+        let acked = self
+            .required_peers()
+            .flatten()
+            .map(|process| self.acked_end(process));
         acked.min().unwrap_or(0)
     }
 
-    /// Records that all records before this position are reported durable on the strength of their
-    /// copies.
+    /// Records that all records before this position are reported durable because of their copies.
     pub(super) fn mark_relied_on(&mut self, replicated_end: Position) {
         self.relied_on_end = self.relied_on_end.max(replicated_end);
     }
 
-    /// Returns whether a segment has to be written in order to name another tail peer.
+    /// Returns whether a segment must be written to name another tail peer.
     pub(super) fn needs_peer_change(&self) -> bool {
         self.next_peer != self.stored_peer
     }
@@ -199,7 +201,7 @@
         due
     }
 
-    /// Returns the former tail peers that can drop their copies, all of which are before `end`.
+    /// Returns the former tail peers, with `end` as the position before which they can drop their copies.
     pub(super) fn releases(&mut self, end: Position) -> Vec<DueBatch> {
         let released = std::mem::take(&mut self.released);
         let mut due = Vec::new();
@@ -272,7 +274,7 @@
         waiting.filter_map(|replica| replica.retry_at).min()
     }
 
-    fn required(&self) -> impl Iterator<Item = Option<&Process>> {
+    fn required_peers(&self) -> impl Iterator<Item = Option<&Process>> {
         let stored_peer = std::iter::once(self.stored_peer.as_ref());
         stored_peer.chain(
             self.in_flight
@@ -282,10 +284,10 @@
     }
 
     fn receivers(&self) -> impl Iterator<Item = &Process> {
-        let required = self.required().flatten();
+        let required_peers = self.required_peers().flatten();
         let next_peer = self.next_peer.as_ref();
         let mut seen = Vec::new();
-        required.chain(next_peer).filter(move |process| {
+        required_peers.chain(next_peer).filter(move |process| {
             let is_new = !seen.contains(process);
             seen.push(process);
             is_new
@@ -321,11 +323,11 @@
     /// Returns the most suitable peer: preferably on a host that is not being removed, and in another
     /// failure domain. A hash spreads the choice evenly over equally suitable peers.
     fn best_peer(&self) -> Option<Process> {
-        let fit = self
+        let candidates = self
             .peers
             .iter()
             .filter(|peer| !self.backoff_until.contains_key(&peer.process));
-        let best = fit.min_by_key(|peer| {
+        let best = candidates.min_by_key(|peer| {
             let same_domain = peer.failure_domain == self.failure_domain;
             (peer.leaving, same_domain, self.rank(&peer.process))
         });
--- a/crates/burdockroad/src/membership/table.rs
+++ b/crates/burdockroad/src/membership/table.rs
@@ -165,7 +165,7 @@
             .collect()
     }
 
-    /// Returns all peers that were ever heard from, and whether each is live. Listed hosts that never
+    /// Returns all peers that have sent a message, and whether each is live. Listed hosts that never
     /// sent a message are not included.
     pub fn members(&self, now: Instant) -> Vec<(Member, bool)> {
         self.peers
@@ -280,8 +280,8 @@
         self.is_live(peer, now) && tracked_for >= self.options.suspicion_time && !peer.heard.contains(process)
     }
 
-    /// Returns whether the time since the last heartbeat or response of the process, or since the start of the
-    /// observation period if that is later, is shorter than the suspicion time.
+    /// Returns whether the time since the last heartbeat or response of the process is shorter than the
+    /// suspicion time. The time is counted at the earliest from the start of the observation period.
     fn is_live_process(&self, process: &Process, now: Instant) -> bool {
         let last_received_at = self
             .peers
--- a/crates/burdockroad/src/ownership/plan.rs
+++ b/crates/burdockroad/src/ownership/plan.rs
@@ -105,15 +105,15 @@
     for row in table.iter_mut() {
         row.share = total * row.candidate.weight as usize / weights;
     }
-    let mut rest = total - table.iter().map(|row| row.share).sum::<usize>();
+    let mut remaining = total - table.iter().map(|row| row.share).sum::<usize>();
     let mut rounded_up = vec![false; table.len()];
-    while rest > 0 {
+    while remaining > 0 {
         let Some(position) = next_to_round_up(table, &rounded_up) else {
             return;
         };
         table[position].share += 1;
         rounded_up[position] = true;
-        rest -= 1;
+        remaining -= 1;
     }
 }
 
--- a/crates/burdockroad/src/program/request.rs
+++ b/crates/burdockroad/src/program/request.rs
@@ -12,8 +12,8 @@
 pub struct ProgramsOptions {
     /// Time for which the history of an ended tree stays readable.
     pub retention: Duration,
-    /// Maximum size of the messages and responses of a tree, in bytes. It keeps a snapshot of the tree
-    /// within the size limit of a record.
+    /// Maximum size of the messages and responses of a tree, in bytes. The limit ensures that a snapshot
+    /// of the tree fits into one record.
     pub history_max_bytes: u64,
 }
 
@@ -65,7 +65,7 @@
 /// Decision on a requested call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallDecision {
-    /// The call has to be run. Contains the usage of its program and the endpoint that may cache the
+    /// The call must be run. Contains the usage of its program and the endpoint that may cache the
     /// program's prefix.
     Run(Usage, Option<EndpointId>),
     /// An earlier attempt of the same call is still running.
--- a/crates/burdockroad/src/program/table.rs
+++ b/crates/burdockroad/src/program/table.rs
@@ -465,9 +465,9 @@
         if ended_at + self.options.retention > now {
             return Vec::new();
         }
-        let busy =
+        let in_use =
             !tree.cached_prefixes.is_empty() || tree.programs.keys().any(|id| self.open.contains_key(id));
-        if busy {
+        if in_use {
             self.due.insert((now + RELEASE_RETRY, root_id.clone()));
             return Vec::new();
         }
