--- a/crates/burdockroad/examples/embed.rs
+++ b/crates/burdockroad/examples/embed.rs
@@ -65,7 +65,7 @@
 ) -> Result<[Record; 2], Box<dyn std::error::Error>> {
     let now = SystemTime::now();
     let CallDecision::Run(..) = programs.begin(request(program_id, number), now)? else {
-        return Err("the call has run before".into());
+        return Err("the call has already been run".into());
     };
     let placement = Placement {
         pool_id: "engines".to_owned(),
--- a/crates/burdockroad/src/config/versioned.rs
+++ b/crates/burdockroad/src/config/versioned.rs
@@ -54,8 +54,9 @@
     ///
     /// Fails if the bytes are not a valid envelope, or if its text is not a valid document.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self> {
-        let envelope: Envelope = serde_json::from_slice(bytes)
-            .map_err(|error| Error::new("the stored document has no envelope").with_cause(error))?;
+        let envelope: Envelope = serde_json::from_slice(bytes).map_err(|error| {
+            Error::new("the envelope of the stored document could not be decoded").with_cause(error)
+        })?;
         Self::new(envelope.version, envelope.text).map_err(|findings| invalid(&findings))
     }
 
--- a/crates/burdockroad/src/program/request.rs
+++ b/crates/burdockroad/src/program/request.rs
@@ -115,6 +115,6 @@
     /// Cancel a call.
     Cancel(CancelledCall),
     /// Request an endpoint to free a cached prefix, then report the release with
-    /// [`Programs::on_prefix_released`].
+    /// [`Programs::on_prefix_released`](crate::program::Programs::on_prefix_released).
     Release(CachedPrefix),
 }
--- a/crates/burdockroad/tests/config.rs
+++ b/crates/burdockroad/tests/config.rs
@@ -35,7 +35,7 @@
     let random = first
         .secret
         .strip_prefix(&format!("brk_{}_", first.entry.id))
-        .expect("the key begins with its id");
+        .expect("the key starts with its id");
     assert_eq!(random.len(), 43);
     assert_ne!(first.secret, second.secret);
     assert!(!format!("{first:?}").contains(random));
--- a/crates/burdockroad/tests/journal_cleaning.rs
+++ b/crates/burdockroad/tests/journal_cleaning.rs
@@ -123,7 +123,7 @@
             Some((1, 3)),
         ),
         (
-            "no tree at all",
+            "no tree left",
             &[
                 ("a", "base"),
                 ("a", "change"),
--- a/crates/burdockroad/tests/journal_interleavings/world.rs
+++ b/crates/burdockroad/tests/journal_interleavings/world.rs
@@ -205,7 +205,7 @@
         let opened = self.opened.unwrap_or(SegmentNumber::MAX);
         assert!(
             self.store.keys().all(|&number| number < opened),
-            "a removed journal was written again"
+            "a segment of a removed journal was written again"
         );
         self.check(&second);
         self.counts.stored = self.stored;
@@ -518,7 +518,7 @@
             .collect();
         assert!(
             !self.store.keys().any(|&number| number > seal),
-            "a segment stands after the seal"
+            "a segment follows the seal"
         );
         let tail_peer = segments.last().and_then(|segment| segment.tail_peer.as_ref());
         let joined = join(&segments, copies).unwrap();
@@ -539,20 +539,24 @@
         let end = recovery.stored_end + recovery.tail_count as u64;
         let first = end + 1 - recovery.records.len() as u64;
         let sequences = recovery.records.iter().map(|record| record.sequence);
-        assert!(sequences.eq(first..=end), "a record is missing or twice there");
+        assert!(sequences.eq(first..=end), "a record is missing or duplicated");
         let stored_end = recovery.stored_end;
         let base = stored_end / BASE_INTERVAL * BASE_INTERVAL;
         assert!(
             base == 0 || first <= base,
-            "record {base} is needed and was removed"
+            "record {base} is needed but was removed"
         );
         assert!(
             self.stored <= stored_end,
-            "stored {} of {stored_end}",
+            "confirmed {} as stored, recovered {stored_end}",
             self.stored
         );
         if recovery.complete {
-            assert!(self.replicated <= end, "replicated {} of {end}", self.replicated);
+            assert!(
+                self.replicated <= end,
+                "confirmed {} as replicated, recovered {end}",
+                self.replicated
+            );
         }
     }
 
--- a/crates/burdockroad/tests/program_rules.rs
+++ b/crates/burdockroad/tests/program_rules.rs
@@ -94,7 +94,7 @@
     for record in records {
         replay
             .apply(record.clone())
-            .expect("records of one writer follow from each other");
+            .expect("the records of one writer apply in order");
     }
     replay.into_trees()
 }
@@ -239,7 +239,7 @@
         );
         self.records.push(prepared.record);
         self.sent_calls += 1;
-        let observed = self.observed.get_mut(&id).expect("a known program");
+        let observed = self.observed.get_mut(&id).expect("one of the two programs");
         check_order(observed, number, idempotent);
         observed.sent.push((number, idempotent, text));
     }
@@ -273,7 +273,7 @@
         };
         self.records.push(record);
         self.spent_tokens += spent_tokens;
-        let observed = self.observed.get_mut(id).expect("a known program");
+        let observed = self.observed.get_mut(id).expect("one of the two programs");
         if not_run {
             observed.sent.pop();
             self.sent_calls -= 1;
@@ -323,11 +323,11 @@
         let budget = budget();
         assert!(
             self.sent_calls <= budget.max_calls,
-            "more calls than the budget allows"
+            "more calls were sent than the budget allows"
         );
         assert!(
             self.spent_tokens <= budget.max_tokens,
-            "more tokens than the budget allows"
+            "more tokens were spent than the budget allows"
         );
         let trees: BTreeMap<String, Tree> = self
             .programs
@@ -337,7 +337,7 @@
         assert_eq!(
             replay(&self.records),
             trees,
-            "the journal does not give the table back"
+            "replaying the journal does not rebuild the table"
         );
         for tree in trees.values() {
             check_history(tree, &self.observed);
@@ -355,13 +355,13 @@
     match observed.sent.last() {
         None => assert_eq!(number, 1, "the first call has number 1"),
         Some((last, last_idempotent, _)) if number == *last => {
-            assert!(last_idempotent, "a call that may not be repeated was sent again");
+            assert!(last_idempotent, "a non-idempotent call was sent again");
             assert!(
                 !observed.answered.contains(&number),
-                "an answered call was sent again"
+                "a call with a response was sent again"
             );
         }
-        Some((last, ..)) => assert_eq!(number, last + 1, "calls out of order"),
+        Some((last, ..)) => assert_eq!(number, last + 1, "calls are out of order"),
     }
 }
 
@@ -457,7 +457,7 @@
         .expect("the first call");
     programs
         .send(&root, placement(0, 500), start())
-        .expect("cut to the budget");
+        .expect("limited to the remaining budget");
     let sibling = programs.begin(call(CHILD, 1, 0, true), start());
     let expected = Refusal::OverBudget {
         shortage: Shortage::Tokens,
@@ -466,7 +466,7 @@
     assert_eq!(
         sibling,
         Err(expected),
-        "a sub-agent shares the tokens that its parent set aside"
+        "the reservation of its parent leaves a sub-agent no tokens"
     );
     programs
         .settle(&root, response(ROOT, 1), 100)
@@ -546,10 +546,10 @@
         .iter()
         .filter(|action| matches!(action, Action::Cancel(_)))
         .count();
-    assert_eq!(cancels, 1, "the running call is stopped: {ended:?}");
+    assert_eq!(cancels, 1, "the running call is cancelled: {ended:?}");
     assert!(
         !ended.iter().any(|action| matches!(action, Action::Release(_))),
-        "while the call runs: {ended:?}"
+        "a prefix was released while the call was running: {ended:?}"
     );
     programs.settle(
         &root,
@@ -560,12 +560,15 @@
     );
     let released = programs.tick(late);
     let Some(Action::Release(prefix)) = released.first() else {
-        panic!("the endpoint is not asked: {released:?}");
+        panic!("no release was requested: {released:?}");
     };
     let again = programs.tick(late + Duration::from_secs(2));
-    assert_eq!(again, released, "asked again until it confirms");
-    let record = programs.on_prefix_released(prefix).expect("a known hold");
+    assert_eq!(
+        again, released,
+        "the release is requested again until it is confirmed"
+    );
+    let record = programs.on_prefix_released(prefix).expect("a cached prefix");
     assert!(matches!(record.event, Event::Released { .. }));
-    let forgotten = programs.tick(late + Duration::from_hours(1));
-    assert!(programs.is_empty(), "an ended tree is forgotten: {forgotten:?}");
+    let removed = programs.tick(late + Duration::from_hours(1));
+    assert!(programs.is_empty(), "an ended tree is removed: {removed:?}");
 }
