--- a/crates/burdockroad/src/program/replay.rs
+++ b/crates/burdockroad/src/program/replay.rs
@@ -100,7 +100,7 @@
         if sequence != tree.sequence + 1 {
             let expected = tree.sequence + 1;
             return Err(Error::new(format!(
-                "records of program tree {root_id} are missing: expected sequence {expected}, found {sequence}"
+                "records of tree {root_id} are missing: expected sequence {expected}, found {sequence}"
             )));
         }
         tree.apply(event)
--- a/crates/burdockroad/tests/journal_interleavings/world.rs
+++ b/crates/burdockroad/tests/journal_interleavings/world.rs
@@ -48,10 +48,10 @@
     }
 }
 
-/// A message in transit.
+/// A message in transit. `replied` is set if the writer has already received a reply to it, so that only
+/// its effect remains.
 #[derive(Clone, Debug)]
 enum Message {
-    /// `replied` is set if the writer has already received a reply, so that only the effect remains.
     Write {
         segment: SegmentNumber,
         value: Arc<[u8]>,
@@ -342,7 +342,7 @@
                     _ if self.store_down => ReadReply::Unavailable {
                         retry_after: Duration::from_millis(50),
                     },
-                    Some(held) => ReadReply::Held(held.clone()),
+                    Some(value) => ReadReply::Held(value.clone()),
                     None => ReadReply::Absent,
                 };
                 self.writer.read_back(reply, self.now);
@@ -402,8 +402,8 @@
     }
 
     fn create(&mut self, segment: SegmentNumber, value: &[u8]) -> WriteReply {
-        if let Some(held) = self.store.get(&segment) {
-            return WriteReply::Held(held.clone());
+        if let Some(value) = self.store.get(&segment) {
+            return WriteReply::Held(value.clone());
         }
         if segment > 1 && !self.store.contains_key(&(segment - 1)) {
             return WriteReply::Removed;
@@ -475,11 +475,11 @@
     fn seal(&mut self) -> SegmentNumber {
         loop {
             let newest = self.store.iter().next_back();
-            let Some((&newest, held)) = newest else {
+            let Some((&newest, value)) = newest else {
                 self.steps(STEPS_BETWEEN);
                 continue;
             };
-            if matches!(StoredSegment::decode(held).unwrap(), StoredSegment::Seal(_)) {
+            if matches!(StoredSegment::decode(value).unwrap(), StoredSegment::Seal(_)) {
                 return newest;
             }
             self.steps(STEPS_BETWEEN);
@@ -511,7 +511,7 @@
         let segments: Vec<Segment> = self
             .store
             .range(..seal)
-            .map(|(_, held)| match StoredSegment::decode(held).unwrap() {
+            .map(|(_, value)| match StoredSegment::decode(value).unwrap() {
                 StoredSegment::Group(segment) => segment,
                 StoredSegment::Seal(seal) => panic!("a second seal by {:?}", seal.successor),
             })
