--- a/crates/burdockroad-daemon/src/calls/single_call.rs
+++ b/crates/burdockroad-daemon/src/calls/single_call.rs
@@ -40,17 +40,17 @@
     }
 
     async fn try_single(&self, plan: &Plan, log: &Arc<AnswerLog>) -> Result<(), Problem> {
-        let latest = self.latest_start(plan);
+        let slot_deadline = self.latest_start(plan);
         let queued = clock();
         if !plan.caller.account_id.is_empty() {
-            self.quota.admit(&plan.caller.account_id, latest).await?;
+            self.quota.admit(&plan.caller.account_id, slot_deadline).await?;
         }
-        self.note_call(plan);
+        self.record_call(plan);
         let mut tried = Vec::new();
         loop {
             let slot = self
                 .dispatcher
-                .acquire(self.single_slot(plan, self.excluded(plan, &tried), latest))
+                .acquire(self.single_slot(plan, self.excluded(plan, &tried), slot_deadline))
                 .await?;
             if !self.key_works(&plan.caller) {
                 self.dispatcher
@@ -109,7 +109,7 @@
         Ok(())
     }
 
-    fn single_slot(&self, plan: &Plan, excluded: Vec<String>, latest: tokio::time::Instant) -> SlotRequest {
+    fn single_slot(&self, plan: &Plan, excluded: Vec<String>, slot_deadline: tokio::time::Instant) -> SlotRequest {
         SlotRequest {
             pool_ids: plan.pool_ids.clone(),
             account_id: plan.caller.account_id.clone(),
@@ -120,7 +120,7 @@
             attained_tokens: 0,
             prefix_endpoint_id: None,
             excluded,
-            latest,
+            slot_deadline,
         }
     }
 }
--- a/crates/burdockroad/examples/embed.rs
+++ b/crates/burdockroad/examples/embed.rs
@@ -125,9 +125,9 @@
             std::thread::sleep(Duration::from_millis(10));
             let now = Instant::now();
             let mut settled = self.holder.tick(now);
-            if let Some(ask) = self.holder.ask(now) {
-                let grant = self.bucket.grant(&"this-host".to_owned(), &ask, now);
-                settled.extend(self.holder.answered(ask.sequence, grant, now));
+            if let Some(token_request) = self.holder.token_request(now) {
+                let grant = self.bucket.grant(&"this-host".to_owned(), &token_request, now);
+                settled.extend(self.holder.answered(token_request.sequence, grant, now));
             }
             admitted = settled.iter().any(|call| call.admission == Admission::Admitted);
         }
