--- a/crates/burdockroad/tests/program_rules.rs
+++ b/crates/burdockroad/tests/program_rules.rs
@@ -1,4 +1,4 @@
-//! Order, budget, history and replay of programs under seeded interleavings.
+//! Ordering, budgets, history and replay of programs under random interleavings.
 
 use std::{
     collections::BTreeMap,
@@ -8,8 +8,8 @@
 use burdockroad::{
     Record,
     program::{
-        Action, Answer, Begun, Budget, CallKind, CallRequest, Event, NewProgram, Outcome, Placement,
-        Programs, ProgramsOptions, Refusal, Replay, Shortage, Tree,
+        Action, Budget, CallDecision, CallKind, CallRequest, CallResponse, Event, NewProgram, Outcome,
+        Placement, Programs, ProgramsOptions, Refusal, Replay, Shortage, Tree,
     },
 };
 use proptest::prelude::*;
@@ -72,16 +72,16 @@
     }
 }
 
-fn placement(endpoint: u8, wanted_tokens: u64) -> Placement {
+fn placement(endpoint: u8, max_tokens: u64) -> Placement {
     Placement {
         pool_id: "planner".to_owned(),
         endpoint_id: format!("engine-{endpoint}"),
-        wanted_tokens,
+        max_tokens,
     }
 }
 
-fn answer(program_id: &str, number: u32) -> Outcome {
-    Outcome::Answered(Answer {
+fn response(program_id: &str, number: u32) -> Outcome {
+    Outcome::Answered(CallResponse {
         status: 200,
         content_type: String::new(),
         body: Vec::new(),
@@ -94,12 +94,12 @@
     for record in records {
         replay
             .apply(record.clone())
-            .expect("records of one writer follow from each other");
+            .expect("the records of one writer apply in order");
     }
     replay.into_trees()
 }
 
-/// One step of a random run; numbers and endpoints are often wrong on purpose.
+/// One step of a random run. Call numbers and endpoints are often wrong on purpose.
 #[derive(Clone, Debug)]
 enum Step {
     Call {
@@ -108,7 +108,7 @@
         text: u8,
         idempotent: bool,
         endpoint: u8,
-        wanted_tokens: u64,
+        max_tokens: u64,
     },
     Settle {
         child: bool,
@@ -138,13 +138,13 @@
         1..60_u64,
     )
         .prop_map(
-            |(child, ahead, text, idempotent, endpoint, wanted_tokens)| Step::Call {
+            |(child, ahead, text, idempotent, endpoint, max_tokens)| Step::Call {
                 child,
                 ahead,
                 text,
                 idempotent,
                 endpoint,
-                wanted_tokens,
+                max_tokens,
             },
         );
     prop_oneof![
@@ -159,19 +159,19 @@
     ]
 }
 
-/// What an outside observer of the endpoints saw of one program.
+/// Calls of one program, as observed by the endpoints.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     sent: Vec<(u32, bool, u8)>,
     answered: Vec<u32>,
 }
 
-/// A table, its journal, and what endpoints saw.
+/// A program table, its journal, and the calls observed by the endpoints.
 struct World {
     programs: Programs,
     records: Vec<Record>,
     now: SystemTime,
-    seen: BTreeMap<String, Seen>,
+    observed: BTreeMap<String, Observed>,
     sent_calls: u32,
     spent_tokens: u64,
 }
@@ -180,15 +180,15 @@
     fn new() -> Self {
         let mut records = Vec::new();
         let programs = table_with(&mut records);
-        let seen = BTreeMap::from([
-            (ROOT.to_owned(), Seen::default()),
-            (CHILD.to_owned(), Seen::default()),
+        let observed = BTreeMap::from([
+            (ROOT.to_owned(), Observed::default()),
+            (CHILD.to_owned(), Observed::default()),
         ]);
         Self {
             programs,
             records,
             now: start(),
-            seen,
+            observed,
             sent_calls: 0,
             spent_tokens: 0,
         }
@@ -202,13 +202,13 @@
                 text,
                 idempotent,
                 endpoint,
-                wanted_tokens,
+                max_tokens,
             } => {
                 let id = name(child);
-                let number = self.seen[id].sent.last().map_or(0, |sent| sent.0) + ahead;
+                let number = self.observed[id].sent.last().map_or(0, |sent| sent.0) + ahead;
                 self.call(
                     call(id, number, text, idempotent),
-                    placement(endpoint, wanted_tokens),
+                    placement(endpoint, max_tokens),
                 );
             }
             Step::Settle {
@@ -227,21 +227,21 @@
     fn call(&mut self, request: CallRequest, placement: Placement) {
         let id = request.program_id.clone();
         let (number, idempotent, text) = (request.number, request.idempotent, request.digest[0]);
-        let Ok(Begun::Run(..)) = self.programs.begin(request, self.now) else {
+        let Ok(CallDecision::Run(..)) = self.programs.begin(request, self.now) else {
             return;
         };
-        let Ok(sending) = self.programs.send(&id, placement, self.now) else {
+        let Ok(prepared) = self.programs.send(&id, placement, self.now) else {
             return;
         };
         assert!(
-            !sending.time_left.is_zero(),
+            !prepared.time_left.is_zero(),
             "a call was sent after the time limit"
         );
-        self.records.push(sending.record);
+        self.records.push(prepared.record);
         self.sent_calls += 1;
-        let seen = self.seen.get_mut(&id).expect("a known program");
-        check_order(seen, number, idempotent);
-        seen.sent.push((number, idempotent, text));
+        let observed = self.observed.get_mut(&id).expect("one of the two programs");
+        check_order(observed, number, idempotent);
+        observed.sent.push((number, idempotent, text));
     }
 
     fn settle(&mut self, id: &str, how: u8, spent_tokens: u64) {
@@ -256,7 +256,7 @@
         );
         let spent_tokens = spent_tokens.min(reserved_tokens);
         let outcome = match how {
-            0 | 1 => answer(id, number),
+            0 | 1 => response(id, number),
             2 => Outcome::NotRun,
             _ if idempotent => Outcome::Failed {
                 reason: "reset".to_owned(),
@@ -273,16 +273,16 @@
         };
         self.records.push(record);
         self.spent_tokens += spent_tokens;
-        let seen = self.seen.get_mut(id).expect("a known program");
+        let observed = self.observed.get_mut(id).expect("one of the two programs");
         if not_run {
-            seen.sent.pop();
+            observed.sent.pop();
             self.sent_calls -= 1;
         } else if answered {
-            seen.answered.push(number);
+            observed.answered.push(number);
         }
     }
 
-    /// A successor replays the journal, with every record delivered twice.
+    /// Replaces the table by that of a successor, which replays every journal record twice.
     fn take_over(&mut self) {
         let mut twice = self.records.clone();
         twice.extend(self.records.clone());
@@ -313,7 +313,7 @@
         for action in actions {
             match action {
                 Action::Append(record) => self.records.push(record),
-                Action::Release(hold) => self.records.extend(self.programs.released(&hold)),
+                Action::Release(prefix) => self.records.extend(self.programs.on_prefix_released(&prefix)),
                 Action::Cancel(_) => {}
             }
         }
@@ -323,24 +323,24 @@
         let budget = budget();
         assert!(
             self.sent_calls <= budget.max_calls,
-            "more calls than the budget allows"
+            "more calls were sent than the budget allows"
         );
         assert!(
             self.spent_tokens <= budget.max_tokens,
-            "more tokens than the budget allows"
+            "more tokens were spent than the budget allows"
         );
-        let kept: BTreeMap<String, Tree> = self
+        let trees: BTreeMap<String, Tree> = self
             .programs
             .trees()
             .map(|tree| (tree.root_id.clone(), tree.clone()))
             .collect();
         assert_eq!(
             replay(&self.records),
-            kept,
-            "the journal does not give the table back"
+            trees,
+            "replaying the journal does not rebuild the table"
         );
-        for tree in kept.values() {
-            check_history(tree, &self.seen);
+        for tree in trees.values() {
+            check_history(tree, &self.observed);
         }
     }
 }
@@ -349,23 +349,24 @@
     if child { CHILD } else { ROOT }
 }
 
-/// A new number follows an ended call; a repeated one belongs to an idempotent call that failed.
-fn check_order(seen: &Seen, number: u32, _idempotent: bool) {
-    match seen.sent.last() {
+/// Checks that a new call number follows an ended call, and that a repeated number belongs to an
+/// idempotent call without a response.
+fn check_order(observed: &Observed, number: u32, _idempotent: bool) {
+    match observed.sent.last() {
         None => assert_eq!(number, 1, "the first call has number 1"),
         Some((last, last_idempotent, _)) if number == *last => {
-            assert!(last_idempotent, "a call that may not be repeated was sent again");
+            assert!(last_idempotent, "a non-idempotent call was sent again");
             assert!(
-                !seen.answered.contains(&number),
-                "an answered call was sent again"
+                !observed.answered.contains(&number),
+                "a call with a response was sent again"
             );
         }
-        Some((last, ..)) => assert_eq!(number, last + 1, "calls out of order"),
+        Some((last, ..)) => assert_eq!(number, last + 1, "calls are out of order"),
     }
 }
 
-/// The history holds the answers that arrived, in order, and nothing of another program.
-fn check_history(tree: &Tree, seen: &BTreeMap<String, Seen>) {
+/// Checks that the history contains exactly the responses received by the program, in order.
+fn check_history(tree: &Tree, observed: &BTreeMap<String, Observed>) {
     for (id, program) in &tree.programs {
         let answers: Vec<String> = program
             .messages()
@@ -376,7 +377,7 @@
             .calls
             .iter()
             .filter(|call| call.intent.kind == CallKind::Completion);
-        let answered = completions.filter(|call| seen[id].answered.contains(&call.number()));
+        let answered = completions.filter(|call| observed[id].answered.contains(&call.number()));
         let expected: Vec<String> = answered
             .map(|call| format!("\"answer to {id} {}\"", call.number()))
             .collect();
@@ -417,14 +418,17 @@
 }
 
 #[test]
-fn begin_repeats() {
+fn begin_retries() {
     let mut records = Vec::new();
     let mut programs = table_with(&mut records);
     let root = ROOT.to_owned();
     programs
         .begin(call(ROOT, 1, 7, true), start())
         .expect("the first call");
-    assert_eq!(programs.begin(call(ROOT, 1, 7, true), start()), Ok(Begun::Attach));
+    assert_eq!(
+        programs.begin(call(ROOT, 1, 7, true), start()),
+        Ok(CallDecision::Attach)
+    );
     assert_eq!(
         programs.begin(call(ROOT, 1, 8, true), start()),
         Err(Refusal::DifferentRequest)
@@ -432,9 +436,11 @@
     programs
         .send(&root, placement(0, 10), start())
         .expect("within the budget");
-    programs.settle(&root, answer(ROOT, 1), 4).expect("an open call");
+    programs
+        .settle(&root, response(ROOT, 1), 4)
+        .expect("an open call");
     let repeated = programs.begin(call(ROOT, 1, 7, true), start());
-    assert!(matches!(repeated, Ok(Begun::Answered(_))), "{repeated:?}");
+    assert!(matches!(repeated, Ok(CallDecision::Answered(_))), "{repeated:?}");
     assert_eq!(
         programs.begin(call(ROOT, 1, 8, true), start()),
         Err(Refusal::DifferentRequest)
@@ -451,7 +457,7 @@
         .expect("the first call");
     programs
         .send(&root, placement(0, 500), start())
-        .expect("cut to the budget");
+        .expect("limited to the remaining budget");
     let sibling = programs.begin(call(CHILD, 1, 0, true), start());
     let expected = Refusal::OverBudget {
         shortage: Shortage::Tokens,
@@ -460,10 +466,10 @@
     assert_eq!(
         sibling,
         Err(expected),
-        "a sub-agent shares the tokens that its parent set aside"
+        "the reservation of its parent leaves a sub-agent no tokens"
     );
     programs
-        .settle(&root, answer(ROOT, 1), 100)
+        .settle(&root, response(ROOT, 1), 100)
         .expect("an open call");
     let spent = Refusal::OverBudget {
         shortage: Shortage::Tokens,
@@ -493,7 +499,7 @@
         .send(&ROOT.to_owned(), placement(0, 1), start())
         .expect("within the budget");
     programs
-        .settle(&ROOT.to_owned(), answer(ROOT, 1), 1)
+        .settle(&ROOT.to_owned(), response(ROOT, 1), 1)
         .expect("an open call");
     let refused = programs.begin(call(ROOT, 2, 0, true), start());
     assert_eq!(refused, Err(Refusal::HistoryFull { max_bytes: 40 }));
@@ -507,10 +513,10 @@
         programs
             .begin(call(id, 1, 0, idempotent), start())
             .expect("the first call");
-        let sending = programs
+        let prepared = programs
             .send(&id.to_owned(), placement(0, 10), start())
             .expect("within the budget");
-        records.push(sending.record);
+        records.push(prepared.record);
     }
     let mut successor = Programs::new(ProgramsOptions::default());
     successor.adopt(replay(&records).into_values().collect(), start());
@@ -520,7 +526,7 @@
         "{repeated:?}"
     );
     let retried = successor.begin(call(CHILD, 1, 0, true), start());
-    assert!(matches!(retried, Ok(Begun::Run(..))), "{retried:?}");
+    assert!(matches!(retried, Ok(CallDecision::Run(..))), "{retried:?}");
 }
 
 #[test]
@@ -540,10 +546,10 @@
         .iter()
         .filter(|action| matches!(action, Action::Cancel(_)))
         .count();
-    assert_eq!(cancels, 1, "the running call is stopped: {ended:?}");
+    assert_eq!(cancels, 1, "the running call is cancelled: {ended:?}");
     assert!(
         !ended.iter().any(|action| matches!(action, Action::Release(_))),
-        "while the call runs: {ended:?}"
+        "a prefix was released while the call was running: {ended:?}"
     );
     programs.settle(
         &root,
@@ -553,13 +559,16 @@
         10,
     );
     let released = programs.tick(late);
-    let Some(Action::Release(hold)) = released.first() else {
-        panic!("the endpoint is not asked: {released:?}");
+    let Some(Action::Release(prefix)) = released.first() else {
+        panic!("no release was requested: {released:?}");
     };
     let again = programs.tick(late + Duration::from_secs(2));
-    assert_eq!(again, released, "asked again until it confirms");
-    let record = programs.released(hold).expect("a known hold");
+    assert_eq!(
+        again, released,
+        "the release is requested again until it is confirmed"
+    );
+    let record = programs.on_prefix_released(prefix).expect("a cached prefix");
     assert!(matches!(record.event, Event::Released { .. }));
-    let forgotten = programs.tick(late + Duration::from_hours(1));
-    assert!(programs.is_empty(), "an ended tree is forgotten: {forgotten:?}");
+    let removed = programs.tick(late + Duration::from_hours(1));
+    assert!(programs.is_empty(), "an ended tree is removed: {removed:?}");
 }
