--- a/crates/burdockroad-daemon/src/config_watch.rs
+++ b/crates/burdockroad-daemon/src/config_watch.rs
@@ -1,9 +1,11 @@
 //! The configuration document in force on this host.
 //!
-//! The document is watched in the store. Its confirmations are cheap reads, at most one a second and
-//! none while a peer has confirmed lately. The progress events of the watch were refused as
-//! confirmations: they answer no question of this host, so a process that was paused could not tell
-//! old ones from new. A host that the store does not reach learns of changes from its peers.
+//! A watch on the store reports changes of the document. Cheap reads of the store confirm that the
+//! document is current. A successful read is followed by a pause of `CONFIRM_AGE`, and reads are skipped
+//! while a peer attests to a confirmation younger than that. Progress events of the watch do not count
+//! as confirmations: they are not responses to a request of this host, so a process that was paused
+//! could not distinguish old events from new ones. A host that cannot reach the store receives changes
+//! from its peers.
 
 mod in_force;
 mod shared;
@@ -25,31 +27,38 @@
 /// Key of the document in the store.
 pub const DOCUMENT_KEY: &str = "burdockroad/config/document";
 
-/// What heartbeats carry about the document, and what comes of them.
+/// Exchange of the document's freshness between hosts through heartbeats.
 pub trait DocumentGossip: fmt::Debug + Send + Sync {
-    /// Returns what this host vouches for, to be sent with each heartbeat and with each answer to one.
+    /// Returns the version and age that this host attests to, which each heartbeat and each heartbeat
+    /// response carries.
     fn document_freshness(&self) -> DocumentFreshness;
 
-    /// Takes note of a peer's answer to a heartbeat that this host sent at `asked_at`.
+    /// Records the freshness in a peer's response to a heartbeat that this host sent at `requested_at`.
     ///
-    /// Only answers count, not the heartbeats that peers send: this host cannot tell their age.
-    fn observe_peer(&self, host_id: &HostId, address: &str, asked_at: Instant, freshness: &DocumentFreshness);
-
-    /// Takes note of the platform's host list, whenever it was read.
+    /// Heartbeats that peers send do not count, because this host cannot determine their age.
+    fn observe_peer(
+        &self,
+        host_id: &HostId,
+        address: &str,
+        requested_at: Instant,
+        freshness: &DocumentFreshness,
+    );
+
+    /// Records the platform's host list each time it was read.
     fn observe_list(&self, hosts: &[ListedHost]);
 }
 
-/// Takes the stored document from an operator's tool.
+/// Receiver of the stored document from an operator's tool.
 ///
-/// The store may be cut off from all hosts and yet be reached by the tool, which then hands over what
-/// it has just stored. A host that can confirm its document takes none by this way.
+/// The store may be unreachable for all hosts but reachable for the tool. The tool then sends the
+/// document that it has just stored. A host that can confirm its own document ignores such a document.
 pub trait DocumentOffer: fmt::Debug + Send + Sync {
-    /// Puts a document in force if it is newer and this host cannot confirm its own, and returns the
-    /// version that is in force then.
+    /// Puts a document in force if it is newer and this host cannot confirm its own. Returns the version
+    /// that is in force afterwards.
     fn offer_document(&self, versioned: VersionedDocument) -> DocumentVersion;
 }
 
-/// Keeps the document in force up to date.
+/// Background tasks that keep the document in force up to date.
 #[derive(Debug)]
 pub struct ConfigWatch {
     shared: Arc<Shared>,
@@ -57,9 +66,9 @@
 }
 
 impl ConfigWatch {
-    /// Starts to watch the document; until it is found, version 0 is in force, which has no routes.
+    /// Starts watching the document. Version 0, which has no routes, is in force until a document is found.
     ///
-    /// Needs a running tokio runtime.
+    /// Must be called within a tokio runtime.
     pub fn start(host_id: HostId, store: SharedKeyValue, peers: Arc<PeerClients>) -> Self {
         let shared = Arc::new(Shared::new(host_id, store, peers));
         let mut tasks = JoinSet::new();
@@ -69,27 +78,27 @@
         Self { shared, tasks }
     }
 
-    /// Returns the document in force, and every change of it.
+    /// Returns a receiver of the document in force and of its changes.
     pub fn in_force(&self) -> InForceReceiver {
         self.shared.subscribe()
     }
 
-    /// Returns what heartbeats are to carry and to report to.
+    /// Returns the exchange of document freshness for heartbeats.
     pub fn gossip(&self) -> Arc<dyn DocumentGossip> {
         Arc::<Shared>::clone(&self.shared)
     }
 
-    /// Returns what gives the document to peers.
+    /// Returns the handler of document requests from peers.
     pub fn handler(&self) -> Arc<dyn DocumentHandler> {
         Arc::<Shared>::clone(&self.shared)
     }
 
-    /// Returns what takes documents from operators' tools.
+    /// Returns the receiver of documents from operators' tools.
     pub fn offer(&self) -> Arc<dyn DocumentOffer> {
         Arc::<Shared>::clone(&self.shared)
     }
 
-    /// Stops to watch; the document stays as it is.
+    /// Stops the background tasks. The document in force stays unchanged.
     pub async fn close(mut self) {
         self.tasks.shutdown().await;
     }
--- a/crates/burdockroad-daemon/src/config_watch/in_force.rs
+++ b/crates/burdockroad-daemon/src/config_watch/in_force.rs
@@ -1,4 +1,4 @@
-//! One version of the document, as this host uses it.
+//! The document version in force on this host.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -11,30 +11,31 @@
 };
 use tokio::sync::watch;
 
-/// The document in force, and every change of it.
+/// Receiver of the document in force and of its changes.
 pub type InForceReceiver = watch::Receiver<Arc<InForce>>;
 
-/// What is known of how current the document is.
+/// Shared tracker of the document's freshness.
 pub(super) type SharedTracker = Arc<Mutex<FreshnessTracker>>;
 
-/// One version of the document, as this host uses it.
+/// One version of the document, in the form that this host uses.
 ///
-/// Take the newest one from the receiver for each decision; a kept one does not learn of changes.
+/// Read the current value from the receiver for each decision. A stored value is not updated when the
+/// document changes.
 #[derive(Clone, Debug)]
 pub struct InForce {
-    /// Version; 0 as long as no document was found.
+    /// Version of the document, or 0 until a document is found.
     pub version: DocumentVersion,
-    /// The text, with its comments.
+    /// Text of the document, including comments.
     pub text: String,
-    /// What the text says.
+    /// Parsed document.
     pub document: Document,
-    /// The valid keys.
+    /// Valid keys of the document.
     pub keys: KeyTable,
     tracker: Option<SharedTracker>,
 }
 
 impl InForce {
-    /// Makes a document that stays as it is and always counts as fresh, for embedding and tests.
+    /// Creates a document that never changes and is always fresh, for embedding and tests.
     pub fn fixed(versioned: VersionedDocument) -> Self {
         Self {
             version: versioned.version,
@@ -62,14 +63,14 @@
         }
     }
 
-    /// Whether a document was found.
+    /// Returns whether a document was found.
     pub fn is_loaded(&self) -> bool {
         self.version > 0
     }
 
-    /// Decides whether keys may be accepted by this document now.
+    /// Returns the current freshness, which decides whether keys of this document may be accepted now.
     ///
-    /// The decision holds for this moment only: a process may be paused at any time.
+    /// The result is valid only at the time of the call, because the process may be paused at any time.
     pub fn freshness(&self) -> Freshness {
         match &self.tracker {
             Some(tracker) => tracker
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Whether keys may be accepted now: the document is current, or nobody can change it.
+    /// Returns whether keys may be accepted now, that is, whether the document is current or cannot be
+    /// changed by anyone.
     pub fn accepts_keys(&self) -> bool {
         self.is_loaded() && self.freshness() != Freshness::CutOff
     }
--- a/crates/burdockroad-daemon/src/config_watch/shared.rs
+++ b/crates/burdockroad-daemon/src/config_watch/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the watch share.
+//! State shared by the tasks of the document watch.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -23,7 +23,7 @@
     platform::{ListedHost, SharedKeyValue},
 };
 
-/// Where a version came from, for the log.
+/// Source of a document version, for the log.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Source {
     Store,
@@ -65,7 +65,7 @@
     pub(super) fn offer(&self, versioned: VersionedDocument, source: Source) {
         let version = versioned.version;
         let in_force = InForce::tracked(versioned, Arc::clone(&self.tracker));
-        // The lock is held until the document is published, so that versions appear in their order.
+        // The lock is held until the document is published, so that versions are published in order.
         let mut tracker = self.tracker();
         if !tracker.put_in_force(version) {
             return;
@@ -73,19 +73,19 @@
         let valid_keys = in_force.keys.len();
         self.in_force.send_replace(Arc::new(in_force));
         drop(tracker);
-        metrics::gauge!("burdockroad_document_version").set(as_gauge(version));
+        metrics::gauge!("burdockroad_document_version").set(gauge_value(version));
         log::info!("event=document_in_force version={version} source={source:?} valid_keys={valid_keys}");
     }
 
-    pub(super) fn confirm(&self, version: DocumentVersion, asked_at: Instant) {
-        self.tracker().confirm(version, asked_at);
+    pub(super) fn confirm(&self, version: DocumentVersion, requested_at: Instant) {
+        self.tracker().confirm(version, requested_at);
     }
 
     pub(super) fn version(&self) -> DocumentVersion {
         self.tracker().version()
     }
 
-    pub(super) fn vouch_age(&self) -> Option<Duration> {
+    pub(super) fn attestation_age(&self) -> Option<Duration> {
         self.tracker().vouch_age(Instant::now())
     }
 
@@ -122,13 +122,13 @@
         &self,
         host_id: &HostId,
         address: &str,
-        asked_at: Instant,
+        requested_at: Instant,
         freshness: &DocumentFreshness,
     ) {
         self.addresses().insert(host_id.clone(), address.to_owned());
-        let vouch_age = freshness.vouch_age_ms.map(Duration::from_millis);
+        let attestation_age = freshness.vouch_age_ms.map(Duration::from_millis);
         let mut tracker = self.tracker();
-        tracker.observe_peer(host_id, asked_at, freshness.version, vouch_age);
+        tracker.observe_peer(host_id, requested_at, freshness.version, attestation_age);
         if tracker.peer_to_fetch_from(Instant::now()).is_some() {
             self.peer_ahead.notify_one();
         }
@@ -163,13 +163,13 @@
     }
 }
 
-/// An age must not become younger on its way to a peer.
+/// Converts an age to milliseconds, rounding up so that a peer never receives a younger age.
 fn rounded_up_ms(age: Duration) -> u64 {
     let ms = age.as_nanos().div_ceil(1_000_000);
     u64::try_from(ms).unwrap_or(u64::MAX)
 }
 
 #[expect(clippy::cast_precision_loss, reason = "versions stay far below 2^53")]
-fn as_gauge(version: DocumentVersion) -> f64 {
+fn gauge_value(version: DocumentVersion) -> f64 {
     version as f64
 }
--- a/crates/burdockroad-daemon/src/config_watch/tasks.rs
+++ b/crates/burdockroad-daemon/src/config_watch/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that keep the document up to date.
+//! Background tasks that keep the document up to date.
 
 use std::{
     sync::Arc,
@@ -20,42 +20,42 @@
     platform::{Entry, Listing, Revision, StoreError, WatchEvent},
 };
 
-/// Pause before a broken watch is made anew.
-const WATCH_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Backoff before a failed watch is restarted.
+const WATCH_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Pause between two looks at the age of the last confirmation.
+/// Interval between two checks of the age of the last confirmation.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Age at which a confirmation is renewed by a read of the store.
 const CONFIRM_AGE: Duration = Duration::from_millis(800);
 
-/// Longest pause after the store failed.
-const CONFIRM_RETRY_MAX: Duration = Duration::from_secs(1);
+/// Maximum backoff after an error of the store.
+const CONFIRM_BACKOFF_MAX: Duration = Duration::from_secs(1);
 
-/// Pause before a document is fetched again after that failed.
-const FETCH_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Backoff after a failed fetch of the document from a peer.
+const FETCH_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Time in which a peer must have given its document.
+/// Timeout of a document request to a peer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Watches the document in the store for as long as the daemon runs.
+/// Watches the document in the store until the task is cancelled.
 pub(super) async fn watch(shared: Arc<Shared>) {
     loop {
         if let Err(error) = watch_once(&shared).await {
             log::debug!("event=document_watch_failed reason={:?}", error.to_string());
         }
-        sleep(WATCH_RETRY_AFTER).await;
+        sleep(WATCH_BACKOFF).await;
     }
 }
 
 async fn watch_once(shared: &Shared) -> Result<(), StoreError> {
     let mut events = shared.store.watch(DOCUMENT_KEY).await?;
-    // Read after the watch stands, so that no change falls between the two.
+    // Read after the watch is established, so that no change between the two is missed.
     read(shared).await?;
     while let Some(event) = events.recv().await {
         match event {
             WatchEvent::Changed(Some(entry)) => {
-                take(shared, &entry);
+                apply_entry(shared, &entry);
             }
             WatchEvent::Changed(None) => {
                 log::error!("event=document_removed version_kept={}", shared.version());
@@ -66,64 +66,64 @@
     Ok(())
 }
 
-/// Confirms the document by reads of the store, unless a peer has confirmed it lately.
+/// Confirms the document by reads of the store, unless it has a confirmation younger than `CONFIRM_AGE`.
 pub(super) async fn confirm(shared: Arc<Shared>) {
-    let mut known = None;
-    let mut last_seen = Freshness::CutOff;
-    let mut pause = CONFIRM_INTERVAL;
+    let mut confirmed = None;
+    let mut last_reported = Freshness::CutOff;
+    let mut delay = CONFIRM_INTERVAL;
     loop {
-        sleep(pause).await;
-        pause = CONFIRM_INTERVAL;
-        if shared.vouch_age().is_none_or(|age| age >= CONFIRM_AGE) {
-            let result = confirm_once(&shared, &mut known).await;
-            pause = result.map_or_else(|error| retry_after(&error), |()| CONFIRM_AGE);
+        sleep(delay).await;
+        delay = CONFIRM_INTERVAL;
+        if shared.attestation_age().is_none_or(|age| age >= CONFIRM_AGE) {
+            let result = confirm_once(&shared, &mut confirmed).await;
+            delay = result.map_or_else(|error| retry_after(&error), |()| CONFIRM_AGE);
         }
-        report_change(&mut last_seen, &shared);
+        report_freshness(&mut last_reported, &shared);
     }
 }
 
-/// A version in force, and the revision by which the store holds it.
+/// Document version with the store revision that it was read at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Known {
+struct ConfirmedRevision {
     version: DocumentVersion,
     revision: Revision,
 }
 
-/// Lists the key without its value; only when that shows another revision is the value read.
-async fn confirm_once(shared: &Shared, known: &mut Option<Known>) -> Result<(), StoreError> {
-    let asked_at = Instant::now();
+/// Lists the key without its value, and reads the value only when the revision has changed.
+async fn confirm_once(shared: &Shared, confirmed: &mut Option<ConfirmedRevision>) -> Result<(), StoreError> {
+    let requested_at = Instant::now();
     let entries = shared.store.list(DOCUMENT_KEY, Listing::Keys).await?;
     let entry = entries.into_iter().find(|entry| entry.key == DOCUMENT_KEY);
-    let unchanged = known.filter(|known| {
+    let unchanged = confirmed.filter(|confirmed| {
         let revision = entry.as_ref().map(|entry| entry.revision);
-        revision == Some(known.revision) && known.version == shared.version()
+        revision == Some(confirmed.revision) && confirmed.version == shared.version()
     });
     match (entry, unchanged) {
         (None, _) => {}
-        (Some(_), Some(known)) => shared.confirm(known.version, asked_at),
-        (Some(_), None) => *known = read(shared).await?,
+        (Some(_), Some(confirmed)) => shared.confirm(confirmed.version, requested_at),
+        (Some(_), None) => *confirmed = read(shared).await?,
     }
     Ok(())
 }
 
-/// Reads the document and confirms its version; none when there is none that can be used.
-async fn read(shared: &Shared) -> Result<Option<Known>, StoreError> {
-    let asked_at = Instant::now();
+/// Reads the document and confirms its version. Returns `None` when there is no usable document.
+async fn read(shared: &Shared) -> Result<Option<ConfirmedRevision>, StoreError> {
+    let requested_at = Instant::now();
     let Some(entry) = shared.store.get(DOCUMENT_KEY).await? else {
         return Ok(None);
     };
-    let version = take(shared, &entry);
+    let version = apply_entry(shared, &entry);
     if let Some(version) = version {
-        shared.confirm(version, asked_at);
+        shared.confirm(version, requested_at);
     }
-    Ok(version.map(|version| Known {
+    Ok(version.map(|version| ConfirmedRevision {
         version,
         revision: entry.revision,
     }))
 }
 
 /// Puts a stored document in force if it is newer, and returns its version.
-fn take(shared: &Shared, entry: &Entry) -> Option<DocumentVersion> {
+fn apply_entry(shared: &Shared, entry: &Entry) -> Option<DocumentVersion> {
     match VersionedDocument::from_bytes(&entry.value) {
         Ok(versioned) => {
             let version = versioned.version;
@@ -155,16 +155,16 @@
             None => shared.peer_ahead.notified().await,
             Some(address) => {
                 if !fetch_from(&shared, &address).await {
-                    sleep(FETCH_RETRY_AFTER).await;
+                    sleep(FETCH_BACKOFF).await;
                 }
             }
         }
     }
 }
 
-/// Fetches the document from one peer, and returns whether that gave a usable one.
+/// Fetches the document from one peer, and returns whether the peer had a valid, higher version.
 async fn fetch_from(shared: &Shared, address: &str) -> bool {
-    match ask_peer(shared, address).await {
+    match request_document(shared, address).await {
         Ok(versioned) => {
             let is_higher = versioned.version > shared.version();
             shared.offer(versioned, Source::Peer);
@@ -177,12 +177,12 @@
     }
 }
 
-async fn ask_peer(shared: &Shared, address: &str) -> Result<VersionedDocument, String> {
+async fn request_document(shared: &Shared, address: &str) -> Result<VersionedDocument, String> {
     let mut client = shared.peers.get(address).map_err(|error| error.to_string())?;
-    let answer = timeout(FETCH_TIMEOUT, client.fetch_document(FetchDocumentRequest {})).await;
-    let answer = answer.map_err(|elapsed| elapsed.to_string())?;
-    let answer = answer.map_err(|status| status.to_string())?.into_inner();
-    VersionedDocument::new(answer.version, answer.text).map_err(|findings| {
+    let result = timeout(FETCH_TIMEOUT, client.fetch_document(FetchDocumentRequest {})).await;
+    let result = result.map_err(|elapsed| elapsed.to_string())?;
+    let response = result.map_err(|status| status.to_string())?.into_inner();
+    VersionedDocument::new(response.version, response.text).map_err(|findings| {
         let first = findings.first().map(ToString::to_string);
         format!("the peer's document is not valid: {}", first.unwrap_or_default())
     })
@@ -191,20 +191,20 @@
 fn retry_after(error: &StoreError) -> Duration {
     match error {
         StoreError::Unavailable { retry_after, .. } => {
-            (*retry_after).clamp(CONFIRM_INTERVAL, CONFIRM_RETRY_MAX)
+            (*retry_after).clamp(CONFIRM_INTERVAL, CONFIRM_BACKOFF_MAX)
         }
         StoreError::Ambiguous { .. } => CONFIRM_INTERVAL,
     }
 }
 
-fn report_change(last_seen: &mut Freshness, shared: &Shared) {
+fn report_freshness(last_reported: &mut Freshness, shared: &Shared) {
     let freshness = shared.decide();
     let fresh = if freshness == Freshness::Fresh { 1.0 } else { 0.0 };
     metrics::gauge!("burdockroad_document_fresh").set(fresh);
-    if freshness == *last_seen {
+    if freshness == *last_reported {
         return;
     }
-    *last_seen = freshness;
+    *last_reported = freshness;
     let version = shared.version();
     match freshness {
         Freshness::Fresh => log::info!("event=document_fresh version={version}"),
--- a/crates/burdockroad-daemon/src/coordinator.rs
+++ b/crates/burdockroad-daemon/src/coordinator.rs
@@ -1,10 +1,11 @@
-//! Keeps this host in the fleet: membership, the ownership map, takeovers and handoffs.
+//! Coordination of this host with the fleet: membership, the ownership map, takeovers and handoffs.
 //!
-//! [`Views`] are made first, since the journal and the trees watch them. Then come the journal, as a
-//! [`JournalHandle`], the trees, and at last the [`Coordinator`], which needs both.
+//! The [`Views`] are created first, because the journal and the trees subscribe to them. The journal
+//! (a [`JournalHandle`]) and the trees follow. The [`Coordinator`] is created last, because it needs
+//! both.
 
 mod journal_handle;
-mod leftovers;
+mod orphaned_journals;
 mod rejoin;
 mod views;
 mod worker;
@@ -31,26 +32,26 @@
     config_watch::DocumentGossip,
     handoff::{Handoff, StagingAdopter, TreeSender},
     journal::Trees,
-    membership::{Lease, MembershipArguments, MembershipHandle, Standing},
+    membership::{Lease, MembershipArguments, MembershipHandle, MembershipSnapshot},
     ownership::{MapStore, OwnershipArguments, OwnershipHandle, OwnershipReceiver, PeersReceiver, Staging},
     peer::{AdoptHandler, HeartbeatHandler, PeerClients},
     platform::{HostList, SharedKeyValue},
     takeover::{JournalRecovery, Takeover},
 };
 
-/// Time beyond its patience after which a shutdown no longer waits for the worker.
+/// Time that a shutdown waits for the worker beyond the timeout given to the worker.
 const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
 
-/// What a coordinator works with.
+/// Dependencies and settings of a [`Coordinator`].
 #[derive(Debug)]
 pub struct CoordinatorOptions {
-    /// What it publishes to.
+    /// Views that the coordinator updates.
     pub views: Views,
-    /// IP number and port for peers.
+    /// IP address and port on which peers reach this host.
     pub peer_address: String,
-    /// Failure domain that this host stands in.
+    /// Failure domain of this host.
     pub failure_domain: String,
-    /// Times and sizes of the membership.
+    /// Timeouts and limits of the membership protocol.
     pub membership: Options,
     /// The platform's key-value service.
     pub store: SharedKeyValue,
@@ -60,15 +61,15 @@
     pub journal: Arc<JournalHandle>,
     /// Journals of other processes.
     pub recovery: Arc<dyn JournalRecovery>,
-    /// The trees that are served here.
+    /// The program trees that this host serves.
     pub trees: Arc<dyn Trees>,
-    /// Connections to the peers.
+    /// Connections to peers.
     pub clients: Arc<PeerClients>,
-    /// The document's version and age, which go with the heartbeats.
+    /// Source of the configuration document's version and age, which heartbeats carry.
     pub document: Arc<dyn DocumentGossip>,
 }
 
-/// Why a coordinator did not start.
+/// Error returned when a coordinator fails to start.
 #[derive(Debug)]
 pub struct StartError(ractor::SpawnErr);
 
@@ -86,7 +87,7 @@
     }
 }
 
-/// Keeps this host in the fleet until it is shut down.
+/// Membership, partition ownership, takeovers and handoffs of this host, until shutdown.
 #[derive(Debug)]
 pub struct Coordinator {
     ownership: OwnershipHandle,
@@ -99,7 +100,7 @@
 }
 
 impl Coordinator {
-    /// Starts to send heartbeats and to take part in the ownership of partitions.
+    /// Starts sending heartbeats and taking part in partition ownership.
     ///
     /// # Errors
     ///
@@ -143,37 +144,37 @@
         })
     }
 
-    /// The ownership map as this host knows it.
+    /// Returns a receiver of this host's copy of the ownership map.
     pub fn ownership(&self) -> OwnershipReceiver {
         self.ownership.view()
     }
 
-    /// Peers that this host has heard from lately.
+    /// Returns a receiver of the peers that this host tracks.
     pub fn peers(&self) -> PeersReceiver {
         self.membership.peers()
     }
 
-    /// Whether this process may act as an owner.
+    /// Returns the lease under which this process may act as an owner.
     pub fn lease(&self) -> Arc<Lease> {
         Arc::clone(&self.lease)
     }
 
-    /// The journal of this process, whichever incarnation it goes on as.
+    /// Returns the journal of this process, which stays valid across incarnations.
     pub fn journal(&self) -> Arc<JournalHandle> {
         Arc::clone(&self.journal)
     }
 
-    /// What the membership says, after each tick.
-    pub fn standing(&self) -> tokio::sync::watch::Receiver<Arc<Standing>> {
-        self.membership.standing()
+    /// Returns a receiver of the membership snapshot, which is updated on each tick.
+    pub fn snapshot(&self) -> tokio::sync::watch::Receiver<Arc<MembershipSnapshot>> {
+        self.membership.snapshot()
     }
 
-    /// Answers heartbeats of peers.
+    /// Returns the handler of heartbeats from peers.
     pub fn heartbeat_handler(&self) -> Arc<dyn HeartbeatHandler> {
         Arc::new(self.membership.clone())
     }
 
-    /// Takes trees from peers.
+    /// Returns the handler of program trees that peers hand off to this host.
     pub fn adopt_handler(&self) -> Arc<dyn AdoptHandler> {
         Arc::new(StagingAdopter {
             ownership: self.ownership.clone(),
@@ -181,37 +182,38 @@
         })
     }
 
-    /// Starts to move everything to other hosts; this host stays up and forwards calls.
+    /// Starts handing all partitions off to other hosts. This host stays up and forwards calls.
     pub fn drain(&self) {
         self.membership.leave();
     }
 
-    /// Stops at once and moves nothing, as if the process had been killed.
+    /// Stops immediately without handing off partitions, as if the process had been killed.
     pub fn abort(self) {
         self.worker.abort();
         self.membership.close();
         self.ownership.close();
     }
 
-    /// Moves everything to other hosts, as far as `patience` allows, and stops.
+    /// Hands off partitions to other hosts for at most `timeout`, then stops.
     ///
-    /// What could not be moved stays in the journal, and another host takes it over. Returns the number
-    /// of partitions that were left.
-    pub async fn shutdown(self, patience: Duration) -> usize {
+    /// Partitions that could not be handed off stay in the journal, and another host takes them over.
+    /// Returns the number of these partitions.
+    pub async fn shutdown(self, timeout: Duration) -> usize {
         self.membership.leave();
-        let (reply, left) = oneshot::channel();
-        let command = Command::Shutdown { patience, reply };
-        let left = match self.commands.send(command).await {
-            Ok(()) => tokio::time::timeout(patience + SHUTDOWN_MARGIN, left).await,
+        let (reply, remaining) = oneshot::channel();
+        let command = Command::Shutdown { timeout, reply };
+        let remaining = match self.commands.send(command).await {
+            Ok(()) => tokio::time::timeout(timeout + SHUTDOWN_MARGIN, remaining).await,
             Err(_) => Ok(Ok(0)),
         };
-        // A worker that cannot answer, for instance since the store is down, leaves what there is.
+        // If the worker does not respond (for example because the store is unavailable), all owned
+        // partitions count as remaining.
         let owned = self.ownership.view().borrow().own_partitions().len();
-        let left = left.ok().and_then(Result::ok).unwrap_or(owned);
+        let remaining = remaining.ok().and_then(Result::ok).unwrap_or(owned);
         self.worker.abort();
         self.membership.close();
         self.ownership.close();
-        left
+        remaining
     }
 }
 
--- a/crates/burdockroad-daemon/src/coordinator/journal_handle.rs
+++ b/crates/burdockroad-daemon/src/coordinator/journal_handle.rs
@@ -1,4 +1,4 @@
-//! The journal of this process, which changes with its incarnation.
+//! Handle of this process's journal, which is replaced with each new incarnation.
 
 use std::{
     fmt,
@@ -11,29 +11,29 @@
 
 use crate::journal::{Appended, Durability, Journal, JournalError};
 
-/// Pause before the journal of another incarnation is opened.
-const REOPEN_PAUSE: Duration = Duration::from_millis(200);
+/// Backoff before a journal is opened under another incarnation.
+const REOPEN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Opens journals.
+/// Factory of journals.
 #[async_trait]
 pub trait JournalFactory: fmt::Debug + Send + Sync {
-    /// Opens the journal of a new process, and returns once the process can be fenced for good.
+    /// Opens the journal of a new process. Returns once the process can be fenced permanently.
     ///
     /// # Errors
     ///
-    /// Fails when the journal was sealed before it was open.
+    /// Fails when the journal was sealed before it was fully open.
     async fn open(&self, process: Process) -> Result<Arc<dyn Journal>, JournalError>;
 }
 
-/// Passes records to the journal of the present incarnation.
+/// Handle that passes records to the journal of the current incarnation.
 ///
 /// # Use
 ///
-/// After this process was fenced, its trees are cleared *before* the next incarnation's journal is put
-/// in place. Whoever appends a record of a tree must therefore hold what [`Trees::clear`] has to take,
-/// or hold on to the journal that was [`current`](Self::current) when the tree was adopted: a check that
-/// the tree is owned, followed by an append at some later time, could add a record of a lost tree to
-/// the new journal.
+/// After this process is fenced, its trees are cleared *before* the next incarnation's journal is
+/// installed. Code that appends a record of a tree must therefore hold the lock that [`Trees::clear`]
+/// takes, or keep the journal that was [`current`](Self::current) when the tree was adopted.
+/// Otherwise a tree could be lost between the ownership check and the append, and its record would
+/// go to the new journal.
 ///
 /// [`Trees::clear`]: crate::journal::Trees::clear
 #[derive(Debug)]
@@ -49,9 +49,10 @@
 }
 
 impl JournalHandle {
-    /// Opens the journal of a process; of another incarnation, when the first one is sealed meanwhile.
+    /// Opens the journal of a process. If that journal is sealed while it is being opened, opens the
+    /// journal of a new incarnation instead.
     ///
-    /// Waits while the key-value service is down.
+    /// Waits while the key-value service is unavailable.
     pub async fn open(factory: Arc<dyn JournalFactory>, process: Process) -> Self {
         let open = open_journal(factory.as_ref(), process).await;
         Self {
@@ -60,22 +61,22 @@
         }
     }
 
-    /// The process that the journal belongs to.
+    /// Returns the process that the journal belongs to.
     pub fn process(&self) -> Process {
         self.read(|open| open.process.clone())
     }
 
-    /// The journal of the present incarnation.
+    /// Returns the journal of the current incarnation.
     pub fn current(&self) -> Arc<dyn Journal> {
         self.read(|open| Arc::clone(&open.journal))
     }
 
-    /// Whether the journal is known to be sealed, so that this process owns nothing any more.
+    /// Returns whether this process has seen that its journal is sealed. It then owns no partitions.
     pub fn is_fenced(&self) -> bool {
         self.admit(Durability::Stored) == Err(JournalError::Fenced)
     }
 
-    /// Opens the journal of a new incarnation and puts it in place.
+    /// Opens the journal of a new incarnation and installs it as the current one.
     pub(super) async fn reopen(&self) -> Process {
         let next = next_incarnation(&self.process());
         let opened = open_journal(self.factory.as_ref(), next).await;
@@ -96,7 +97,7 @@
             Ok(journal) => return Open { process, journal },
             Err(cause) => log::warn!("event=journal_not_opened reason=\"{cause}\""),
         }
-        tokio::time::sleep(REOPEN_PAUSE).await;
+        tokio::time::sleep(REOPEN_BACKOFF).await;
         process = next_incarnation(&process);
     }
 }
--- a/crates/burdockroad-daemon/src/coordinator/rejoin.rs
+++ b/crates/burdockroad-daemon/src/coordinator/rejoin.rs
@@ -1,4 +1,4 @@
-//! Going on as a new process after another one has sealed this process's journal.
+//! Restart as a new incarnation after another process has sealed this process's journal.
 
 use burdockroad::ownership::Process;
 
@@ -8,10 +8,11 @@
     ownership::{ChangeError, PARTITIONS},
 };
 
-/// Forgets everything that this process owned, and goes on as a new incarnation that owns nothing.
+/// Drops all state that this process owned, and resumes as a new incarnation that owns no partitions.
 ///
-/// The order matters: nothing more is adopted, then the trees are forgotten, and only then does the new
-/// journal take records. Handoffs and takeovers of the old incarnation must have been cancelled.
+/// The order matters: adoption of trees stops first, then the trees are cleared, and only then does
+/// the new journal accept records. The caller must have cancelled the handoffs and takeovers of the
+/// old incarnation.
 ///
 /// # Errors
 ///
@@ -19,7 +20,7 @@
 pub async fn rejoin(handoff: &Handoff, journal: &JournalHandle) -> Result<Process, ChangeError> {
     handoff.ownership.fence().await?;
     handoff.trees.clear().await;
-    // A handoff that was cancelled may have left partitions that take no calls.
+    // A cancelled handoff may have left partitions that do not accept calls.
     handoff.trees.resume((0..PARTITIONS).collect()).await;
     let me = journal.reopen().await;
     handoff.staging.restart(me.clone(), journal.current()).await;
--- a/crates/burdockroad-daemon/src/coordinator/views.rs
+++ b/crates/burdockroad-daemon/src/coordinator/views.rs
@@ -1,4 +1,4 @@
-//! What the other parts of a daemon see of the fleet.
+//! Views of the fleet that the coordinator publishes to the rest of the daemon.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
     ownership::{OwnershipReceiver, OwnershipView, PeersReceiver, PeersView},
 };
 
-/// The ownership map, the peers and the lease, before a coordinator fills them.
+/// Published ownership map, peers and lease, which are empty until a coordinator updates them.
 #[derive(Clone, Debug)]
 pub struct Views {
     me: Process,
@@ -20,7 +20,7 @@
 }
 
 impl Views {
-    /// Makes empty views for a new process on a host.
+    /// Creates empty views for a new process on a host.
     pub fn new(host_id: HostId) -> Self {
         let me = Process {
             host_id,
@@ -39,22 +39,22 @@
         }
     }
 
-    /// The process as which this host starts.
+    /// Returns the process as which this host starts.
     pub fn me(&self) -> Process {
         self.me.clone()
     }
 
-    /// The ownership map as this host knows it.
+    /// Returns a receiver of this host's copy of the ownership map.
     pub fn ownership(&self) -> OwnershipReceiver {
         self.ownership.subscribe()
     }
 
-    /// Peers that this host has heard from lately.
+    /// Returns a receiver of the peers that this host tracks.
     pub fn peers(&self) -> PeersReceiver {
         self.peers.subscribe()
     }
 
-    /// Whether this process may act as an owner.
+    /// Returns the lease under which this process may act as an owner.
     pub fn lease(&self) -> Arc<Lease> {
         Arc::clone(&self.lease)
     }
--- a/crates/burdockroad-daemon/src/coordinator/worker.rs
+++ b/crates/burdockroad-daemon/src/coordinator/worker.rs
@@ -1,4 +1,4 @@
-//! The task that acts on what the membership says.
+//! Background task that acts on membership changes: map refreshes, takeovers, handoffs and cleanup.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,59 +18,59 @@
 };
 
 use crate::{
-    coordinator::{journal_handle::JournalHandle, leftovers::Leftovers, rejoin::rejoin},
+    coordinator::{journal_handle::JournalHandle, orphaned_journals::OrphanedJournals, rejoin::rejoin},
     handoff::{Handoff, HandoffError},
-    membership::{MembershipHandle, Standing},
+    membership::{MembershipHandle, MembershipSnapshot},
     ownership::OwnershipHandle,
     takeover::Takeover,
 };
 
-/// Time that a process waits for listed hosts before it makes the first map without them.
+/// Time that a process waits for all listed hosts before it creates the first map without them.
 const FIRST_MAP_WAIT: Duration = Duration::from_secs(2);
 
-/// Time between two readings of the map when no peer tells of a newer one.
+/// Interval between two reads of the map when no peer reports a newer one.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Shortest time between two readings of the map.
+/// Minimum interval between two reads of the map.
 const REFRESH_INTERVAL_MIN: Duration = Duration::from_millis(200);
 
-/// Time by which each host starts a takeover after the one that ranks before it.
+/// Delay of each host's takeover after that of the host ranked before it.
 const TAKEOVER_RANK_DELAY: Duration = Duration::from_millis(500);
 
-/// Time between two tries of a takeover that failed.
+/// Minimum time between the starts of two attempts at the same takeover.
 const TAKEOVER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Time for which the set of hosts must not have changed before partitions are moved.
+/// Time for which the set of live hosts must have been unchanged before partitions are moved.
 const REBALANCE_SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// Time between two tries to move partitions after one that failed.
+/// Minimum time between the starts of two rebalancing attempts.
 const REBALANCE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Time that a move to a new host waits for running calls.
-const REBALANCE_PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout of the handoffs of one rebalancing attempt, including the wait for running calls.
+const REBALANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest number of partitions that move together.
+/// Maximum number of partitions in one handoff.
 const HANDOFF_PARTITIONS_MAX: usize = 32;
 
-/// Time between two searches for journals that nothing needs any more.
-const LEFTOVERS_INTERVAL: Duration = Duration::from_secs(30);
+/// Minimum time between the starts of two sweeps for orphaned journals.
+const ORPHAN_SWEEP_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Name by which the host is chosen that searches for those journals.
-const LEFTOVERS_NAME: &str = "leftovers";
+/// Rendezvous key that selects the host which sweeps orphaned journals.
+const ORPHAN_SWEEP_KEY: &str = "leftovers";
 
-/// What the coordinator asks of the worker.
+/// Commands from the coordinator to the worker.
 #[derive(Debug)]
 pub(super) enum Command {
-    /// Moves everything away and tells how many partitions were left.
+    /// Hands off all partitions and replies with the number that remain.
     Shutdown {
-        /// Time for all of it.
-        patience: Duration,
-        /// Number of partitions that were left.
+        /// Timeout of the whole shutdown.
+        timeout: Duration,
+        /// Receives the number of partitions that remain.
         reply: oneshot::Sender<usize>,
     },
 }
 
-/// Table of what is under way.
+/// State of the worker: running takeovers, moves, sweeps and map refreshes.
 #[derive(Debug)]
 pub(super) struct Worker {
     membership: MembershipHandle,
@@ -79,25 +79,25 @@
     handoff: Handoff,
     journal: Arc<JournalHandle>,
     fenced: Arc<Notify>,
-    leftovers: Arc<Mutex<Leftovers>>,
+    orphaned_journals: Arc<Mutex<OrphanedJournals>>,
     started_at: Instant,
-    takeovers: BTreeMap<Process, Attempt>,
-    refresh: Attempt,
-    moves: Attempt,
-    sweep: Attempt,
+    takeovers: BTreeMap<Process, RepeatedTask>,
+    refresh: RepeatedTask,
+    rebalance: RepeatedTask,
+    sweep: RepeatedTask,
     hosts: Vec<Member>,
-    hosts_since: Instant,
+    hosts_changed_at: Instant,
 }
 
-/// A task that is tried again and again.
+/// Task that is started repeatedly, with at most one run at a time.
 #[derive(Debug)]
-struct Attempt {
+struct RepeatedTask {
     first_due: Instant,
     last_start: Option<Instant>,
     task: Option<JoinHandle<()>>,
 }
 
-impl Attempt {
+impl RepeatedTask {
     fn new(now: Instant) -> Self {
         Self {
             first_due: now,
@@ -110,7 +110,7 @@
         self.task.as_ref().is_some_and(|task| !task.is_finished())
     }
 
-    /// Whether it is not under way and was last started at least `interval` ago.
+    /// Returns whether the task is not running and was last started at least `interval` ago.
     fn is_due(&self, now: Instant, interval: Duration) -> bool {
         !self.is_running() && self.last_start.is_none_or(|start| now - start >= interval)
     }
@@ -123,7 +123,7 @@
     async fn cancel(&mut self) {
         if let Some(task) = self.task.take() {
             task.abort();
-            // It ends with the news that it was aborted.
+            // The result is the cancellation error of the abort.
             let _ = task.await;
         }
     }
@@ -145,66 +145,66 @@
             handoff,
             journal,
             fenced,
-            leftovers: Arc::default(),
+            orphaned_journals: Arc::default(),
             started_at: now,
             takeovers: BTreeMap::new(),
-            refresh: Attempt::new(now),
-            moves: Attempt::new(now),
-            sweep: Attempt::new(now),
+            refresh: RepeatedTask::new(now),
+            rebalance: RepeatedTask::new(now),
+            sweep: RepeatedTask::new(now),
             hosts: Vec::new(),
-            hosts_since: now,
+            hosts_changed_at: now,
         }
     }
 
-    /// Works until a shutdown is asked for.
+    /// Runs until a shutdown is requested.
     pub(super) async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
-        let mut standing = self.membership.standing();
+        let mut snapshots = self.membership.snapshot();
         let fenced = Arc::clone(&self.fenced);
         loop {
             tokio::select! {
                 command = commands.recv() => {
-                    if let Some(Command::Shutdown { patience, reply }) = command {
-                        let left = self.leave(patience).await;
+                    if let Some(Command::Shutdown { timeout, reply }) = command {
+                        let remaining = self.leave(timeout).await;
                         // The coordinator may have been dropped meanwhile.
-                        let _ = reply.send(left);
+                        let _ = reply.send(remaining);
                     }
                     return;
                 }
                 () = fenced.notified() => self.rejoin().await,
-                changed = standing.changed() => {
+                changed = snapshots.changed() => {
                     if changed.is_err() {
                         return;
                     }
-                    let seen = Arc::clone(&standing.borrow_and_update());
-                    self.step(&seen).await;
+                    let snapshot = Arc::clone(&snapshots.borrow_and_update());
+                    self.step(&snapshot).await;
                 }
             }
         }
     }
 
-    async fn step(&mut self, standing: &Standing) {
+    async fn step(&mut self, snapshot: &MembershipSnapshot) {
         if self.journal.is_fenced() {
             self.rejoin().await;
             return;
         }
         let now = Instant::now();
-        self.note_hosts(standing, now);
-        self.refresh_map(standing, now);
-        self.start_takeovers(standing, now);
-        self.start_move(standing, now);
-        self.start_sweep(standing, now);
+        self.observe_hosts(snapshot, now);
+        self.refresh_map(snapshot, now);
+        self.start_takeovers(snapshot, now);
+        self.start_move(snapshot, now);
+        self.start_sweep(snapshot, now);
     }
 
-    fn note_hosts(&mut self, standing: &Standing, now: Instant) {
-        if self.hosts != standing.alive {
-            self.hosts.clone_from(&standing.alive);
-            self.hosts_since = now;
+    fn observe_hosts(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
+        if self.hosts != snapshot.live {
+            self.hosts.clone_from(&snapshot.live);
+            self.hosts_changed_at = now;
         }
     }
 
-    fn refresh_map(&mut self, standing: &Standing, now: Instant) {
+    fn refresh_map(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
         let version = self.ownership.map().version;
-        let newer = standing.ownership_version > version || version == 0;
+        let newer = snapshot.ownership_version > version || version == 0;
         let interval = if newer {
             REFRESH_INTERVAL_MIN
         } else {
@@ -213,61 +213,61 @@
         if !self.refresh.is_due(now, interval) {
             return;
         }
-        let may_create = standing.complete || now - self.started_at >= FIRST_MAP_WAIT;
-        let candidates = may_create.then(|| candidates(standing));
+        let may_create = snapshot.complete || now - self.started_at >= FIRST_MAP_WAIT;
+        let candidates = may_create.then(|| candidates(snapshot));
         let ownership = self.ownership.clone();
         self.refresh.start(now, refresh(ownership, candidates));
     }
 
-    fn start_takeovers(&mut self, standing: &Standing, now: Instant) {
-        let gone: BTreeSet<&Process> = standing.gone.iter().map(|gone| &gone.process).collect();
+    fn start_takeovers(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
+        let failed: BTreeSet<&Process> = snapshot.gone.iter().map(|gone| &gone.process).collect();
         self.takeovers
-            .retain(|process, attempt| gone.contains(process) || attempt.is_running());
-        for Gone { process, .. } in &standing.gone {
-            let delay = self.takeover_delay(process, standing);
-            let attempt = self
+            .retain(|process, task| failed.contains(process) || task.is_running());
+        for Gone { process, .. } in &snapshot.gone {
+            let delay = self.takeover_delay(process, snapshot);
+            let task = self
                 .takeovers
                 .entry(process.clone())
-                .or_insert_with(|| Attempt::new(now));
-            if now - attempt.first_due < delay || !attempt.is_due(now, TAKEOVER_RETRY_DELAY) {
+                .or_insert_with(|| RepeatedTask::new(now));
+            if now - task.first_due < delay || !task.is_due(now, TAKEOVER_RETRY_DELAY) {
                 continue;
             }
-            attempt.start(
+            task.start(
                 now,
                 take_over(self.takeover.clone(), self.membership.clone(), process.clone()),
             );
         }
     }
 
-    fn takeover_delay(&self, gone: &Process, standing: &Standing) -> Duration {
+    fn takeover_delay(&self, failed: &Process, snapshot: &MembershipSnapshot) -> Duration {
         let me = self.ownership.me().host_id;
-        let live = staying_hosts(standing);
-        let rank = takeover_rank(gone, &me, live);
+        let hosts = remaining_hosts(snapshot);
+        let rank = takeover_rank(failed, &me, hosts);
         TAKEOVER_RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
-    fn start_move(&mut self, standing: &Standing, now: Instant) {
-        let settled = now - self.hosts_since >= REBALANCE_SETTLE_TIME;
-        let taking_over = self.takeovers.values().any(Attempt::is_running);
-        if !settled || taking_over || !standing.gone.is_empty() {
+    fn start_move(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
+        let hosts_settled = now - self.hosts_changed_at >= REBALANCE_SETTLE_TIME;
+        let takeover_running = self.takeovers.values().any(RepeatedTask::is_running);
+        if !hosts_settled || takeover_running || !snapshot.gone.is_empty() {
             return;
         }
-        if !self.moves.is_due(now, REBALANCE_RETRY_DELAY) {
+        if !self.rebalance.is_due(now, REBALANCE_RETRY_DELAY) {
             return;
         }
-        let groups = self.planned_moves(standing);
+        let groups = self.planned_moves(snapshot);
         if !groups.is_empty() {
             let (handoff, membership) = (self.handoff.clone(), self.membership.clone());
-            self.moves
-                .start(now, move_groups(handoff, membership, groups, REBALANCE_PATIENCE));
+            self.rebalance
+                .start(now, move_groups(handoff, membership, groups, REBALANCE_TIMEOUT));
         }
     }
 
-    /// What this process should hand off, by the new owner.
-    fn planned_moves(&self, standing: &Standing) -> Vec<Group> {
+    /// Returns the partitions that this process should hand off, grouped by their new owner.
+    fn planned_moves(&self, snapshot: &MembershipSnapshot) -> Vec<HandoffGroup> {
         let me = self.ownership.me();
         let mut groups: BTreeMap<Process, Vec<PartitionId>> = BTreeMap::new();
-        for step in rebalance(&self.ownership.map(), &candidates(standing)) {
+        for step in rebalance(&self.ownership.map(), &candidates(snapshot)) {
             if step.from == me {
                 groups.entry(step.to).or_default().push(step.partition);
             }
@@ -275,8 +275,8 @@
         groups
             .into_iter()
             .filter_map(|(process, partitions)| {
-                let to = standing.alive.iter().find(|member| member.process == process)?;
-                Some(Group {
+                let to = snapshot.live.iter().find(|member| member.process == process)?;
+                Some(HandoffGroup {
                     to: to.clone(),
                     partitions,
                 })
@@ -284,27 +284,27 @@
             .collect()
     }
 
-    fn start_sweep(&mut self, standing: &Standing, now: Instant) {
-        if !self.sweep.is_due(now, LEFTOVERS_INTERVAL) || self.ownership.map().version == 0 {
+    fn start_sweep(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
+        if !self.sweep.is_due(now, ORPHAN_SWEEP_INTERVAL) || self.ownership.map().version == 0 {
             return;
         }
         let me = self.ownership.me().host_id;
-        let first = rendezvous_order(LEFTOVERS_NAME, staying_hosts(standing)).first() == Some(&me);
-        if !first {
+        let is_selected = rendezvous_order(ORPHAN_SWEEP_KEY, remaining_hosts(snapshot)).first() == Some(&me);
+        if !is_selected {
             return;
         }
-        let alive: BTreeSet<Process> = standing
-            .alive
+        let live: BTreeSet<Process> = snapshot
+            .live
             .iter()
             .map(|member| member.process.clone())
             .collect();
-        let (leftovers, takeover) = (Arc::clone(&self.leftovers), self.takeover.clone());
+        let (orphaned_journals, takeover) = (Arc::clone(&self.orphaned_journals), self.takeover.clone());
         self.sweep.start(now, async move {
-            leftovers.lock().await.sweep(&takeover, &alive).await;
+            orphaned_journals.lock().await.sweep(&takeover, &live).await;
         });
     }
 
-    /// Forgets everything and goes on as a new process.
+    /// Drops all owned state and resumes as a new process.
     async fn rejoin(&mut self) {
         let former = self.ownership.me();
         log::warn!(
@@ -320,29 +320,30 @@
     }
 
     async fn cancel_all(&mut self) {
-        for attempt in self.takeovers.values_mut() {
-            attempt.cancel().await;
+        for task in self.takeovers.values_mut() {
+            task.cancel().await;
         }
         self.takeovers.clear();
-        self.moves.cancel().await;
+        self.rebalance.cancel().await;
         self.sweep.cancel().await;
     }
 
-    /// Moves everything away within `patience`; returns the number of partitions that are left.
-    async fn leave(&mut self, patience: Duration) -> usize {
-        let deadline = Instant::now() + patience;
-        // A move under way is not cancelled: it may be between the copies and the map.
-        if let Some(task) = self.moves.task.take() {
+    /// Hands off all partitions within `timeout`. Returns the number of partitions that remain.
+    async fn leave(&mut self, timeout: Duration) -> usize {
+        let deadline = Instant::now() + timeout;
+        // A running handoff is not cancelled, because it may have copied the trees without having changed
+        // the map yet.
+        if let Some(task) = self.rebalance.task.take() {
             let _ = tokio::time::timeout_at(deadline, task).await;
         }
         loop {
             let me = self.ownership.me();
-            let left = self.ownership.map().partitions_of(&me).len();
-            let standing = self.standing_without_me();
-            let groups = self.planned_moves(&standing);
+            let remaining = self.ownership.map().partitions_of(&me).len();
+            let snapshot = self.snapshot_as_leaving();
+            let groups = self.planned_moves(&snapshot);
             let now = Instant::now();
-            if left == 0 || groups.is_empty() || now >= deadline {
-                return left;
+            if remaining == 0 || groups.is_empty() || now >= deadline {
+                return remaining;
             }
             let moves = move_groups(
                 self.handoff.clone(),
@@ -355,26 +356,26 @@
         }
     }
 
-    fn standing_without_me(&self) -> Standing {
-        let mut standing = Standing::clone(&self.membership.standing().borrow());
+    fn snapshot_as_leaving(&self) -> MembershipSnapshot {
+        let mut snapshot = MembershipSnapshot::clone(&self.membership.snapshot().borrow());
         let me = self.ownership.me();
-        for member in &mut standing.alive {
+        for member in &mut snapshot.live {
             member.leaving |= member.process == me;
         }
-        standing
+        snapshot
     }
 }
 
-/// Partitions that go to one process.
+/// Partitions to hand off to one process.
 #[derive(Debug)]
-struct Group {
+struct HandoffGroup {
     to: Member,
     partitions: Vec<PartitionId>,
 }
 
-fn candidates(standing: &Standing) -> Vec<Candidate> {
-    standing
-        .alive
+fn candidates(snapshot: &MembershipSnapshot) -> Vec<Candidate> {
+    snapshot
+        .live
         .iter()
         .map(|member| Candidate {
             process: member.process.clone(),
@@ -384,19 +385,19 @@
         .collect()
 }
 
-/// Hosts that are up and stay; all that are up when none stays.
-fn staying_hosts(standing: &Standing) -> Vec<HostId> {
+/// Returns the live hosts that are not leaving, or all live hosts when every one is leaving.
+fn remaining_hosts(snapshot: &MembershipSnapshot) -> Vec<HostId> {
     let ids = |members: Vec<&Member>| {
         members
             .into_iter()
             .map(|member| member.process.host_id.clone())
             .collect()
     };
-    let staying: Vec<&Member> = standing.alive.iter().filter(|member| !member.leaving).collect();
-    if staying.is_empty() {
-        return ids(standing.alive.iter().collect());
+    let remaining: Vec<&Member> = snapshot.live.iter().filter(|member| !member.leaving).collect();
+    if remaining.is_empty() {
+        return ids(snapshot.live.iter().collect());
     }
-    ids(staying)
+    ids(remaining)
 }
 
 async fn refresh(ownership: OwnershipHandle, candidates: Option<Vec<Candidate>>) {
@@ -414,47 +415,52 @@
     }
 }
 
-async fn take_over(takeover: Takeover, membership: MembershipHandle, gone: Process) {
-    match takeover.take_over(&gone).await {
-        Ok(_) => membership.beat(),
+async fn take_over(takeover: Takeover, membership: MembershipHandle, failed: Process) {
+    match takeover.take_over(&failed).await {
+        Ok(_) => membership.send_heartbeats(),
         Err(cause) => log::warn!(
             "event=takeover_failed from={} incarnation={:016x} reason=\"{cause}\"",
-            gone.host_id,
-            gone.incarnation
+            failed.host_id,
+            failed.incarnation
         ),
     }
 }
 
-async fn move_groups(handoff: Handoff, membership: MembershipHandle, groups: Vec<Group>, patience: Duration) {
-    let deadline = Instant::now() + patience;
+async fn move_groups(
+    handoff: Handoff,
+    membership: MembershipHandle,
+    groups: Vec<HandoffGroup>,
+    timeout: Duration,
+) {
+    let deadline = Instant::now() + timeout;
     for group in groups {
         for partitions in group.partitions.chunks(HANDOFF_PARTITIONS_MAX) {
-            let patience = deadline.saturating_duration_since(Instant::now());
-            move_chunk(&handoff, partitions, &group.to, patience).await;
-            membership.beat();
+            let timeout = deadline.saturating_duration_since(Instant::now());
+            move_chunk(&handoff, partitions, &group.to, timeout).await;
+            membership.send_heartbeats();
         }
     }
 }
 
-/// Moves partitions together, or one by one when calls of some of them run.
-async fn move_chunk(handoff: &Handoff, partitions: &[PartitionId], to: &Member, patience: Duration) {
-    // Half of the time is left for moving those that are free.
-    match handoff.hand_off(partitions, to, patience / 2).await {
+/// Hands off partitions together, or one by one when some of them have running calls.
+async fn move_chunk(handoff: &Handoff, partitions: &[PartitionId], to: &Member, timeout: Duration) {
+    // The other half of the timeout is reserved for handing off the partitions without running calls.
+    match handoff.hand_off(partitions, to, timeout / 2).await {
         Err(HandoffError::Busy) if partitions.len() > 1 => {}
         outcome => {
-            report(to, outcome);
+            log_failure(to, outcome);
             return;
         }
     }
-    let deadline = Instant::now() + patience / 2;
+    let deadline = Instant::now() + timeout / 2;
     for partition in partitions {
-        let patience = deadline.saturating_duration_since(Instant::now());
-        let share = patience / 4;
-        report(to, handoff.hand_off(&[*partition], to, share).await);
+        let timeout = deadline.saturating_duration_since(Instant::now());
+        let partition_timeout = timeout / 4;
+        log_failure(to, handoff.hand_off(&[*partition], to, partition_timeout).await);
     }
 }
 
-fn report(to: &Member, outcome: Result<usize, HandoffError>) {
+fn log_failure(to: &Member, outcome: Result<usize, HandoffError>) {
     if let Err(cause) = outcome {
         log::warn!(
             "event=handoff_failed to={} reason=\"{cause}\"",
--- a/crates/burdockroad-daemon/src/daemon/operators.rs
+++ b/crates/burdockroad-daemon/src/daemon/operators.rs
@@ -79,7 +79,7 @@
         let view = Arc::clone(&self.ownership.borrow());
         let in_force = Arc::clone(&self.in_force.borrow());
         let peers = self.peers.borrow();
-        let heard = peers.peers.iter().filter(|(_, peer)| peer.alive);
+        let heard = peers.peers.iter().filter(|(_, peer)| peer.live);
         Status {
             host_id: view.me.host_id.clone(),
             incarnation: view.me.incarnation,
--- a/crates/burdockroad-daemon/src/dispatch/pools.rs
+++ b/crates/burdockroad-daemon/src/dispatch/pools.rs
@@ -272,7 +272,7 @@
             }
             known
         });
-        let hosts = 1 + self.peers.peers.values().filter(|peer| peer.alive).count();
+        let hosts = 1 + self.peers.peers.values().filter(|peer| peer.live).count();
         let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
         for (pool_id, set) in &self.sets {
             let owner = self.ownership.owns(partition_of(pool_id));
@@ -399,7 +399,7 @@
         return true;
     }
     let peer = peers.peers.get(&holder.host_id);
-    peer.is_some_and(|peer| peer.alive && peer.process == *holder)
+    peer.is_some_and(|peer| peer.live && peer.process == *holder)
 }
 
 fn refuse(reply: SlotReply, reason: String, retry_after: Duration) {
--- a/crates/burdockroad-daemon/src/handoff.rs
+++ b/crates/burdockroad-daemon/src/handoff.rs
@@ -1,8 +1,8 @@
-//! Handing partitions to another process, and taking them.
+//! Handoff of partitions to another process, and adoption of partitions from one.
 //!
 //! The order is the same as in a takeover: the new owner has the trees in its journal, *then* the map
-//! names it, *then* the old owner forgets them. Until the map has changed the old owner has everything
-//! and may go back to serving; it does so only when it is certain that the map did not change.
+//! names it, *then* the old owner drops the trees. Until the map changes, the old owner has all data
+//! and can resume serving. It resumes only when it is certain that the map did not change.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,13 +27,14 @@
     peer::{AdoptHandler, PeerClients},
 };
 
-/// Time within which the new owner must have made the copies durable.
+/// Timeout for the new owner to make the copies durable.
 const ADOPT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sends copies of trees to the process that is to own them next.
+/// Transport of tree copies to their next owner.
 #[async_trait]
 pub trait TreeSender: fmt::Debug + Send + Sync {
-    /// Sends one request; false, or an error of the connection, when the copies are not durable there.
+    /// Sends one request and returns whether the copies are durable at the receiver. Returns false on a
+    /// connection error or a timeout.
     async fn send(&self, address: &str, request: AdoptRequest) -> bool;
 }
 
@@ -43,32 +44,32 @@
         let Ok(mut client) = self.get(address) else {
             return false;
         };
-        let answer = tokio::time::timeout(ADOPT_TIMEOUT, client.adopt(request)).await;
-        matches!(answer, Ok(Ok(response)) if response.get_ref().durable)
+        let response = tokio::time::timeout(ADOPT_TIMEOUT, client.adopt(request)).await;
+        matches!(response, Ok(Ok(response)) if response.get_ref().durable)
     }
 }
 
-/// Moves partitions from this process to another.
+/// Handoff of partitions from this process to another.
 #[derive(Clone, Debug)]
 pub struct Handoff {
     /// The ownership map.
     pub ownership: OwnershipHandle,
-    /// Numbers the copies.
+    /// Source of the attempt numbers of copies.
     pub staging: Arc<Staging>,
-    /// The trees that are served here.
+    /// The program trees that this host serves.
     pub trees: Arc<dyn Trees>,
-    /// Reaches the new owner.
+    /// Transport to the new owner.
     pub sender: Arc<dyn TreeSender>,
 }
 
-/// Why partitions were not moved; this process serves them on.
+/// Error of a handoff. This process continues to serve the partitions that it still owns.
 #[derive(Clone, Debug)]
 pub enum HandoffError {
-    /// Calls of them run for longer than was waited.
+    /// Calls of these partitions did not finish within the timeout.
     Busy,
     /// The new owner did not make the copies durable.
     Refused,
-    /// The map was not changed.
+    /// The ownership map was not changed.
     Ownership(ChangeError),
     /// A tree could not be encoded.
     Encode(burdockroad::Error),
@@ -77,8 +78,8 @@
 impl fmt::Display for HandoffError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Busy => f.write_str("calls still run"),
-            Self::Refused => f.write_str("the new owner did not take the trees"),
+            Self::Busy => f.write_str("running calls did not finish in time"),
+            Self::Refused => f.write_str("the new owner did not accept the trees"),
             Self::Ownership(cause) => cause.fmt(f),
             Self::Encode(cause) => cause.fmt(f),
         }
@@ -88,31 +89,33 @@
 impl std::error::Error for HandoffError {}
 
 impl Handoff {
-    /// Moves those of the partitions that this process owns, all or none, and returns how many.
+    /// Hands off those of `partitions` that this process owns, all or none, and returns their number.
     ///
     /// # Errors
     ///
-    /// Fails when calls run on, when the new owner or the key-value service cannot be reached, or when
-    /// the map changed meanwhile. Then each partition is served by its one owner as before.
+    /// Fails when calls do not finish within `timeout`, when the new owner or the key-value service is
+    /// unreachable, or when the map changed concurrently. Each partition then continues to be served by
+    /// its single owner.
     pub async fn hand_off(
         &self,
         partitions: &[PartitionId],
         to: &Member,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<usize, HandoffError> {
-        // The map is fixed before the copies are made: what changes after this makes the move fail.
+        // The plan records the map version before the trees are copied, so that any later change of the map
+        // makes the handoff fail.
         let plan = self.plan(partitions, &to.process);
         if plan.partitions.is_empty() {
             return Ok(0);
         }
-        let released = self.trees.release(plan.partitions.clone(), patience).await;
+        let released = self.trees.release(plan.partitions.clone(), timeout).await;
         let trees = released.ok_or(HandoffError::Busy)?;
         let tree_count = trees.len();
         if let Err(error) = self.copy_and_move(&plan, to, trees).await {
-            self.go_back(&plan).await;
+            self.roll_back(&plan).await;
             return Err(error);
         }
-        self.trees.forget(plan.partitions.clone()).await;
+        self.trees.drop_partitions(plan.partitions.clone()).await;
         log::info!(
             "event=handed_off host={} to={} partitions={} trees={tree_count}",
             plan.me.host_id,
@@ -122,14 +125,14 @@
         Ok(plan.partitions.len())
     }
 
-    fn plan(&self, partitions: &[PartitionId], to: &Process) -> Plan {
+    fn plan(&self, partitions: &[PartitionId], to: &Process) -> HandoffPlan {
         let me = self.ownership.me();
         let map = self.ownership.map();
-        let wanted: BTreeSet<PartitionId> = partitions.iter().copied().collect();
+        let requested: BTreeSet<PartitionId> = partitions.iter().copied().collect();
         let owned: Vec<PartitionId> = map
             .partitions_of(&me)
             .into_iter()
-            .filter(|partition| wanted.contains(partition))
+            .filter(|partition| requested.contains(partition))
             .collect();
         let epochs = owned
             .iter()
@@ -143,16 +146,21 @@
                 to: to.clone(),
             })
             .collect();
-        Plan {
+        HandoffPlan {
             me,
-            base: map.version,
+            base_version: map.version,
             partitions: owned,
             epochs,
             moves,
         }
     }
 
-    async fn copy_and_move(&self, plan: &Plan, to: &Member, trees: Vec<Tree>) -> Result<(), HandoffError> {
+    async fn copy_and_move(
+        &self,
+        plan: &HandoffPlan,
+        to: &Member,
+        trees: Vec<Tree>,
+    ) -> Result<(), HandoffError> {
         let records = trees
             .into_iter()
             .map(encode_snapshot)
@@ -174,28 +182,28 @@
             return Err(HandoffError::Refused);
         }
         self.ownership
-            .change(plan.me.clone(), plan.base, plan.moves.clone())
+            .change(plan.me.clone(), plan.base_version, plan.moves.clone())
             .await
             .map_err(HandoffError::Ownership)
     }
 
-    /// Serves what is still owned, and forgets what is not.
-    async fn go_back(&self, plan: &Plan) {
+    /// Resumes serving the partitions that this process still owns, and drops the others.
+    async fn roll_back(&self, plan: &HandoffPlan) {
         let map = self.ownership.map();
-        let (kept, lost): (Vec<PartitionId>, Vec<PartitionId>) = plan
+        let (retained, lost): (Vec<PartitionId>, Vec<PartitionId>) = plan
             .partitions
             .iter()
             .partition(|&&partition| map.owner(partition).is_some_and(|owner| owner.process == plan.me));
-        self.trees.resume(kept).await;
+        self.trees.resume(retained).await;
         if !lost.is_empty() {
-            self.trees.forget(lost).await;
+            self.trees.drop_partitions(lost).await;
         }
     }
 }
 
-struct Plan {
+struct HandoffPlan {
     me: Process,
-    base: u64,
+    base_version: u64,
     partitions: Vec<PartitionId>,
     epochs: Vec<u64>,
     moves: Vec<Move>,
@@ -210,12 +218,12 @@
     record.encode()
 }
 
-/// Takes trees from peers.
+/// Handler that stages trees received from peers.
 #[derive(Clone, Debug)]
 pub struct StagingAdopter {
     /// The ownership map.
     pub ownership: OwnershipHandle,
-    /// Where the copies are made durable.
+    /// Staging area in which the received trees are made durable.
     pub staging: Arc<Staging>,
 }
 
@@ -229,12 +237,13 @@
 }
 
 impl StagingAdopter {
-    /// None for a request that is malformed, late or for another process, or that the journal refuses.
+    /// Stages the trees of a request. Returns `None` for a request that is malformed, outdated or addressed
+    /// to another process, and when the journal does not accept the trees.
     async fn stage(&self, request: AdoptRequest) -> Option<()> {
         let from = process_of(request.from.as_ref()?);
         let to = process_of(request.to.as_ref()?);
         let orders = orders(&request)?;
-        if self.is_late(&from, &orders) {
+        if self.is_outdated(&from, &orders) {
             return None;
         }
         let trees = request
@@ -249,8 +258,8 @@
         staged.ok()
     }
 
-    /// Whether the map already has later owners than the sender.
-    fn is_late(&self, from: &Process, orders: &BTreeMap<PartitionId, StageOrder>) -> bool {
+    /// Returns whether the map already names a later owner than the sender for one of the partitions.
+    fn is_outdated(&self, from: &Process, orders: &BTreeMap<PartitionId, StageOrder>) -> bool {
         let map = self.ownership.map();
         orders.iter().any(|(&partition, order)| {
             map.owner(partition).is_some_and(|owner| {
--- a/crates/burdockroad-daemon/src/journal.rs
+++ b/crates/burdockroad-daemon/src/journal.rs
@@ -1,4 +1,4 @@
-//! Durable records of the programs that a host owns.
+//! Durable journal of the programs that a host owns.
 
 mod actor;
 mod keys;
@@ -20,99 +20,101 @@
 use crate::{ownership::Process, platform::StoreError};
 pub use burdockroad::journal::{Durability, JournalError};
 
-/// Appends records in the order in which it is called.
+/// Append-only journal, which keeps records in the order of the calls.
 pub trait Journal: fmt::Debug + Send + Sync {
-    /// Queues records, and reports once they are as durable as asked.
+    /// Queues records and resolves once they have the requested durability.
     ///
     /// Records keep the order of the calls to this method. They stay queued after
-    /// [`JournalError::Unavailable`], and reach the key-value service when it is back; a caller that
-    /// gives up appends a record that says so.
+    /// [`JournalError::Unavailable`] and are written when the key-value service is available again. A
+    /// caller that gives up on its records appends a record of that decision.
     fn append(&self, records: Vec<Record>, durability: Durability) -> Appended;
 
-    /// Tells whether records of that durability can be taken now, before anything is changed for them.
+    /// Checks whether records of a durability can be accepted now, before any state is changed for them.
     ///
-    /// New work is refused on an error here, so that the queue stays bounded while the key-value
-    /// service is down; [`append`](Self::append) itself always queues.
+    /// Callers refuse new work when this fails, so that the queue stays bounded while the key-value
+    /// service is unavailable. [`append`](Self::append) itself always queues.
     ///
     /// # Errors
     ///
-    /// As [`append`](Self::append) would fail.
+    /// Fails with the error that [`append`](Self::append) would report.
     fn admit(&self, durability: Durability) -> Result<(), JournalError> {
         _ = durability;
         Ok(())
     }
 }
 
-/// Resolves once the appended records are durable, or cannot be made so in time.
+/// Receiver that resolves once the appended records are durable, or could not be made durable in time.
 pub type Appended = oneshot::Receiver<Result<(), JournalError>>;
 
-/// Reads and removes the journals of processes that are gone.
+/// Access to the journals of failed processes.
 #[async_trait]
 pub trait Recovery: fmt::Debug + Send + Sync {
-    /// Seals the journal of a process against its writer, and returns all that is held of it.
+    /// Seals the journal of a process against its writer and returns all its available records.
     ///
-    /// Sealing again, also by another successor, is harmless. After an error nothing is known of the
-    /// journal, and the caller tries again.
+    /// Sealing is idempotent, even by another successor. After an error the state of the journal is
+    /// unknown, and the caller retries.
     ///
     /// # Errors
     ///
-    /// Fails when the key-value service cannot be reached, or a segment is damaged.
-    async fn seal_and_read(&self, dead: &Process) -> Result<Recovered, RecoveryError>;
+    /// Fails when the key-value service is unreachable or a segment is damaged.
+    async fn seal_and_read(&self, failed: &Process) -> Result<Recovered, RecoveryError>;
 
-    /// Removes a sealed journal, after another one holds all that is needed of it.
+    /// Removes a sealed journal, once another journal contains all of its records that are still needed.
     ///
-    /// Its writer stays fenced. Removing again is harmless.
+    /// The writer stays fenced. Removal is idempotent.
     ///
     /// # Errors
     ///
-    /// Fails when the key-value service cannot be reached; what is left is removed by a later call.
-    async fn remove(&self, dead: &Process) -> Result<(), RecoveryError>;
+    /// Fails when the key-value service is unreachable. A later call removes the rest.
+    async fn remove(&self, failed: &Process) -> Result<(), RecoveryError>;
 
-    /// Lists the processes that have a journal, this one included.
+    /// Lists the processes that have a journal, including this one.
     ///
     /// # Errors
     ///
-    /// Fails when the key-value service cannot be reached.
+    /// Fails when the key-value service is unreachable.
     async fn journals(&self) -> Result<Vec<Process>, RecoveryError>;
 }
 
-/// What is held of a sealed journal.
+/// Records recovered from a sealed journal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovered {
-    /// The records in their order, for replay.
+    /// Records in order, for replay.
     pub records: Vec<Record>,
-    /// How many of them, at the end, only a peer held.
+    /// Number of trailing records that only a peer had.
     ///
-    /// A call that may not be repeated never left the host if its intent is one of these, since it
-    /// waits until its intent is in the key-value service.
+    /// A call that must not be repeated was never sent if its intent is one of these records, because
+    /// such a call waits until its intent is stored in the key-value service.
     pub tail_count: usize,
-    /// What became of the records that were not in the key-value service yet.
+    /// Outcome of the recovery of records that were not in the key-value service yet.
     pub tail: RecoveredTail,
 }
 
-/// What became of the records that were not in the key-value service yet.
+/// Outcome of the recovery of a journal's tail, that is, of the records that were not in the key-value
+/// service yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveredTail {
-    /// No peer held copies: every record that anybody waited for was in the key-value service.
+    /// No peer had copies. Every record that a caller waited for was in the key-value service.
     NotKept,
-    /// The peer that held the copies has sealed them and handed them over.
+    /// The peer that had the copies sealed and returned them.
     Sealed,
-    /// The peer did not answer: a later try may find more, and the old writer may still add to it.
+    /// The peer did not respond. A later attempt may find more records, and the old writer may still add
+    /// to them.
     Unreached,
-    /// The peer has restarted since, and its copies are gone.
+    /// The peer has restarted since and lost its copies.
     Lost,
 }
 
-/// Why a journal could not be sealed, read or removed.
+/// Error of sealing, reading or removing a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryError {
     /// The key-value service failed.
     Store(StoreError),
-    /// A segment cannot be understood, or one is missing between others.
+    /// A segment cannot be decoded, or one is missing from the sequence.
     Damaged {
         /// Key of the segment.
         key: String,
-        /// What is wrong with it.
+        /// Description of the damage.
         reason: String,
     },
 }
@@ -134,25 +136,25 @@
     }
 }
 
-/// The program trees that a host keeps in memory, as the journal and the ownership see them.
+/// Interface of the journal and of partition ownership to the program trees in a host's memory.
 #[async_trait]
 pub trait Trees: fmt::Debug + Send + Sync {
-    /// Takes over trees that are durable in this host's journal; a newer copy of a tree stays.
+    /// Adopts trees that are durable in this host's journal. A newer copy of a tree is retained.
     async fn adopt(&self, trees: Vec<Tree>);
 
-    /// Stops taking calls for partitions, waits up to `patience` for running calls, and returns the
-    /// trees; none when calls still run, and then calls are taken again.
-    async fn release(&self, partitions: Vec<PartitionId>, patience: Duration) -> Option<Vec<Tree>>;
+    /// Stops accepting calls for partitions, waits up to `timeout` for running calls, and returns the
+    /// trees. Returns `None` and accepts calls again when running calls did not finish in time.
+    async fn release(&self, partitions: Vec<PartitionId>, timeout: Duration) -> Option<Vec<Tree>>;
 
-    /// Takes calls again for partitions whose move did not happen.
+    /// Resumes accepting calls for partitions whose move did not happen.
     async fn resume(&self, partitions: Vec<PartitionId>);
 
-    /// Forgets the trees of partitions that another host owns now, and appends that they are dropped.
-    async fn forget(&self, partitions: Vec<PartitionId>);
+    /// Drops the trees of partitions that another host owns now, and appends records of the drops.
+    async fn drop_partitions(&self, partitions: Vec<PartitionId>);
 
-    /// Forgets all trees, after this process was fenced; running calls get an error.
+    /// Drops all trees after this process was fenced. Running calls fail with an error.
     async fn clear(&self);
 
-    /// Appends a snapshot of each of these trees that is still kept.
+    /// Appends a snapshot of each of these trees that is still in memory.
     async fn write_snapshots(&self, root_ids: Vec<ProgramId>);
 }
--- a/crates/burdockroad-daemon/src/journal/actor.rs
+++ b/crates/burdockroad-daemon/src/journal/actor.rs
@@ -1,4 +1,5 @@
-//! The actor that owns a journal's writer: replies and time go in, store and peer calls come out.
+//! Actor that drives a journal's writer: it feeds responses and timer events to the writer, and performs
+//! the store and peer requests that the writer returns.
 
 use std::{
     collections::BTreeMap,
@@ -28,54 +29,54 @@
     platform::{Expected, Put, SharedKeyValue, StoreError},
 };
 
-/// Time within which a peer takes copies.
+/// Timeout of replication to a peer.
 const REPLICATE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When a read that failed without a time to wait is tried again.
-const READ_PAUSE: Duration = Duration::from_millis(100);
+/// Backoff after a failed read for which the store gave no retry delay.
+const READ_BACKOFF: Duration = Duration::from_millis(100);
 
-/// The actor.
+/// Actor that drives the journal's writer.
 #[derive(Debug)]
 pub(super) struct JournalActor;
 
-/// What the actor is told.
+/// Messages of the actor.
 #[derive(Debug)]
 pub(super) enum JournalMessage {
-    /// Queue records.
+    /// Appends records to the queue.
     Append {
         records: Vec<Record>,
         durability: Durability,
         reply: oneshot::Sender<Result<(), JournalError>>,
         at: Instant,
     },
-    /// Ask these trees for snapshots.
+    /// Sets the trees that write snapshots on request.
     SetTrees(Weak<dyn Trees>),
-    /// The view of the peers has changed.
+    /// Reports that the view of the peers has changed.
     PeersChanged,
-    /// A segment was written, or not.
+    /// Outcome of a segment write.
     Written(WriteReply),
-    /// A segment was read back, or not.
+    /// Outcome of reading a segment back.
     ReadBack(ReadReply),
-    /// A peer took copies, or did not.
+    /// Outcome of replicating records to a peer.
     Replicated {
         from: Process,
         session: u64,
         reply: TailReply,
     },
-    /// Old segments were removed, or not.
+    /// Whether the removal of old segments succeeded.
     Removed(bool),
-    /// Time has passed.
+    /// Expiry of the poll timer.
     Poll,
 }
 
-/// What the actor starts with.
+/// Start arguments of the actor.
 #[derive(Debug)]
 pub(super) struct JournalArguments {
     pub(super) parts: JournalParts,
     pub(super) admission: watch::Sender<Admission>,
 }
 
-/// What new work may be taken at present.
+/// Admission status of new records by durability, and whether the journal is fenced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Admission {
     pub(super) queued: Result<(), JournalError>,
@@ -95,13 +96,13 @@
     }
 }
 
-/// What the actor owns.
+/// State of the actor.
 #[derive(Debug)]
 pub(super) struct JournalState {
     parts: JournalParts,
     writer: Writer,
     trees: Option<Weak<dyn Trees>>,
-    waiting: BTreeMap<Ticket, Waiting>,
+    pending: BTreeMap<Ticket, PendingAppend>,
     last_ticket: Ticket,
     admission: watch::Sender<Admission>,
     timer: Option<Timer>,
@@ -109,7 +110,7 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingAppend {
     reply: oneshot::Sender<Result<(), JournalError>>,
     at: Instant,
     durability: Durability,
@@ -133,10 +134,10 @@
     ) -> Result<Self::State, ActorProcessingErr> {
         let JournalArguments { parts, admission } = args;
         let mut peers = parts.peers.clone();
-        let listener = myself.clone();
+        let actor = myself.clone();
         let peers_task = tokio::spawn(async move {
             while peers.changed().await.is_ok() {
-                if listener.cast(JournalMessage::PeersChanged).is_err() {
+                if actor.cast(JournalMessage::PeersChanged).is_err() {
                     return;
                 }
             }
@@ -145,13 +146,13 @@
             writer: Writer::new(parts.options.clone(), Instant::now()),
             parts,
             trees: None,
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             last_ticket: 0,
             admission,
             timer: None,
             peers_task,
         };
-        state.take_peers();
+        state.update_peers();
         state.poll(&myself);
         Ok(state)
     }
@@ -162,7 +163,7 @@
         message: Self::Msg,
         state: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
-        state.take(message);
+        state.apply(message);
         state.poll(&myself);
         Ok(())
     }
@@ -181,7 +182,7 @@
 }
 
 impl JournalState {
-    fn take(&mut self, message: JournalMessage) {
+    fn apply(&mut self, message: JournalMessage) {
         let now = Instant::now();
         match message {
             JournalMessage::Append {
@@ -191,16 +192,16 @@
                 at,
             } => {
                 self.last_ticket += 1;
-                let waiting = Waiting {
+                let pending = PendingAppend {
                     reply,
                     at,
                     durability,
                 };
-                self.waiting.insert(self.last_ticket, waiting);
+                self.pending.insert(self.last_ticket, pending);
                 self.writer.append(&records, durability, self.last_ticket, now);
             }
             JournalMessage::SetTrees(trees) => self.trees = Some(trees),
-            JournalMessage::PeersChanged => self.take_peers(),
+            JournalMessage::PeersChanged => self.update_peers(),
             JournalMessage::Written(reply) => {
                 log_write(&self.parts.options.me, &reply);
                 self.writer.written(reply, now);
@@ -214,35 +215,36 @@
         }
     }
 
-    fn take_peers(&mut self) {
+    fn update_peers(&mut self) {
         let view = Arc::clone(&self.parts.peers.borrow_and_update());
         let hosts = view.peers.len() + 1;
-        let alive = alive(&view);
-        let hears_most = (alive.len() + 1) * 2 > hosts;
-        self.writer.set_peers(alive, hears_most);
+        let live = live_peers(&view);
+        let has_majority = (live.len() + 1) * 2 > hosts;
+        self.writer.set_peers(live, has_majority);
     }
 
     fn poll(&mut self, myself: &ActorRef<JournalMessage>) {
         let now = Instant::now();
         let actions = self.writer.poll(now);
-        // Before the answers, so that nobody who got one sees the state before it.
+        // Publish before callers get their results, so that no caller observes the admission status from
+        // before its own result.
         self.publish(now);
         for action in actions {
-            self.carry_out(action, myself);
+            self.execute(action, myself);
         }
         self.set_timer(myself, now);
     }
 
-    fn carry_out(&mut self, action: Action, myself: &ActorRef<JournalMessage>) {
+    fn execute(&mut self, action: Action, myself: &ActorRef<JournalMessage>) {
         let me = &self.parts.options.me;
         let store = Arc::clone(&self.parts.store);
         match action {
-            Action::Answer { ticket, result } => self.answer(ticket, result),
+            Action::Answer { ticket, result } => self.complete_append(ticket, result),
             Action::Write { segment, value } => {
                 let (me, myself) = (me.clone(), myself.clone());
                 tokio::spawn(async move {
                     let reply = write(&store, &me, segment, value).await;
-                    // A stopped actor takes no replies.
+                    // The cast fails only when the actor has stopped, and then the reply is not needed.
                     let _cast = myself.cast(JournalMessage::Written(reply));
                 });
             }
@@ -254,7 +256,7 @@
                 });
             }
             Action::Replicate { to, copies } => self.replicate(to, copies, myself),
-            Action::Snapshot { root_ids } => self.ask_snapshots(root_ids),
+            Action::Snapshot { root_ids } => self.request_snapshots(root_ids),
             Action::Remove { from, to } => {
                 let (from, to) = (keys::segment(me, from), keys::segment(me, to));
                 let myself = myself.clone();
@@ -266,19 +268,19 @@
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, result: Result<(), JournalError>) {
-        let Some(waiting) = self.waiting.remove(&ticket) else {
+    fn complete_append(&mut self, ticket: Ticket, result: Result<(), JournalError>) {
+        let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
-        let durability = match waiting.durability {
+        let durability = match pending.durability {
             Durability::Queued => "queued",
             Durability::Replicated => "replicated",
             Durability::Stored => "stored",
         };
-        let seconds = waiting.at.elapsed().as_secs_f64();
+        let seconds = pending.at.elapsed().as_secs_f64();
         metrics::histogram!("burdockroad_journal_append_seconds", "durability" => durability).record(seconds);
-        // The caller may have given up; the records stay queued all the same.
-        let _sent = waiting.reply.send(result);
+        // The caller may have given up. The records stay queued in any case.
+        let _sent = pending.reply.send(result);
     }
 
     fn replicate(&self, to: Process, copies: Copies, myself: &ActorRef<JournalMessage>) {
@@ -303,7 +305,7 @@
         });
     }
 
-    fn ask_snapshots(&self, root_ids: Vec<ProgramId>) {
+    fn request_snapshots(&self, root_ids: Vec<ProgramId>) {
         let Some(trees) = self.trees.as_ref().and_then(Weak::upgrade) else {
             return;
         };
@@ -332,7 +334,8 @@
         });
     }
 
-    /// Sees to it that the actor is called when the writer is due; an earlier timer does no harm.
+    /// Ensures that a timer polls the actor no later than the writer's next poll time. A timer that is
+    /// due earlier is kept.
     fn set_timer(&mut self, myself: &ActorRef<JournalMessage>, now: Instant) {
         let Some(at) = self.writer.next_poll(now) else {
             return;
@@ -355,17 +358,17 @@
 async fn write(store: &SharedKeyValue, me: &Process, segment: SegmentNumber, value: Arc<[u8]>) -> WriteReply {
     let key = keys::segment(me, segment);
     let value = Bytes::from_owner(value);
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let put = if segment == 1 {
         store.put(&key, value, Expected::Absent).await
     } else {
         let predecessor = keys::segment(me, segment - 1);
         store.create_after(&key, value, &predecessor).await
     };
-    metrics::histogram!("burdockroad_journal_write_seconds").record(began_at.elapsed().as_secs_f64());
+    metrics::histogram!("burdockroad_journal_write_seconds").record(started_at.elapsed().as_secs_f64());
     match put {
         Ok(Put::Done(_)) => WriteReply::Done,
-        Ok(Put::Conflict(Some(held))) => WriteReply::Held(held.value.into()),
+        Ok(Put::Conflict(Some(existing))) => WriteReply::Held(existing.value.into()),
         Ok(Put::Conflict(None)) => WriteReply::Removed,
         Err(StoreError::Unavailable { retry_after, .. }) => WriteReply::Unavailable { retry_after },
         Err(StoreError::Ambiguous { .. }) => WriteReply::Ambiguous,
@@ -374,11 +377,11 @@
 
 async fn read_back(store: &SharedKeyValue, key: &str) -> ReadReply {
     match store.get(key).await {
-        Ok(Some(held)) => ReadReply::Held(held.value.into()),
+        Ok(Some(existing)) => ReadReply::Held(existing.value.into()),
         Ok(None) => ReadReply::Absent,
         Err(StoreError::Unavailable { retry_after, .. }) => ReadReply::Unavailable { retry_after },
         Err(StoreError::Ambiguous { .. }) => ReadReply::Unavailable {
-            retry_after: READ_PAUSE,
+            retry_after: READ_BACKOFF,
         },
     }
 }
@@ -415,15 +418,14 @@
     TailReply::Held(response.held_end)
 }
 
-fn alive(view: &PeersView) -> Vec<Peer> {
-    let alive = view.peers.values().filter(|peer| peer.alive);
-    alive
-        .map(|peer| Peer {
-            process: peer.process.clone(),
-            failure_domain: peer.failure_domain.clone(),
-            leaving: peer.leaving,
-        })
-        .collect()
+fn live_peers(view: &PeersView) -> Vec<Peer> {
+    let live = view.peers.values().filter(|peer| peer.live);
+    live.map(|peer| Peer {
+        process: peer.process.clone(),
+        failure_domain: peer.failure_domain.clone(),
+        leaving: peer.leaving,
+    })
+    .collect()
 }
 
 fn log_write(me: &Process, reply: &WriteReply) {
--- a/crates/burdockroad-daemon/src/journal/recovery.rs
+++ b/crates/burdockroad-daemon/src/journal/recovery.rs
@@ -1,4 +1,4 @@
-//! Sealing, reading and removing the journals of processes that are gone.
+//! Sealing, reading and removal of the journals of failed processes.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -22,13 +22,13 @@
     platform::{Entry, Listing, Put, SharedKeyValue, StoreError},
 };
 
-/// Time within which a peer hands over its copies.
+/// Timeout of a request to a peer to seal and return its copies.
 const SEAL_TAIL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Segments that are read at the same time.
-const READS_MAX: usize = 16;
+/// Maximum number of segments that are read concurrently.
+const CONCURRENT_READS_MAX: usize = 16;
 
-/// Recovers journals from the key-value service and from the peers that hold copies.
+/// Recovery of journals from the key-value service and from peers that have copies.
 #[derive(Clone, Debug)]
 pub struct StoreRecovery {
     store: SharedKeyValue,
@@ -37,7 +37,7 @@
     tails: Arc<TailStore>,
 }
 
-/// Copies of a tail, and whether the peer that had to have them was asked.
+/// Sealed copies of a tail, and the outcome of sealing at the peer that was to have them.
 #[derive(Debug)]
 struct SealedTails {
     copies: Vec<TailCopy>,
@@ -45,7 +45,7 @@
 }
 
 impl StoreRecovery {
-    /// Recovers journals as the process that keeps copies in `tails`.
+    /// Creates a recovery for the process that owns `tails`.
     pub fn new(
         store: SharedKeyValue,
         peers: PeersReceiver,
@@ -60,36 +60,36 @@
         }
     }
 
-    /// Puts a seal after the newest segment, unless there is one, and returns its number.
+    /// Writes a seal after the newest segment, unless there is one, and returns its number.
     ///
-    /// A journal without any segment was never open or is removed, and gets no seal: its writer owns
-    /// nothing, and cannot write either once it was removed.
-    async fn seal(&self, dead: &Process) -> Result<Option<SegmentNumber>, RecoveryError> {
+    /// A journal without segments was never open or has been removed, and is not sealed. Its writer owns
+    /// no partitions, and cannot write after its journal was removed.
+    async fn seal(&self, failed: &Process) -> Result<Option<SegmentNumber>, RecoveryError> {
         loop {
-            let listed = self.store.list(&keys::prefix(dead), Listing::Keys).await?;
+            let listed = self.store.list(&keys::prefix(failed), Listing::Keys).await?;
             let newest = listed.last().and_then(|entry| keys::parse(&entry.key));
             let Some((_, newest)) = newest else {
                 return Ok(None);
             };
-            if let Some(StoredSegment::Seal(_)) = self.read(dead, newest).await? {
+            if let Some(StoredSegment::Seal(_)) = self.read(failed, newest).await? {
                 return Ok(Some(newest));
             }
-            if self.try_seal(dead, newest).await? {
+            if self.try_seal(failed, newest).await? {
                 return Ok(Some(newest + 1));
             }
         }
     }
 
-    /// Puts a seal after a segment that still exists; fails if something else stands there, or if it
-    /// is not known.
+    /// Writes a seal after a segment that still exists, and returns whether it did. Returns false when
+    /// another value is stored there or the outcome is unknown.
     ///
-    /// Were the segment's existence not compared in the same transaction, a successor that was paused
-    /// could put the seal where the writer has long been, and has cleaned up behind it.
-    async fn try_seal(&self, dead: &Process, newest: SegmentNumber) -> Result<bool, RecoveryError> {
+    /// The existence of the segment is checked in the same transaction. Otherwise a successor that was
+    /// paused could write the seal at a number that the writer has already passed and cleaned up.
+    async fn try_seal(&self, failed: &Process, newest: SegmentNumber) -> Result<bool, RecoveryError> {
         let seal = StoredSegment::Seal(Seal {
             successor: self.tails.process(),
         });
-        let (key, predecessor) = (keys::segment(dead, newest + 1), keys::segment(dead, newest));
+        let (key, predecessor) = (keys::segment(failed, newest + 1), keys::segment(failed, newest));
         match self.store.create_after(&key, encode(&seal), &predecessor).await {
             Ok(Put::Done(_)) => Ok(true),
             Ok(Put::Conflict(_)) | Err(StoreError::Ambiguous { .. }) => Ok(false),
@@ -97,31 +97,35 @@
         }
     }
 
-    /// Reads the segments before a seal, in their order.
-    async fn segments(&self, dead: &Process, seal: SegmentNumber) -> Result<Vec<Segment>, RecoveryError> {
-        let listed = self.store.list(&keys::prefix(dead), Listing::Keys).await?;
+    /// Reads the segments before a seal, in order.
+    async fn segments(&self, failed: &Process, seal: SegmentNumber) -> Result<Vec<Segment>, RecoveryError> {
+        let listed = self.store.list(&keys::prefix(failed), Listing::Keys).await?;
         let numbers: Vec<_> = listed
             .iter()
             .filter_map(|entry| keys::parse(&entry.key))
             .map(|(_, number)| number)
             .filter(|&number| number < seal)
             .collect();
-        if let Some(missing) = gap(&numbers, seal) {
-            return Err(damaged(keys::segment(dead, missing), "it is missing"));
+        if let Some(missing) = first_missing(&numbers, seal) {
+            return Err(damaged(keys::segment(failed, missing), "the segment is missing"));
         }
-        let reads: Vec<_> = numbers.iter().map(|&number| self.read(dead, number)).collect();
-        let read: Vec<_> = stream::iter(reads).buffered(READS_MAX).try_collect().await?;
+        let reads: Vec<_> = numbers.iter().map(|&number| self.read(failed, number)).collect();
+        let read: Vec<_> = stream::iter(reads)
+            .buffered(CONCURRENT_READS_MAX)
+            .try_collect()
+            .await?;
         let mut segments = Vec::new();
-        for (number, held) in numbers.into_iter().zip(read) {
-            match held {
+        for (number, stored) in numbers.into_iter().zip(read) {
+            match stored {
                 Some(StoredSegment::Group(segment)) => segments.push(segment),
                 Some(StoredSegment::Seal(_)) => {
                     return Err(damaged(
-                        keys::segment(dead, number),
-                        "a seal stands before another",
+                        keys::segment(failed, number),
+                        "a seal precedes another seal",
                     ));
                 }
-                // Its writer's last removal was still on its way; nothing needs what it removed.
+                // The writer's last removal was still in flight. The segments that it removed are not
+                // needed.
                 None => segments.clear(),
             }
         }
@@ -130,43 +134,45 @@
 
     async fn read(
         &self,
-        dead: &Process,
+        failed: &Process,
         number: SegmentNumber,
     ) -> Result<Option<StoredSegment>, RecoveryError> {
-        let held = self.store.get(&keys::segment(dead, number)).await?;
-        held.as_ref().map(decode).transpose()
+        let entry = self.store.get(&keys::segment(failed, number)).await?;
+        entry.as_ref().map(decode).transpose()
     }
 
-    /// Seals the tail here, at the peer that had to have copies and, as they answer, at all others.
-    async fn seal_tails(&self, dead: &Process, tail_peer: Option<&Process>) -> SealedTails {
+    /// Seals the tail at this process, at the peer that was to have copies, and at all other peers that
+    /// respond.
+    async fn seal_tails(&self, failed: &Process, tail_peer: Option<&Process>) -> SealedTails {
         let view = Arc::clone(&self.peers.borrow());
         let others: Vec<_> = view
             .peers
             .values()
-            .filter(|peer| peer.process != *dead)
+            .filter(|peer| peer.process != *failed)
             .cloned()
             .collect();
-        let asked = others.iter().map(|peer| self.seal_tail_at(peer, dead));
-        let mut answers: BTreeMap<Process, TailCopy> = join_all(asked).await.into_iter().flatten().collect();
-        answers.insert(self.tails.process(), self.tails.seal_here(dead));
+        let requests = others.iter().map(|peer| self.seal_tail_at(peer, failed));
+        let mut responses: BTreeMap<Process, TailCopy> =
+            join_all(requests).await.into_iter().flatten().collect();
+        responses.insert(self.tails.process(), self.tails.seal_local(failed));
         let outcome = match tail_peer {
             None => RecoveredTail::NotKept,
-            Some(tail_peer) if answers.contains_key(tail_peer) => RecoveredTail::Sealed,
-            // A host that answers as another process has forgotten what the earlier one held.
-            Some(tail_peer) if answers.keys().any(|other| other.host_id == tail_peer.host_id) => {
+            Some(tail_peer) if responses.contains_key(tail_peer) => RecoveredTail::Sealed,
+            // A host that responds as another process has lost the copies of the earlier process.
+            Some(tail_peer) if responses.keys().any(|other| other.host_id == tail_peer.host_id) => {
                 RecoveredTail::Lost
             }
             Some(_) => RecoveredTail::Unreached,
         };
         SealedTails {
-            copies: answers.into_values().collect(),
+            copies: responses.into_values().collect(),
             outcome,
         }
     }
 
-    async fn seal_tail_at(&self, peer: &PeerView, dead: &Process) -> Option<(Process, TailCopy)> {
+    async fn seal_tail_at(&self, peer: &PeerView, failed: &Process) -> Option<(Process, TailCopy)> {
         let request = SealTailRequest {
-            writer: Some(host_ref(dead)),
+            writer: Some(host_ref(failed)),
             successor: Some(host_ref(&self.tails.process())),
         };
         let mut client = self.clients.get(&peer.address).ok()?;
@@ -182,23 +188,23 @@
 
 #[async_trait]
 impl Recovery for StoreRecovery {
-    async fn seal_and_read(&self, dead: &Process) -> Result<Recovered, RecoveryError> {
-        let Some(seal) = self.seal(dead).await? else {
+    async fn seal_and_read(&self, failed: &Process) -> Result<Recovered, RecoveryError> {
+        let Some(seal) = self.seal(failed).await? else {
             return Ok(Recovered {
                 records: Vec::new(),
                 tail_count: 0,
                 tail: RecoveredTail::NotKept,
             });
         };
-        let segments = self.segments(dead, seal).await?;
+        let segments = self.segments(failed, seal).await?;
         let tail_peer = segments.last().and_then(|segment| segment.tail_peer.as_ref());
-        let tails = self.seal_tails(dead, tail_peer).await;
+        let tails = self.seal_tails(failed, tail_peer).await;
         let joined = join(&segments, &tails.copies)
-            .map_err(|cause| damaged(keys::prefix(dead), &cause.to_string()))?;
+            .map_err(|cause| damaged(keys::prefix(failed), &cause.to_string()))?;
         log::info!(
             "event=journal_sealed host={} incarnation={:016x} seal={seal} segments={} records={} from_copies={} tail={:?}",
-            dead.host_id,
-            dead.incarnation,
+            failed.host_id,
+            failed.incarnation,
             segments.len(),
             joined.records.len(),
             joined.tail_count,
@@ -211,32 +217,36 @@
         })
     }
 
-    async fn remove(&self, dead: &Process) -> Result<(), RecoveryError> {
-        let listed = self.store.list(&keys::prefix(dead), Listing::Keys).await?;
+    async fn remove(&self, failed: &Process) -> Result<(), RecoveryError> {
+        let listed = self.store.list(&keys::prefix(failed), Listing::Keys).await?;
         let numbers = listed.iter().filter_map(|entry| keys::parse(&entry.key));
         let Some(newest) = numbers.map(|(_, number)| number).max() else {
             return Ok(());
         };
         if !matches!(
-            self.read(dead, newest).await?,
+            self.read(failed, newest).await?,
             Some(StoredSegment::Seal(_)) | None
         ) {
-            return Err(damaged(keys::segment(dead, newest), "it is not a seal"));
+            return Err(damaged(
+                keys::segment(failed, newest),
+                "the newest segment is not a seal",
+            ));
         }
-        let (first, seal) = (keys::segment(dead, 0), keys::segment(dead, newest));
-        // Without its last segment the writer cannot create another one; only then may the seal go.
+        let (first, seal) = (keys::segment(failed, 0), keys::segment(failed, newest));
+        // The writer cannot create another segment without its last one. Only after that removal is it safe
+        // to delete the seal.
         self.store.delete_range(&first, &seal).await?;
         self.store.delete(&seal).await?;
         log::info!(
             "event=journal_removed host={} incarnation={:016x}",
-            dead.host_id,
-            dead.incarnation
+            failed.host_id,
+            failed.incarnation
         );
         Ok(())
     }
 
     async fn journals(&self) -> Result<Vec<Process>, RecoveryError> {
-        let listed = self.store.list(keys::JOURNALS, Listing::Keys).await?;
+        let listed = self.store.list(keys::JOURNALS_PREFIX, Listing::Keys).await?;
         let mut writers: Vec<_> = listed
             .iter()
             .filter_map(|entry| keys::parse(&entry.key))
@@ -247,8 +257,8 @@
     }
 }
 
-/// The first number that is missing between those listed and the seal.
-fn gap(numbers: &[SegmentNumber], seal: SegmentNumber) -> Option<SegmentNumber> {
+/// Returns the first segment number that is missing between the listed ones and the seal.
+fn first_missing(numbers: &[SegmentNumber], seal: SegmentNumber) -> Option<SegmentNumber> {
     let following = numbers.iter().skip(1).copied().chain([seal]);
     let mut pairs = numbers.iter().zip(following);
     pairs
@@ -257,12 +267,12 @@
 }
 
 fn encode(segment: &StoredSegment) -> Bytes {
-    // A seal is plain data, whose encoding into memory does not fail.
+    // Encoding a seal, which is plain data, into memory does not fail.
     segment.encode().unwrap_or_default().into()
 }
 
-fn decode(held: &Entry) -> Result<StoredSegment, RecoveryError> {
-    StoredSegment::decode(&held.value).map_err(|cause| damaged(held.key.clone(), &cause.to_string()))
+fn decode(entry: &Entry) -> Result<StoredSegment, RecoveryError> {
+    StoredSegment::decode(&entry.value).map_err(|cause| damaged(entry.key.clone(), &cause.to_string()))
 }
 
 fn damaged(key: String, reason: &str) -> RecoveryError {
--- a/crates/burdockroad-daemon/src/journal/store_journal.rs
+++ b/crates/burdockroad-daemon/src/journal/store_journal.rs
@@ -1,4 +1,4 @@
-//! The journal of this process, kept in the key-value service.
+//! Journal of this process in the key-value service.
 
 use std::{
     sync::{Arc, Weak},
@@ -23,23 +23,23 @@
     settings::StoreSettings,
 };
 
-/// Pause between two tries to write the first segment.
-const OPEN_PAUSE: Duration = Duration::from_millis(200);
+/// Minimum backoff between two attempts to write the first segment.
+const OPEN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// What a journal is made of.
+/// Dependencies and options of a journal.
 #[derive(Clone, Debug)]
 pub struct JournalParts {
-    /// Where the segments go.
+    /// Store of the segments.
     pub store: SharedKeyValue,
-    /// Peers that may hold copies.
+    /// Peers that records may be replicated to.
     pub peers: PeersReceiver,
-    /// Connections to them.
+    /// Connections to these peers.
     pub clients: Arc<PeerClients>,
-    /// How the writer goes about its work.
+    /// Options of the writer.
     pub options: WriterOptions,
 }
 
-/// The journal of this process; clones are handles of the same one.
+/// Journal of this process. Clones are handles of the same journal.
 #[derive(Clone, Debug)]
 pub struct StoreJournal {
     actor: ActorRef<JournalMessage>,
@@ -47,7 +47,7 @@
     me: Process,
 }
 
-/// Options that fit a store, for the journal of one process.
+/// Returns the writer options for the journal of a process in a store.
 pub fn writer_options(store: &StoreSettings, me: Process, failure_domain: String) -> WriterOptions {
     let service = WriterOptions {
         me,
@@ -65,7 +65,8 @@
     };
     match store {
         StoreSettings::Service { .. } => service,
-        // Nobody shares the disk, so there are no rates to keep to.
+        // The disk is not shared with other hosts, so the low write rate of the shared service does
+        // not apply.
         StoreSettings::Embedded { .. } => WriterOptions {
             writes_per_s: 1_000.0,
             writes_burst: 100.0,
@@ -75,19 +76,19 @@
 }
 
 impl StoreJournal {
-    /// Opens the journal of a new process, and waits until its first segment is stored.
+    /// Opens the journal of a new process and waits until its first segment is stored.
     ///
-    /// Only then may the ownership map name the process: from its first segment on, a writer can be
-    /// fenced for good, since each later segment is created only while the one before it exists.
+    /// Only then may the ownership map name the process. Once its first segment is stored, a writer can be
+    /// fenced permanently, because each later segment is created only while the one before it exists.
     ///
     /// # Errors
     ///
-    /// Fails when the journal is sealed before it was open. While the store is down, it waits.
+    /// Fails when the journal is sealed before it was fully open. Waits while the store is unavailable.
     pub async fn open(parts: JournalParts) -> Result<Self, JournalError> {
         let me = parts.options.me.clone();
         let (admission, admission_receiver) = watch::channel(Admission::default());
         let arguments = JournalArguments { parts, admission };
-        // An actor without a name fails to start only when its runtime is shutting down.
+        // An unnamed actor fails to start only when its runtime is shutting down.
         let Ok((actor, _running)) = Actor::spawn(None, JournalActor, arguments).await else {
             return Err(unavailable());
         };
@@ -100,13 +101,13 @@
         Ok(journal)
     }
 
-    /// Names the trees of which snapshots are asked when old segments are cleaned away.
+    /// Sets the trees that write snapshots on request, so that old segments can be removed.
     pub fn set_trees(&self, trees: Weak<dyn Trees>) {
-        // A stopped actor cleans nothing any more.
+        // A stopped actor removes no segments.
         let _cast = self.actor.cast(JournalMessage::SetTrees(trees));
     }
 
-    /// The process that the journal belongs to.
+    /// Returns the process that the journal belongs to.
     pub fn process(&self) -> &Process {
         &self.me
     }
@@ -114,11 +115,11 @@
     /// Waits until another process has sealed the journal, or it was closed.
     pub async fn fenced(&self) {
         let mut admission = self.admission.clone();
-        // An error means that the actor has ended, which counts as well.
-        let _ended = admission.wait_for(|admission| admission.fenced).await;
+        // An error means that the actor has stopped, which is treated the same way.
+        let _stopped = admission.wait_for(|admission| admission.fenced).await;
     }
 
-    /// Writes what is queued, and stops.
+    /// Writes the queued records and stops.
     ///
     /// # Errors
     ///
@@ -138,7 +139,7 @@
                         "event=journal_not_open host={} reason=store_down",
                         self.me.host_id
                     );
-                    tokio::time::sleep(retry_after.max(OPEN_PAUSE)).await;
+                    tokio::time::sleep(retry_after.max(OPEN_BACKOFF)).await;
                 }
                 Ok(result) => return result,
                 Err(_) => return Err(unavailable()),
@@ -156,7 +157,7 @@
             reply,
             at: Instant::now(),
         };
-        // With the actor gone the reply is dropped, which the caller sees.
+        // If the actor has stopped, the reply sender is dropped, and the caller's receiver reports it.
         let _cast = self.actor.cast(message);
         appended
     }
@@ -173,6 +174,6 @@
 
 fn unavailable() -> JournalError {
     JournalError::Unavailable {
-        retry_after: OPEN_PAUSE,
+        retry_after: OPEN_BACKOFF,
     }
 }
--- a/crates/burdockroad-daemon/src/journal/tail.rs
+++ b/crates/burdockroad-daemon/src/journal/tail.rs
@@ -1,4 +1,4 @@
-//! Copies of other hosts' journal tails, kept for their successors.
+//! Copies of other hosts' journal tails, retained for the successors of those hosts.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -13,50 +13,50 @@
 
 use crate::{ownership::Process, peer::TailHandler};
 
-/// Answers peers that replicate or seal a tail at this process.
+/// Store of tail copies, which handles the replicate and seal requests of peers.
 ///
-/// A process that goes on under another incarnation [restarts](Self::restart) it.
+/// A process that resumes under another incarnation must [restart](Self::restart) it.
 #[derive(Debug)]
 pub struct TailStore {
     options: TailTableOptions,
-    held: Mutex<Held>,
+    state: Mutex<TailState>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct TailState {
     me: Process,
     table: TailTable,
 }
 
 impl TailStore {
-    /// Makes a store without any copies.
+    /// Creates an empty store with default limits.
     pub fn new(me: Process) -> Self {
         Self::with_options(me, TailTableOptions::default())
     }
 
-    /// Makes a store without any copies, with other limits.
+    /// Creates an empty store with the given limits.
     pub fn with_options(me: Process, options: TailTableOptions) -> Self {
         let table = TailTable::new(options);
         Self {
             options,
-            held: Mutex::new(Held { me, table }),
+            state: Mutex::new(TailState { me, table }),
         }
     }
 
-    /// Goes on as another process without any copies, as after a restart of the host.
+    /// Drops all copies and resumes as another process, as after a restart of the host.
     pub fn restart(&self, me: Process) {
         let table = TailTable::new(self.options);
-        *self.held() = Held { me, table };
+        *self.lock() = TailState { me, table };
     }
 
-    /// The process that the copies are kept by.
+    /// Returns the process that the copies are stored at.
     pub fn process(&self) -> Process {
-        self.held().me.clone()
+        self.lock().me.clone()
     }
 
-    /// Seals a tail against its writer and returns what is held of it.
-    pub fn seal_here(&self, writer: &Process) -> TailCopy {
-        let copy = self.held().table.seal(writer, Instant::now());
+    /// Seals a tail against its writer and returns its copy.
+    pub fn seal_local(&self, writer: &Process) -> TailCopy {
+        let copy = self.lock().table.seal(writer, Instant::now());
         log::info!(
             "event=tail_sealed writer={} incarnation={:016x} records={}",
             writer.host_id,
@@ -66,8 +66,8 @@
         copy
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, TailState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -75,8 +75,8 @@
 impl TailHandler for TailStore {
     async fn replicate(&self, request: ReplicateTailRequest) -> ReplicateTailResponse {
         let to = request.to.map(process_of);
-        let mut held = self.held();
-        let (Some(writer), true) = (request.writer, to.as_ref() == Some(&held.me)) else {
+        let mut state = self.lock();
+        let (Some(writer), true) = (request.writer, to.as_ref() == Some(&state.me)) else {
             return ReplicateTailResponse {
                 other_process: true,
                 ..ReplicateTailResponse::default()
@@ -88,7 +88,7 @@
             records: request.records.into_iter().map(Arc::from).collect(),
             stored_end: request.stored_end,
         };
-        match held.table.keep(&process_of(writer), copies) {
+        match state.table.keep(&process_of(writer), copies) {
             TailReply::Held(held_end) => ReplicateTailResponse {
                 held_end,
                 ..ReplicateTailResponse::default()
@@ -112,7 +112,7 @@
                 ..SealTailResponse::default()
             };
         };
-        let copy = self.seal_here(&process_of(writer));
+        let copy = self.seal_local(&process_of(writer));
         SealTailResponse {
             from,
             position: copy.position,
@@ -121,7 +121,7 @@
     }
 }
 
-/// The message form of a process.
+/// Returns the message form of a process.
 pub(super) fn host_ref(process: &Process) -> HostRef {
     HostRef {
         host_id: process.host_id.clone(),
@@ -129,7 +129,7 @@
     }
 }
 
-/// The process that a message names.
+/// Returns the process that a message refers to.
 pub(super) fn process_of(host: HostRef) -> Process {
     Process {
         host_id: host.host_id,
--- a/crates/burdockroad-daemon/src/membership.rs
+++ b/crates/burdockroad-daemon/src/membership.rs
@@ -1,14 +1,15 @@
-//! Heartbeats between the daemons, and what follows from them.
+//! Membership of the fleet, based on heartbeats between daemons.
 //!
-//! The decisions stand in [`burdockroad::membership`]; here an actor sends the heartbeats, reads the
-//! platform's host list, and publishes which peers are up and which processes are gone.
+//! [`burdockroad::membership`] contains the decision logic. An actor in this module sends the
+//! heartbeats, reads the platform's host list, and publishes which peers are live and which processes
+//! may be taken over.
 
 mod actor;
 mod lease;
 mod wire;
 
 pub use self::{
-    actor::{MembershipArguments, MembershipHandle, Standing},
+    actor::{MembershipArguments, MembershipHandle, MembershipSnapshot},
     lease::Lease,
     wire::{host_ref, process_of},
 };
--- a/crates/burdockroad-daemon/src/membership/actor.rs
+++ b/crates/burdockroad-daemon/src/membership/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the table of hosts.
+//! Actor that owns the membership table.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,53 +27,53 @@
     platform::{HostList, HostState, ListedHost},
 };
 
-/// Time between two readings of the host list.
+/// Interval between two reads of the host list.
 const HOST_LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time within which a heartbeat must be answered.
+/// Timeout of a heartbeat request.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// What the actor works with.
+/// Dependencies and settings of the actor.
 #[derive(Clone, Debug)]
 pub struct MembershipArguments {
     /// This process.
     pub me: Member,
-    /// Times and sizes.
+    /// Timeouts and limits of the membership protocol.
     pub options: Options,
     /// The platform's host list.
     pub host_list: Arc<dyn HostList>,
-    /// Connections to the peers.
+    /// Connections to peers.
     pub clients: Arc<PeerClients>,
-    /// The ownership map, whose version goes with the heartbeats.
+    /// The ownership map, whose version heartbeats carry.
     pub ownership: OwnershipReceiver,
-    /// The document's version and age, which go with the heartbeats.
+    /// Source of the configuration document's version and age, which heartbeats carry.
     pub document: Arc<dyn DocumentGossip>,
 }
 
-/// What is to be decided on, as of the last tick.
+/// Membership state as of the last update.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
-    /// Processes that own partitions and may be taken over.
+pub struct MembershipSnapshot {
+    /// Removed or unresponsive processes that own partitions and may be taken over.
     pub gone: Vec<Gone>,
-    /// This process and those that were heard from lately.
-    pub alive: Vec<Member>,
-    /// Whether the host list was read, and every host on it was heard from lately.
+    /// This process and those whose last report is within the suspicion time.
+    pub live: Vec<Member>,
+    /// Whether the host list was read and every host on it is live.
     pub complete: bool,
-    /// Highest version of the ownership map that a peer told of.
+    /// Highest version of the ownership map that a peer has reported.
     pub ownership_version: u64,
 }
 
-/// Reaches the actor; clones reach the same one.
+/// Handle of the actor. Clones refer to the same actor.
 #[derive(Clone, Debug)]
 pub struct MembershipHandle {
     actor: ActorRef<Message>,
     peers: PeersReceiver,
-    standing: watch::Receiver<Arc<Standing>>,
+    snapshot: watch::Receiver<Arc<MembershipSnapshot>>,
 }
 
 impl MembershipHandle {
-    /// Starts the actor, which publishes to `peers_sender` and `lease`; it stops with
-    /// [`close`](Self::close).
+    /// Starts the actor, which publishes to `peers_sender` and `lease` until [`close`](Self::close) is
+    /// called.
     ///
     /// # Errors
     ///
@@ -84,46 +84,46 @@
         lease: Arc<Lease>,
     ) -> Result<Self, ractor::SpawnErr> {
         let peers = peers_sender.subscribe();
-        let (standing_sender, standing) = watch::channel(Arc::default());
+        let (standing_sender, snapshot) = watch::channel(Arc::default());
         let interval = arguments.options.heartbeat_interval;
         let outputs = Outputs {
             peers: peers_sender,
-            standing: standing_sender,
+            snapshot: standing_sender,
             lease,
         };
         let (actor, _joined) = Actor::spawn(None, MembershipActor, (arguments, outputs)).await?;
         actor.send_interval(interval, || Message::Tick);
-        actor.send_interval(HOST_LIST_INTERVAL, || Message::ReadList);
+        actor.send_interval(HOST_LIST_INTERVAL, || Message::ReadHostList);
         Ok(Self {
             actor,
             peers,
-            standing,
+            snapshot,
         })
     }
 
-    /// Peers that were heard from lately, and every change of them.
+    /// Returns a receiver of the tracked peers and of their changes.
     pub fn peers(&self) -> PeersReceiver {
         self.peers.clone()
     }
 
-    /// What is to be decided on, after each tick.
-    pub fn standing(&self) -> watch::Receiver<Arc<Standing>> {
-        self.standing.clone()
+    /// Returns a receiver of the membership snapshot, which is updated on each tick.
+    pub fn snapshot(&self) -> watch::Receiver<Arc<MembershipSnapshot>> {
+        self.snapshot.clone()
     }
 
-    /// Tells all peers that this host is being taken away.
+    /// Announces to all peers that this host is leaving.
     pub fn leave(&self) {
         self.send(Message::Leave);
     }
 
-    /// Goes on as a new process.
+    /// Resumes as a new process.
     pub fn rejoin(&self, me: Process) {
         self.send(Message::Rejoin(me));
     }
 
-    /// Sends heartbeats now, without waiting for the next tick.
-    pub fn beat(&self) {
-        self.send(Message::Beat);
+    /// Sends heartbeats immediately, without waiting for the next tick.
+    pub fn send_heartbeats(&self) {
+        self.send(Message::SendHeartbeats);
     }
 
     /// Stops the actor.
@@ -132,7 +132,7 @@
     }
 
     fn send(&self, message: Message) {
-        // An actor that has stopped needs no message.
+        // The send fails only if the actor has stopped, and then the message is not needed.
         let _ = self.actor.cast(message);
     }
 }
@@ -140,14 +140,14 @@
 #[async_trait]
 impl HeartbeatHandler for MembershipHandle {
     async fn heartbeat(&self, request: HeartbeatRequest) -> HeartbeatResponse {
-        let answer = self
+        let result = self
             .actor
             .call(
                 |reply| Message::Heartbeat { request, reply },
                 Some(HEARTBEAT_TIMEOUT),
             )
             .await;
-        match answer {
+        match result {
             Ok(CallResult::Success(response)) => response,
             _ => HeartbeatResponse::default(),
         }
@@ -156,14 +156,14 @@
 
 enum Message {
     Tick,
-    Beat,
-    ReadList,
-    Listed(Vec<ListedHost>),
+    SendHeartbeats,
+    ReadHostList,
+    HostListRead(Vec<ListedHost>),
     Heartbeat {
         request: HeartbeatRequest,
         reply: RpcReplyPort<HeartbeatResponse>,
     },
-    Answered {
+    HeartbeatCompleted {
         target: Target,
         sent_at: Instant,
         response: Option<HeartbeatResponse>,
@@ -174,7 +174,7 @@
 
 struct Outputs {
     peers: watch::Sender<Arc<PeersView>>,
-    standing: watch::Sender<Arc<Standing>>,
+    snapshot: watch::Sender<Arc<MembershipSnapshot>>,
     lease: Arc<Lease>,
 }
 
@@ -184,9 +184,9 @@
     table: Table,
     arguments: MembershipArguments,
     outputs: Outputs,
-    /// Hosts whose answer to a heartbeat is awaited.
-    awaited: BTreeSet<HostId>,
-    list_was_read: bool,
+    /// Hosts with a heartbeat request in flight.
+    in_flight: BTreeSet<HostId>,
+    host_list_read: bool,
     ownership_version: u64,
 }
 
@@ -202,13 +202,13 @@
     ) -> Result<State, ActorProcessingErr> {
         let now = Instant::now().into_std();
         let table = Table::new(arguments.me.clone(), arguments.options.clone(), now);
-        read_list(&arguments, &myself);
+        read_host_list(&arguments, &myself);
         Ok(State {
             table,
             arguments,
             outputs,
-            awaited: BTreeSet::new(),
-            list_was_read: false,
+            in_flight: BTreeSet::new(),
+            host_list_read: false,
             ownership_version: 0,
         })
     }
@@ -219,30 +219,30 @@
         message: Message,
         state: &mut State,
     ) -> Result<(), ActorProcessingErr> {
-        // Before anything is judged: after a pause the first message need not be a tick.
-        state.note_time();
+        // Advance the clock before any decision: after a process pause the first message may not be a tick.
+        state.advance_clock();
         match message {
             Message::Tick => state.tick(&myself),
-            Message::Beat => state.beat(&myself),
-            Message::ReadList => read_list(&state.arguments, &myself),
-            Message::Listed(hosts) => state.take_list(hosts, &myself),
+            Message::SendHeartbeats => state.send_heartbeats(&myself),
+            Message::ReadHostList => read_host_list(&state.arguments, &myself),
+            Message::HostListRead(hosts) => state.on_host_list(hosts, &myself),
             Message::Heartbeat { request, reply } => {
                 let response = state.heartbeat(&request);
-                // The peer may have given up.
+                // The requester may have timed out.
                 let _ = reply.send(response);
             }
-            Message::Answered {
+            Message::HeartbeatCompleted {
                 target,
                 sent_at,
                 response,
-            } => state.answered(&target, sent_at, response.as_ref()),
+            } => state.on_heartbeat_completed(&target, sent_at, response.as_ref()),
             Message::Leave => {
                 state.table.set_leaving(true);
-                state.beat(&myself);
+                state.send_heartbeats(&myself);
             }
             Message::Rejoin(process) => {
                 state.table.rejoin(process);
-                state.beat(&myself);
+                state.send_heartbeats(&myself);
             }
         }
         Ok(())
@@ -250,7 +250,7 @@
 }
 
 impl State {
-    fn note_time(&mut self) {
+    fn advance_clock(&mut self) {
         if self.table.tick(Instant::now().into_std()) {
             log::warn!("event=pause_detected host={}", self.table.me().process.host_id);
         }
@@ -259,7 +259,7 @@
     fn tick(&mut self, myself: &ActorRef<Message>) {
         let owners = self.owners();
         self.table.set_owners(owners);
-        self.beat(myself);
+        self.send_heartbeats(myself);
         self.publish();
     }
 
@@ -268,9 +268,9 @@
         view.owners.iter().map(|owner| owner.process.clone()).collect()
     }
 
-    fn beat(&mut self, myself: &ActorRef<Message>) {
+    fn send_heartbeats(&mut self, myself: &ActorRef<Message>) {
         for target in self.table.targets(Instant::now().into_std()) {
-            if self.awaited.insert(target.host_id.clone()) {
+            if self.in_flight.insert(target.host_id.clone()) {
                 self.send_heartbeat(target, myself.clone());
             }
         }
@@ -281,14 +281,14 @@
         let clients = Arc::clone(&self.arguments.clients);
         tokio::spawn(async move {
             let sent_at = Instant::now();
-            let response = exchange(&clients, &target, request).await;
-            let answered = Message::Answered {
+            let response = request_heartbeat(&clients, &target, request).await;
+            let completed = Message::HeartbeatCompleted {
                 target,
                 sent_at,
                 response,
             };
             // The actor may have stopped.
-            let _ = myself.cast(answered);
+            let _ = myself.cast(completed);
         });
     }
 
@@ -298,7 +298,7 @@
             from: Some(host_ref(&me.process)),
             peer_address: me.address.clone(),
             failure_domain: me.failure_domain.clone(),
-            heard: self.heard(),
+            heard: self.live_peers(),
             ownership_version: self.arguments.ownership.borrow().version,
             document: Some(self.arguments.document.document_freshness()),
             leaving: me.leaving,
@@ -313,15 +313,20 @@
         HeartbeatResponse {
             from: Some(host_ref(&me.process)),
             failure_domain: me.failure_domain.clone(),
-            heard: self.heard(),
+            heard: self.live_peers(),
             ownership_version: self.arguments.ownership.borrow().version,
             document: Some(self.arguments.document.document_freshness()),
             leaving: me.leaving,
         }
     }
 
-    fn answered(&mut self, target: &Target, sent_at: Instant, response: Option<&HeartbeatResponse>) {
-        self.awaited.remove(&target.host_id);
+    fn on_heartbeat_completed(
+        &mut self,
+        target: &Target,
+        sent_at: Instant,
+        response: Option<&HeartbeatResponse>,
+    ) {
+        self.in_flight.remove(&target.host_id);
         let Some(response) = response else {
             return;
         };
@@ -360,12 +365,12 @@
         true
     }
 
-    fn heard(&self) -> Vec<HostRef> {
+    fn live_peers(&self) -> Vec<HostRef> {
         let now = Instant::now().into_std();
         self.table.heard(now).iter().map(host_ref).collect()
     }
 
-    fn take_list(&mut self, hosts: Vec<ListedHost>, myself: &ActorRef<Message>) {
+    fn on_host_list(&mut self, hosts: Vec<ListedHost>, myself: &ActorRef<Message>) {
         self.arguments.document.observe_list(&hosts);
         let me = self.table.me().process.host_id.clone();
         let leaving = hosts
@@ -376,9 +381,9 @@
         }
         let daemons = hosts.into_iter().filter(|host| !host.peer_address.is_empty());
         self.table.set_listed(daemons.map(listed_member));
-        if !self.list_was_read {
-            self.list_was_read = true;
-            self.beat(myself);
+        if !self.host_list_read {
+            self.host_list_read = true;
+            self.send_heartbeats(myself);
         }
     }
 
@@ -386,17 +391,17 @@
         let now = Instant::now().into_std();
         let members = self.table.members(now);
         self.outputs.lease.set(self.table.lease_until());
-        let mut alive: Vec<Member> = members
+        let mut live: Vec<Member> = members
             .iter()
-            .filter(|(_, alive)| *alive)
+            .filter(|(_, live)| *live)
             .map(|(member, _)| member.clone())
             .collect();
-        alive.push(self.table.me().clone());
+        live.push(self.table.me().clone());
         self.publish_peers(members);
-        self.outputs.standing.send_replace(Arc::new(Standing {
+        self.outputs.snapshot.send_replace(Arc::new(MembershipSnapshot {
             gone: self.table.gone(now),
-            alive,
-            complete: self.list_was_read && self.table.hears_all_listed(now),
+            live,
+            complete: self.host_list_read && self.table.hears_all_listed(now),
             ownership_version: self.ownership_version,
         }));
     }
@@ -404,25 +409,25 @@
     fn publish_peers(&self, members: Vec<(Member, bool)>) {
         let peers: BTreeMap<HostId, PeerView> = members
             .into_iter()
-            .map(|(member, alive)| (member.process.host_id.clone(), peer_view(member, alive)))
+            .map(|(member, live)| (member.process.host_id.clone(), peer_view(member, live)))
             .collect();
-        self.outputs.peers.send_if_modified(|known| {
-            let changed = known.peers != peers;
+        self.outputs.peers.send_if_modified(|published| {
+            let changed = published.peers != peers;
             if changed {
-                *known = Arc::new(PeersView { peers });
+                *published = Arc::new(PeersView { peers });
             }
             changed
         });
     }
 }
 
-fn peer_view(member: Member, alive: bool) -> PeerView {
+fn peer_view(member: Member, live: bool) -> PeerView {
     PeerView {
         process: member.process,
         address: member.address,
         failure_domain: member.failure_domain,
         leaving: member.leaving,
-        alive,
+        live,
     }
 }
 
@@ -435,27 +440,27 @@
     }
 }
 
-async fn exchange(
+async fn request_heartbeat(
     clients: &PeerClients,
     target: &Target,
     request: HeartbeatRequest,
 ) -> Option<HeartbeatResponse> {
     let mut client = clients.get(&target.address).ok()?;
-    let answer = tokio::time::timeout(HEARTBEAT_TIMEOUT, client.heartbeat(request)).await;
-    let response = answer.ok()?.ok()?.into_inner();
+    let result = tokio::time::timeout(HEARTBEAT_TIMEOUT, client.heartbeat(request)).await;
+    let response = result.ok()?.ok()?.into_inner();
     let from = process_of(response.from.as_ref()?);
-    // Another host may have been given the address.
+    // The address may have been reassigned to another host.
     (from.host_id == target.host_id).then_some(response)
 }
 
-fn read_list(arguments: &MembershipArguments, myself: &ActorRef<Message>) {
+fn read_host_list(arguments: &MembershipArguments, myself: &ActorRef<Message>) {
     let host_list = Arc::clone(&arguments.host_list);
     let myself = myself.clone();
     tokio::spawn(async move {
         match host_list.hosts().await {
             Ok(hosts) => {
                 // The actor may have stopped.
-                let _ = myself.cast(Message::Listed(hosts));
+                let _ = myself.cast(Message::HostListRead(hosts));
             }
             Err(cause) => log::warn!("event=host_list_not_read reason=\"{cause}\""),
         }
--- a/crates/burdockroad-daemon/src/membership/lease.rs
+++ b/crates/burdockroad-daemon/src/membership/lease.rs
@@ -1,4 +1,4 @@
-//! How long this process may act as an owner.
+//! Lease under which this process may act as an owner.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -9,30 +9,31 @@
 
 use crate::quota::OwnerLease;
 
-/// The lease, as the last answers to heartbeats extended it.
+/// Lease of this process, which responses to its heartbeats extend.
 #[derive(Debug)]
 pub struct Lease {
-    until: Mutex<Result<Option<Instant>, TooFewAnswers>>,
+    expires_at: Mutex<Result<Option<Instant>, TooFewAnswers>>,
 }
 
 impl Default for Lease {
     fn default() -> Self {
         Self {
-            until: Mutex::new(Err(TooFewAnswers)),
+            expires_at: Mutex::new(Err(TooFewAnswers)),
         }
     }
 }
 
 impl Lease {
-    /// Sets the lease; none is one without an end, for a process that nobody could replace.
-    pub fn set(&self, until: Result<Option<Instant>, TooFewAnswers>) {
-        *self.until.lock().unwrap_or_else(PoisonError::into_inner) = until;
+    /// Sets the expiry of the lease. `Ok(None)` is a lease that never expires, for a process that no other
+    /// could replace.
+    pub fn set(&self, expires_at: Result<Option<Instant>, TooFewAnswers>) {
+        *self.expires_at.lock().unwrap_or_else(PoisonError::into_inner) = expires_at;
     }
 }
 
 impl OwnerLease for Lease {
     fn holds(&self, now: Instant) -> bool {
-        let until = *self.until.lock().unwrap_or_else(PoisonError::into_inner);
-        until.is_ok_and(|until| until.is_none_or(|until| now < until))
+        let expires_at = *self.expires_at.lock().unwrap_or_else(PoisonError::into_inner);
+        expires_at.is_ok_and(|expires_at| expires_at.is_none_or(|expires_at| now < expires_at))
     }
 }
--- a/crates/burdockroad-daemon/src/membership/wire.rs
+++ b/crates/burdockroad-daemon/src/membership/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of the heartbeats.
+//! Conversions between heartbeat messages and membership types.
 
 use burdockroad::{
     membership::{Member, Sighting},
@@ -6,7 +6,7 @@
 };
 use burdockroad_proto::peer::{HeartbeatRequest, HeartbeatResponse, HostRef};
 
-/// A process, as messages name it.
+/// Returns the message form of a process.
 pub fn host_ref(process: &Process) -> HostRef {
     HostRef {
         host_id: process.host_id.clone(),
@@ -14,7 +14,7 @@
     }
 }
 
-/// The process that a message names.
+/// Returns the process that a message refers to.
 pub fn process_of(host: &HostRef) -> Process {
     Process {
         host_id: host.host_id.clone(),
@@ -22,7 +22,7 @@
     }
 }
 
-/// What a heartbeat says of its sender; none when it names no sender.
+/// Returns the sighting of a heartbeat's sender, or `None` when the heartbeat has no sender.
 pub(super) fn request_sighting(request: &HeartbeatRequest) -> Option<Sighting> {
     Some(Sighting {
         member: Member {
@@ -35,7 +35,7 @@
     })
 }
 
-/// What the answer to a heartbeat says of its sender; none when it names no sender.
+/// Returns the sighting of a heartbeat response's sender, or `None` when the response has no sender.
 pub(super) fn response_sighting(response: &HeartbeatResponse, address: &str) -> Option<Sighting> {
     Some(Sighting {
         member: Member {
--- a/crates/burdockroad-daemon/src/ownership.rs
+++ b/crates/burdockroad-daemon/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Which host serves which partition.
+//! Partition ownership: which process serves which partition.
 
 mod actor;
 mod staging;
@@ -20,49 +20,49 @@
     store::{MapError, MapStore, OWNERSHIP_KEY, Swap, VersionedMap},
 };
 
-/// The ownership map as this host knows it, and every change of it.
+/// Receiver of this host's copy of the ownership map and of its changes.
 pub type OwnershipReceiver = watch::Receiver<Arc<OwnershipView>>;
 
-/// Peers that this host has heard from lately, and every change of them.
+/// Receiver of the peers that this host tracks and of their changes.
 pub type PeersReceiver = watch::Receiver<Arc<PeersView>>;
 
-/// The ownership map, as seen by one host.
+/// One host's copy of the ownership map.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnershipView {
     /// This process.
     pub me: Process,
-    /// Version of the map; a higher one replaces a lower one.
+    /// Version of the map. A higher version replaces a lower one.
     pub version: u64,
-    /// Owner of each partition, by the partition's number; empty before the first map.
+    /// Owners of the partitions, indexed by partition number. Empty before the first map.
     pub owners: Vec<Owner>,
-    /// Whether this process may still act as an owner: it has not been fenced.
+    /// Whether this process may still act as an owner, that is, has not been fenced.
     pub serving: bool,
 }
 
-/// Peers that a host has heard from lately.
+/// Peers that a host tracks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeersView {
-    /// The peers by their hosts, this host left out.
+    /// Peers by host ID, without this host.
     pub peers: BTreeMap<HostId, PeerView>,
 }
 
-/// One peer.
+/// View of one peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerView {
     /// The peer's process.
     pub process: Process,
-    /// Where it is reached.
+    /// Address for requests from peers.
     pub address: String,
-    /// Failure domain that it stands in.
+    /// Failure domain of the peer.
     pub failure_domain: String,
-    /// Whether it is being taken away.
+    /// Whether the peer is draining before its removal.
     pub leaving: bool,
-    /// Whether it was heard from within the suspicion time.
-    pub alive: bool,
+    /// Whether the last report from the peer is within the suspicion time.
+    pub live: bool,
 }
 
 impl OwnershipView {
-    /// What a process sees of a map.
+    /// Creates the view that `me` has of a map.
     pub fn new(me: Process, map: &OwnershipMap, serving: bool) -> Self {
         Self {
             me,
@@ -72,12 +72,12 @@
         }
     }
 
-    /// The owner of a partition; none before the first map.
+    /// Returns the owner of a partition, or `None` before the first map.
     pub fn owner(&self, partition: PartitionId) -> Option<&Owner> {
         self.owners.get(usize::from(partition))
     }
 
-    /// Whether this process owns a partition and may act as its owner.
+    /// Returns whether this process owns a partition and may act as its owner.
     pub fn owns(&self, partition: PartitionId) -> bool {
         self.serving
             && self
@@ -85,7 +85,7 @@
                 .is_some_and(|owner| owner.process == self.me)
     }
 
-    /// The partitions that this process owns.
+    /// Returns the partitions that this process owns and may act on as their owner.
     pub fn own_partitions(&self) -> Vec<PartitionId> {
         (0..PARTITIONS)
             .filter(|&partition| self.owns(partition))
--- a/crates/burdockroad-daemon/src/ownership/actor.rs
+++ b/crates/burdockroad-daemon/src/ownership/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that holds this host's copy of the ownership map.
+//! Actor that maintains this host's copy of the ownership map.
 
 use std::{collections::BTreeSet, fmt, sync::Arc};
 
@@ -17,27 +17,27 @@
     platform::Expected,
 };
 
-/// What the actor works with.
+/// Dependencies of the actor.
 #[derive(Clone, Debug)]
 pub struct OwnershipArguments {
     /// This process.
     pub me: Process,
     /// The map in the key-value service.
     pub store: MapStore,
-    /// Copies of trees that wait for the map to name this process.
+    /// Staged copies of trees whose partitions the map does not assign to this process yet.
     pub staging: Arc<Staging>,
-    /// The trees that are served here.
+    /// The program trees that this host serves.
     pub trees: Arc<dyn Trees>,
-    /// Told when the map shows that this process was taken over.
+    /// Notified when a newer map shows that this process was taken over.
     pub fenced: Arc<Notify>,
 }
 
-/// Why the map was not changed.
+/// Error of a change of the map.
 #[derive(Clone, Debug)]
 pub enum ChangeError {
-    /// The map, or this process, is another one than the change was planned on.
+    /// The map version or this process's incarnation is not the one that the change was planned on.
     Conflict,
-    /// The map cannot be reached or read.
+    /// The map is unreachable or cannot be decoded.
     Map(MapError),
     /// The actor has stopped.
     Stopped,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reaches the actor; clones reach the same one.
+/// Handle of the actor. Clones refer to the same actor.
 #[derive(Clone, Debug)]
 pub struct OwnershipHandle {
     actor: ActorRef<Message>,
@@ -69,7 +69,7 @@
 }
 
 impl OwnershipHandle {
-    /// Starts the actor, which publishes to `sender`; it stops with [`close`](Self::close).
+    /// Starts the actor, which publishes to `sender` until [`close`](Self::close) is called.
     ///
     /// # Errors
     ///
@@ -83,12 +83,12 @@
         Ok(Self { actor, view })
     }
 
-    /// Every change of the map from now on.
+    /// Returns a receiver of the map and of its later changes.
     pub fn view(&self) -> OwnershipReceiver {
         self.view.clone()
     }
 
-    /// The map as it was last seen; without owners before the first.
+    /// Returns the latest map that this process has seen, which has no owners before the first one.
     pub fn map(&self) -> OwnershipMap {
         let view = self.view.borrow();
         OwnershipMap {
@@ -98,58 +98,70 @@
         }
     }
 
-    /// This process.
+    /// Returns this process.
     pub fn me(&self) -> Process {
         self.view.borrow().me.clone()
     }
 
-    /// Reads the map anew from the key-value service.
+    /// Reads the map from the key-value service.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot be read.
+    /// Fails when the map cannot be read.
     pub async fn refresh(&self) -> Result<(), ChangeError> {
-        self.ask(Message::Refresh).await
+        self.call(Message::Refresh).await
     }
 
-    /// Makes the first map, if there is none.
+    /// Creates the first map if none exists.
     ///
     /// # Errors
     ///
-    /// Fails when the key-value service cannot be reached; that another process was first is no error.
+    /// Fails when the key-value service is unreachable. It is not an error if another process has created
+    /// the map first.
     pub async fn create(&self, candidates: Vec<Candidate>) -> Result<(), ChangeError> {
-        self.ask(|reply| Message::Create { candidates, reply }).await
+        self.call(|reply| Message::Create { candidates, reply }).await
     }
 
-    /// Makes moves that were planned by `planner` on version `base` of the map.
+    /// Applies moves that `planner` planned on version `base_version` of the map.
     ///
-    /// Returns once the new owners of this process's own gains are set up. No moves are a change too:
-    /// the version grows, and every change that was planned on an older one conflicts.
+    /// Returns once the trees of the partitions that this process gained are adopted. An empty list of
+    /// moves is also a change: it increments the version, so that every change planned on an older version
+    /// conflicts.
     ///
     /// # Errors
     ///
-    /// [`ChangeError::Conflict`] after which the newer map has been taken in; otherwise nothing changed.
-    pub async fn change(&self, planner: Process, base: u64, moves: Vec<Move>) -> Result<(), ChangeError> {
-        let plan = Plan { planner, base, moves };
-        self.ask(|reply| Message::Change { plan, reply }).await
+    /// Fails with [`ChangeError::Conflict`] when the map was not at `base_version` or has been changed by
+    /// another process, whose newer map is then accepted. After any other error nothing has changed.
+    pub async fn change(
+        &self,
+        planner: Process,
+        base_version: u64,
+        moves: Vec<Move>,
+    ) -> Result<(), ChangeError> {
+        let plan = ChangePlan {
+            planner,
+            base_version,
+            moves,
+        };
+        self.call(|reply| Message::Change { plan, reply }).await
     }
 
-    /// Stops acting as an owner, since this process was fenced.
+    /// Stops acting as an owner because this process was fenced.
     ///
     /// # Errors
     ///
     /// Fails when the actor has stopped.
     pub async fn fence(&self) -> Result<(), ChangeError> {
-        self.ask(Message::Fence).await
+        self.call(Message::Fence).await
     }
 
-    /// Goes on as a new process, which owns nothing yet.
+    /// Resumes as a new process, which owns no partitions yet.
     ///
     /// # Errors
     ///
     /// Fails when the actor has stopped.
     pub async fn rejoin(&self, me: Process) -> Result<(), ChangeError> {
-        self.ask(|reply| Message::Rejoin { me, reply }).await
+        self.call(|reply| Message::Rejoin { me, reply }).await
     }
 
     /// Stops the actor.
@@ -157,7 +169,7 @@
         self.actor.stop(None);
     }
 
-    async fn ask<F>(&self, message: F) -> Result<(), ChangeError>
+    async fn call<F>(&self, message: F) -> Result<(), ChangeError>
     where
         F: FnOnce(Reply) -> Message,
     {
@@ -170,9 +182,9 @@
 
 type Reply = RpcReplyPort<Result<(), ChangeError>>;
 
-struct Plan {
+struct ChangePlan {
     planner: Process,
-    base: u64,
+    base_version: u64,
     moves: Vec<Move>,
 }
 
@@ -184,7 +196,7 @@
         reply: Reply,
     },
     Change {
-        plan: Plan,
+        plan: ChangePlan,
         reply: Reply,
     },
     Rejoin {
@@ -198,9 +210,9 @@
 struct State {
     arguments: OwnershipArguments,
     view: watch::Sender<Arc<OwnershipView>>,
-    known: Option<VersionedMap>,
+    current: Option<VersionedMap>,
     serving: bool,
-    /// Partitions that this process may lose without having been taken over.
+    /// Partitions of the running handoff, whose loss does not mean that this process was taken over.
     handing_off: BTreeSet<PartitionId>,
 }
 
@@ -217,7 +229,7 @@
         let state = State {
             arguments,
             view,
-            known: None,
+            current: None,
             serving: true,
             handing_off: BTreeSet::new(),
         };
@@ -245,7 +257,7 @@
                 (Ok(()), reply)
             }
         };
-        // The asker may have gone away; what was done stands all the same.
+        // The caller may have been dropped. The change remains in effect.
         let _ = reply.send(result);
         Ok(())
     }
@@ -260,7 +272,7 @@
     }
 
     async fn create(&mut self, candidates: &[Candidate]) -> Result<(), ChangeError> {
-        if self.known.is_some() {
+        if self.current.is_some() {
             return Ok(());
         }
         let Some(map) = first_map(candidates, rand::random()) else {
@@ -273,7 +285,7 @@
         Ok(())
     }
 
-    async fn change(&mut self, plan: Plan) -> Result<(), ChangeError> {
+    async fn change(&mut self, plan: ChangePlan) -> Result<(), ChangeError> {
         let Some((expected, next)) = self.plan_next(&plan) else {
             return Err(ChangeError::Conflict);
         };
@@ -301,30 +313,30 @@
         result
     }
 
-    /// The next map, if the plan was made by this process on the map that is known.
-    fn plan_next(&self, plan: &Plan) -> Option<(Expected, OwnershipMap)> {
-        let known = self.known.as_ref()?;
-        if plan.planner != self.arguments.me || plan.base != known.map.version || !self.serving {
+    /// Returns the next map if the plan was made by this process on the current local copy of the map.
+    fn plan_next(&self, plan: &ChangePlan) -> Option<(Expected, OwnershipMap)> {
+        let current = self.current.as_ref()?;
+        if plan.planner != self.arguments.me || plan.base_version != current.map.version || !self.serving {
             return None;
         }
-        let next = known.map.with_moves(&plan.moves, rand::random())?;
-        Some((Expected::Revision(known.revision), next))
+        let next = current.map.with_moves(&plan.moves, rand::random())?;
+        Some((Expected::Revision(current.revision), next))
     }
 
-    /// Takes in a map, if it is newer.
+    /// Accepts a map if it is newer than the local copy.
     async fn accept(&mut self, found: VersionedMap) {
-        let known_version = self.known.as_ref().map_or(0, |known| known.map.version);
-        if found.map.version <= known_version {
+        let current_version = self.current.as_ref().map_or(0, |current| current.map.version);
+        if found.map.version <= current_version {
             return;
         }
-        // A process that was fenced gets nothing more: its trees are being cleared.
+        // A fenced process gains no partitions, because its trees are being cleared.
         let gained = if self.serving {
             self.gained(&found.map)
         } else {
             BTreeSet::new()
         };
         let lost = self.lost(&found.map);
-        let trees = self.arguments.staging.take(&found.map, &gained).await;
+        let trees = self.arguments.staging.take_trees(&found.map, &gained).await;
         log::info!(
             "event=ownership_changed host={} version={} gained={} lost={} trees={}",
             self.arguments.me.host_id,
@@ -334,11 +346,11 @@
             trees.len(),
         );
         if !trees.is_empty() {
-            // Before the map is published: a partition that is served without its trees would answer
-            // that they do not exist.
+            // Adopt before the map is published. A partition served without its trees would respond that
+            // its programs do not exist.
             self.arguments.trees.adopt(trees).await;
         }
-        self.known = Some(found);
+        self.current = Some(found);
         if lost.iter().any(|partition| !self.handing_off.contains(partition)) {
             self.serving = false;
             self.arguments.fenced.notify_one();
@@ -351,18 +363,21 @@
         (0..PARTITIONS)
             .filter(|&partition| next.owner(partition).is_some_and(|owner| owner.process == *me))
             .filter(|&partition| {
-                let known = self.known.as_ref().and_then(|known| known.map.owner(partition));
-                known != next.owner(partition)
+                let current = self
+                    .current
+                    .as_ref()
+                    .and_then(|current| current.map.owner(partition));
+                current != next.owner(partition)
             })
             .collect()
     }
 
     fn lost(&self, next: &OwnershipMap) -> BTreeSet<PartitionId> {
         let me = &self.arguments.me;
-        let Some(known) = &self.known else {
+        let Some(current) = &self.current else {
             return BTreeSet::new();
         };
-        known
+        current
             .map
             .partitions_of(me)
             .into_iter()
@@ -378,8 +393,8 @@
 
     fn publish(&self) {
         let me = self.arguments.me.clone();
-        let view = match &self.known {
-            Some(known) => OwnershipView::new(me, &known.map, self.serving),
+        let view = match &self.current {
+            Some(current) => OwnershipView::new(me, &current.map, self.serving),
             None => OwnershipView {
                 me,
                 serving: self.serving,
@@ -391,7 +406,7 @@
     }
 }
 
-/// A count as a metric; exact for any number of partitions.
+/// Converts a count to a metric value, exactly for any number of partitions.
 fn f64_of(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
--- a/crates/burdockroad-daemon/src/ownership/staging.rs
+++ b/crates/burdockroad-daemon/src/ownership/staging.rs
@@ -1,4 +1,5 @@
-//! Copies of trees that are durable in this process's journal before the map names this process.
+//! Staging area for copies of trees that are durable in this process's journal before the ownership map
+//! names this process as their owner.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,11 +20,11 @@
 
 use crate::journal::{Durability, Journal, JournalError};
 
-/// Keeps the copies of each partition, in memory and in the journal.
+/// Staged copies of each partition, in memory and in the journal.
 ///
-/// A copy becomes the truth only when the ownership map names this process for its partition. One that
-/// was left over, because the move did not happen, is replaced by the next copy of its partition, and
-/// its trees that are not in that next copy are dropped from the journal first.
+/// A copy becomes authoritative only when the ownership map names this process as the owner of its
+/// partition. If the move did not happen, the next copy of the partition replaces the stale copy. Trees
+/// that the next copy lacks are then dropped from the journal first.
 #[derive(Debug)]
 pub struct Staging {
     inner: Mutex<Inner>,
@@ -43,23 +44,23 @@
     trees: BTreeMap<ProgramId, Tree>,
 }
 
-/// Tells a newer copy of a partition from an older one that arrives late.
+/// Ordering key of the copies of a partition, by which an older copy that arrives late is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StageOrder {
-    /// Epoch of the owner that the copy comes from.
+    /// Epoch of the owner that made the copy.
     pub epoch: Epoch,
-    /// Whether it was read from the owner's sealed journal, after which the owner can do nothing more.
+    /// Whether the copy was read from the owner's sealed journal, to which the owner can no longer write.
     pub sealed: bool,
-    /// Grows with each copy that one process makes.
+    /// Number that increases with each copy that one process makes.
     pub attempt: u64,
 }
 
-/// Why a copy was not made durable.
+/// Error of staging a copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StageError {
-    /// The copy is for another process, or older than one that is here.
+    /// The copy is for another process, or not newer than a staged copy of the partition.
     Outdated,
-    /// The journal did not take it.
+    /// The journal did not make the copy durable.
     Journal(JournalError),
 }
 
@@ -75,7 +76,7 @@
 impl std::error::Error for StageError {}
 
 impl Staging {
-    /// Makes an empty table for one process and its journal.
+    /// Creates an empty staging area for a process and its journal.
     pub fn new(me: Process, journal: Arc<dyn Journal>) -> Self {
         Self {
             inner: Mutex::new(Inner {
@@ -87,12 +88,12 @@
         }
     }
 
-    /// A number for the next copy that this process makes.
+    /// Returns the attempt number of the next copy that this process makes.
     pub fn next_attempt(&self) -> u64 {
         self.attempts.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Forgets all copies and goes on as another process with another journal.
+    /// Drops all copies and resumes as another process with another journal.
     pub async fn restart(&self, me: Process, journal: Arc<dyn Journal>) {
         *self.inner.lock().await = Inner {
             me,
@@ -101,15 +102,15 @@
         };
     }
 
-    /// Makes copies of whole partitions durable, in place of earlier copies of them.
+    /// Makes copies of whole partitions durable, replacing earlier copies of these partitions.
     ///
-    /// Returns once the key-value service has them. The lock is held until then, so that a restart
-    /// cannot come between the check of the process and the append.
+    /// Returns once the key-value service has stored the copies. The lock is held until then, so that no
+    /// restart occurs between the check of the process and the append.
     ///
     /// # Errors
     ///
-    /// Fails when the copy is not for this process, is older than one here, or cannot be made durable;
-    /// it may become durable later and is then a copy that was left over.
+    /// Fails when the copy is not for this process, is not newer than a staged copy, or cannot be made
+    /// durable. A copy that failed may still become durable later; it is then stale.
     pub async fn stage(
         &self,
         to: &Process,
@@ -128,11 +129,11 @@
             .map_err(StageError::Journal)
     }
 
-    /// Takes out the trees of partitions that a map names this process for.
+    /// Removes and returns the staged trees of partitions that a map assigns to this process.
     ///
-    /// The map names it only after a copy was confirmed as durable. A later copy of the same epoch may
-    /// have taken its place and not be confirmed yet; it has the same trees, and is queued.
-    pub async fn take(&self, map: &OwnershipMap, partitions: &BTreeSet<PartitionId>) -> Vec<Tree> {
+    /// The map names this process only after a copy was confirmed as durable. A later copy of the same
+    /// epoch may have replaced that copy without being confirmed yet. It has the same trees and is queued.
+    pub async fn take_trees(&self, map: &OwnershipMap, partitions: &BTreeSet<PartitionId>) -> Vec<Tree> {
         let mut inner = self.inner.lock().await;
         let mut trees = Vec::new();
         for partition in partitions {
@@ -140,7 +141,7 @@
             if let Some(staged) = inner.partitions.get_mut(partition)
                 && staged.order.epoch + 1 == epoch
             {
-                // The order stays, so that a late copy from the former owner is refused.
+                // The ordering key is retained, so that a late copy from the former owner is rejected.
                 trees.extend(std::mem::take(&mut staged.trees).into_values());
             }
         }
@@ -157,7 +158,7 @@
         })
     }
 
-    /// Puts new copies in place of old ones, and returns the records that say so.
+    /// Replaces old copies with new ones and returns the journal records of the replacement.
     fn replace(&mut self, orders: &BTreeMap<PartitionId, StageOrder>, trees: Vec<Tree>) -> Vec<Record> {
         let mut records = Vec::new();
         let mut replaced: BTreeMap<ProgramId, Tree> = BTreeMap::new();
@@ -166,8 +167,8 @@
                 order,
                 trees: BTreeMap::new(),
             };
-            if let Some(earlier) = self.partitions.insert(partition, staged) {
-                replaced.extend(earlier.trees);
+            if let Some(stale) = self.partitions.insert(partition, staged) {
+                replaced.extend(stale.trees);
             }
         }
         for mut tree in trees {
@@ -176,10 +177,10 @@
             let Some(staged) = partition.and_then(|partition| self.partitions.get_mut(&partition)) else {
                 continue;
             };
-            let earlier = replaced.remove(&tree.root_id).map_or(0, |tree| tree.sequence);
-            // A move counts as a change, so that the copy replaces whatever this journal has of the tree,
-            // also that it was dropped here after an earlier move.
-            tree.sequence = tree.sequence.max(earlier) + 1;
+            let stale_sequence = replaced.remove(&tree.root_id).map_or(0, |tree| tree.sequence);
+            // A move increments the sequence number, so that the copy supersedes all records of the tree in
+            // this journal, including the drop record of an earlier move.
+            tree.sequence = tree.sequence.max(stale_sequence) + 1;
             records.push(Record {
                 root_id: tree.root_id.clone(),
                 sequence: tree.sequence,
--- a/crates/burdockroad-daemon/src/ownership/store.rs
+++ b/crates/burdockroad-daemon/src/ownership/store.rs
@@ -1,4 +1,4 @@
-//! The ownership map in the key-value service.
+//! Storage of the ownership map in the key-value service.
 
 use std::{fmt, time::Duration};
 
@@ -7,22 +7,22 @@
 
 use crate::platform::{Entry, Expected, Put, Revision, SharedKeyValue, StoreError};
 
-/// Key of the ownership map.
+/// Key under which the ownership map is stored.
 pub const OWNERSHIP_KEY: &str = "burdockroad/ownership";
 
-/// Time before the first repetition of a write whose outcome is not known; it doubles each time.
-const SETTLE_DELAY: Duration = Duration::from_millis(50);
+/// Initial backoff before a write with an unknown outcome is repeated. The backoff doubles each time.
+const REWRITE_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest time between two repetitions.
-const SETTLE_DELAY_MAX: Duration = Duration::from_secs(2);
+/// Maximum backoff between two repetitions.
+const REWRITE_BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// Reads and changes the map.
+/// Access to the stored map.
 #[derive(Clone, Debug)]
 pub struct MapStore {
     store: SharedKeyValue,
 }
 
-/// A map, and what to expect of the key when changing it.
+/// Ownership map with the key revision that a conditional write expects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedMap {
     /// The map.
@@ -31,21 +31,21 @@
     pub revision: Revision,
 }
 
-/// Outcome of a change.
+/// Outcome of a conditional write of the map.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Swap {
-    /// The map is changed.
+    /// The map was written.
     Done(VersionedMap),
-    /// Another process changed the map first; this is it.
+    /// Another process changed the map first. Holds the stored map, if there is one.
     Conflict(Option<VersionedMap>),
 }
 
-/// Why the map could not be read, or was not changed.
+/// Error of reading or changing the map.
 #[derive(Clone, Debug)]
 pub enum MapError {
-    /// The key-value service cannot be reached; nothing was changed.
+    /// The key-value service is unreachable. Nothing was changed.
     Unavailable(StoreError),
-    /// The key holds something that is not a map.
+    /// The stored value is not a valid map.
     Damaged(burdockroad::Error),
 }
 
@@ -73,34 +73,34 @@
 }
 
 impl MapStore {
-    /// Makes a store of the map over a key-value service.
+    /// Creates a map store that uses a key-value service.
     pub fn new(store: SharedKeyValue) -> Self {
         Self { store }
     }
 
-    /// Reads the map; none before the first.
+    /// Reads the map. Returns `None` before the first map is created.
     ///
     /// # Errors
     ///
-    /// Fails when the service cannot be reached, or holds something else.
+    /// Fails when the service is unreachable or the stored value is not a valid map.
     pub async fn read(&self) -> Result<Option<VersionedMap>, MapError> {
         let entry = self.store.get(OWNERSHIP_KEY).await?;
         entry.as_ref().map(decode).transpose()
     }
 
-    /// Changes the map if it is still as expected, and returns only once it is certain whether it did.
+    /// Writes the map if the key is still as expected. Returns only once the outcome is certain.
     ///
-    /// A write whose reply was lost may still be on its way, so reading the key back is not enough: an
-    /// old value read back could yet be replaced. The same write is made again until it succeeds or
-    /// conflicts. Either way the revision has changed, and an earlier try can do nothing any more; the
-    /// change id in the conflicting map tells whether one of them was it.
+    /// A write whose response was lost may still be in flight, so reading the key back is not enough: the
+    /// old value could be read and then replaced. The same write is repeated until it succeeds or
+    /// conflicts. In both cases the revision has changed, so an earlier attempt can no longer succeed. The
+    /// change ID in the conflicting map shows whether one of the attempts wrote it.
     ///
     /// # Errors
     ///
-    /// Fails when the service refused the first try without effect, or the map cannot be encoded.
+    /// Fails when the first attempt failed without effect, or the map cannot be encoded.
     pub async fn swap(&self, expected: Expected, next: &OwnershipMap) -> Result<Swap, MapError> {
         let value = Bytes::from(next.encode()?);
-        let mut delay = SETTLE_DELAY;
+        let mut backoff = REWRITE_BACKOFF;
         let mut uncertain = false;
         loop {
             match self.store.put(OWNERSHIP_KEY, value.clone(), expected).await {
@@ -108,20 +108,20 @@
                     let map = next.clone();
                     return Ok(Swap::Done(VersionedMap { map, revision }));
                 }
-                Ok(Put::Conflict(entry)) => return settle(entry.as_ref(), next),
+                Ok(Put::Conflict(entry)) => return conflict_outcome(entry.as_ref(), next),
                 Err(cause @ StoreError::Unavailable { .. }) if !uncertain => return Err(cause.into()),
                 Err(cause) => {
                     log::warn!("event=ownership_write_uncertain reason=\"{cause}\"");
                     uncertain = true;
-                    tokio::time::sleep(delay).await;
-                    delay = (delay * 2).min(SETTLE_DELAY_MAX);
+                    tokio::time::sleep(backoff).await;
+                    backoff = (backoff * 2).min(REWRITE_BACKOFF_MAX);
                 }
             }
         }
     }
 }
 
-fn settle(entry: Option<&Entry>, next: &OwnershipMap) -> Result<Swap, MapError> {
+fn conflict_outcome(entry: Option<&Entry>, next: &OwnershipMap) -> Result<Swap, MapError> {
     let found = entry.map(decode).transpose()?;
     match found {
         Some(found) if found.map.change_id == next.change_id => Ok(Swap::Done(found)),
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -361,7 +361,7 @@
         self.tell(ProgramsMessage::Thaw(partitions));
     }
 
-    async fn forget(&self, partitions: Vec<PartitionId>) {
+    async fn drop_partitions(&self, partitions: Vec<PartitionId>) {
         self.ask(|port| ProgramsMessage::Forget(partitions, port)).await;
     }
 
--- a/crates/burdockroad-daemon/src/takeover.rs
+++ b/crates/burdockroad-daemon/src/takeover.rs
@@ -1,9 +1,9 @@
-//! Taking over what a process owned that is gone.
+//! Takeover of the partitions of a failed process.
 //!
-//! The order makes every step safe to repeat, by this process or another: the gone process's journal is
-//! sealed and read, its trees are made durable in this process's journal, *then* the map is changed,
-//! *then* the old journal is removed. Until the map is changed the old journal holds everything, and
-//! afterwards this process's journal does. Copies that stand anywhere else are ignored.
+//! A takeover seals and reads the failed process's journal, makes its trees durable in this process's
+//! journal, *then* changes the ownership map, *then* removes the old journal. This order makes every
+//! step safe to repeat, by this process or another. Until the map changes, the old journal is
+//! authoritative; afterwards this process's journal is. Copies anywhere else are ignored.
 
 mod recovery;
 
@@ -27,37 +27,37 @@
     platform::StoreError,
 };
 
-/// Number of times that a takeover is planned anew after the map changed under it.
+/// Maximum number of attempts at a takeover when the map changes concurrently.
 const ATTEMPTS_MAX: u32 = 8;
 
-/// Takes over from processes that are gone.
+/// Takeover of the partitions of failed processes.
 #[derive(Clone, Debug)]
 pub struct Takeover {
     /// The ownership map.
     pub ownership: OwnershipHandle,
-    /// Where the copies are made durable.
+    /// Staging area in which the copied trees are made durable.
     pub staging: Arc<Staging>,
-    /// Seals and reads journals.
+    /// Access to the journals of other processes.
     pub recovery: Arc<dyn JournalRecovery>,
 }
 
-/// What a takeover brought.
+/// Summary of a takeover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TakenOver {
-    /// Partitions that this process now owns.
+pub struct TakeoverSummary {
+    /// Number of partitions that this process took over.
     pub partitions: usize,
-    /// Trees in them.
+    /// Number of trees in these partitions.
     pub trees: usize,
 }
 
-/// Why a process was not taken over; a later try may succeed.
+/// Error of a takeover. A later attempt may succeed.
 #[derive(Clone, Debug)]
 pub enum TakeoverError {
-    /// The map was not changed.
+    /// The ownership map was not changed.
     Ownership(ChangeError),
-    /// The journal of the gone process could not be sealed, read or removed.
+    /// The journal of the failed process could not be sealed, read or removed.
     Recovery(RecoveryError),
-    /// The copies are not durable here.
+    /// The copied trees could not be made durable in this process's journal.
     Stage(StageError),
 }
 
@@ -98,19 +98,20 @@
 }
 
 impl Takeover {
-    /// Takes over all partitions of a process; nothing when it owns none.
+    /// Takes over all partitions of a failed process. Does nothing when it owns none.
     ///
     /// # Errors
     ///
-    /// Fails when the key-value service cannot be reached, or this process is itself fenced.
-    pub async fn take_over(&self, gone: &Process) -> Result<TakenOver, TakeoverError> {
+    /// Fails when the key-value service is unreachable, when this process is itself fenced, or when the map
+    /// keeps changing concurrently.
+    pub async fn take_over(&self, failed: &Process) -> Result<TakeoverSummary, TakeoverError> {
         let me = self.ownership.me();
         for _ in 0..ATTEMPTS_MAX {
             self.ownership.refresh().await?;
-            if self.ownership.map().partitions_of(gone).is_empty() {
-                return Ok(TakenOver::default());
+            if self.ownership.map().partitions_of(failed).is_empty() {
+                return Ok(TakeoverSummary::default());
             }
-            match self.move_to(&me, gone).await {
+            match self.move_to(&me, failed).await {
                 Err(TakeoverError::Ownership(ChangeError::Conflict)) => {}
                 outcome => return outcome,
             }
@@ -118,32 +119,33 @@
         Err(ChangeError::Conflict.into())
     }
 
-    /// Removes the journal of a process that owns nothing.
+    /// Removes the journal of a process that owns no partitions.
     ///
-    /// Another process may be about to hand something to it. After the seal it can take nothing more,
-    /// and the change of the map makes a handoff fail that it took before; only then is the journal
-    /// removed.
+    /// Another process may be about to hand partitions off to it. Once its journal is sealed, the process
+    /// cannot accept a handoff. The change of the map then fails any handoff that it accepted earlier.
+    /// Only after both is the journal removed.
     ///
     /// # Errors
     ///
-    /// As for [`take_over`](Self::take_over); fails also when the map changed meanwhile.
-    pub async fn remove_leftover(&self, gone: &Process) -> Result<(), TakeoverError> {
+    /// Fails as [`take_over`](Self::take_over) does, and also when the map changed concurrently.
+    pub async fn remove_orphaned(&self, failed: &Process) -> Result<(), TakeoverError> {
         let me = self.ownership.me();
         self.ownership.refresh().await?;
-        if self.ownership.map().partitions_of(gone).is_empty() {
-            self.move_to(&me, gone).await?;
+        if self.ownership.map().partitions_of(failed).is_empty() {
+            self.move_to(&me, failed).await?;
         }
         Ok(())
     }
 
-    /// One try, on the map as it is known when it begins.
-    async fn move_to(&self, me: &Process, gone: &Process) -> Result<TakenOver, TakeoverError> {
+    /// Attempts the takeover once, based on the current local copy of the map.
+    async fn move_to(&self, me: &Process, failed: &Process) -> Result<TakeoverSummary, TakeoverError> {
         let map = self.ownership.map();
-        let moves = takeover_moves(&map, gone, me);
+        let moves = takeover_moves(&map, failed, me);
         let partitions: BTreeSet<PartitionId> = moves.iter().map(|step| step.partition).collect();
-        let records = self.recovery.seal_and_read(gone, me).await?;
+        let records = self.recovery.seal_and_read(failed, me).await?;
         self.ensure_unchanged(map.version).await?;
-        // What the journal has of other partitions was handed off, or never became the truth.
+        // Trees of other partitions in the journal were handed off, or were copies that never became
+        // authoritative.
         let trees = trees_of(records, &partitions);
         let attempt = self.staging.next_attempt();
         let orders = partitions
@@ -157,7 +159,7 @@
                 (partition, order)
             })
             .collect();
-        let taken = TakenOver {
+        let summary = TakeoverSummary {
             partitions: partitions.len(),
             trees: trees.len(),
         };
@@ -166,21 +168,22 @@
         log::info!(
             "event=taken_over host={} from={} incarnation={:016x} partitions={} trees={}",
             me.host_id,
-            gone.host_id,
-            gone.incarnation,
-            taken.partitions,
-            taken.trees,
+            failed.host_id,
+            failed.incarnation,
+            summary.partitions,
+            summary.trees,
         );
         metrics::counter!("burdockroad_takeovers_total").increment(1);
-        self.remove(gone).await;
-        Ok(taken)
+        self.remove_journal(failed).await;
+        Ok(summary)
     }
 
-    /// Fails when the map has changed since a version.
+    /// Fails when the map has changed since `version`.
     ///
-    /// The gone process may have handed a partition to this one, and then have recorded that it dropped
-    /// the trees, before its journal was sealed. What was read then lacks them, and must not replace the
-    /// copy that the handoff left here. While the map has not changed, nothing was dropped.
+    /// Before its journal was sealed, the failed process may have handed a partition off to this process
+    /// and recorded that it dropped the trees. The records read from the journal then lack these trees and
+    /// must not replace the copies that the handoff staged here. If the map is unchanged, no tree was
+    /// dropped.
     async fn ensure_unchanged(&self, version: u64) -> Result<(), ChangeError> {
         self.ownership.refresh().await?;
         if self.ownership.map().version == version {
@@ -202,12 +205,12 @@
         self.staging.stage(me, orders, trees).await
     }
 
-    /// Removes a journal that nothing needs any more; one that stays is found later.
-    async fn remove(&self, gone: &Process) {
-        if let Err(cause) = self.recovery.remove(gone).await {
+    /// Removes a journal that is no longer needed. On failure a later orphan sweep removes it.
+    async fn remove_journal(&self, failed: &Process) {
+        if let Err(cause) = self.recovery.remove(failed).await {
             log::warn!(
                 "event=journal_not_removed host={} reason=\"{cause}\"",
-                gone.host_id
+                failed.host_id
             );
         }
     }
@@ -217,7 +220,7 @@
     let mut replay = Replay::new();
     for record in records {
         let root_id = record.root_id.clone();
-        // A gap stands where a copy was lost together with its writer; what precedes it is kept.
+        // A gap occurs where a replica was lost together with its writer. The records before it are kept.
         if let Err(cause) = replay.apply(record) {
             log::error!("event=record_not_replayed program={root_id} reason=\"{cause}\"");
         }
--- a/crates/burdockroad-daemon/src/takeover/recovery.rs
+++ b/crates/burdockroad-daemon/src/takeover/recovery.rs
@@ -1,4 +1,4 @@
-//! The border to the journals of other processes.
+//! Interface to the journals of other processes.
 
 use std::fmt;
 
@@ -7,36 +7,42 @@
 
 use crate::platform::StoreError;
 
-/// Seals, reads and removes journals that other processes wrote.
+/// Access to journals that other processes wrote.
 #[async_trait]
 pub trait JournalRecovery: fmt::Debug + Send + Sync {
-    /// Seals a journal against its writer, and returns all its records in their order, those included
-    /// that only a peer has yet; sealing again, also for another successor, returns them again.
+    /// Seals a journal against its writer and returns all its records in order.
+    ///
+    /// The records include those that only a peer has so far. Sealing again, even for another successor,
+    /// returns the same records.
     ///
     /// # Errors
     ///
-    /// Fails when the key-value service cannot be reached, or the journal is damaged.
-    async fn seal_and_read(&self, gone: &Process, successor: &Process) -> Result<Vec<Record>, RecoveryError>;
+    /// Fails when the key-value service is unreachable or the journal is damaged.
+    async fn seal_and_read(
+        &self,
+        failed: &Process,
+        successor: &Process,
+    ) -> Result<Vec<Record>, RecoveryError>;
 
     /// Removes a sealed journal.
     ///
     /// # Errors
     ///
-    /// Fails when the key-value service cannot be reached.
-    async fn remove(&self, gone: &Process) -> Result<(), RecoveryError>;
+    /// Fails when the key-value service is unreachable.
+    async fn remove(&self, failed: &Process) -> Result<(), RecoveryError>;
 
-    /// The processes that have a journal.
+    /// Returns the processes that have a journal.
     ///
     /// # Errors
     ///
-    /// Fails when the key-value service cannot be reached.
+    /// Fails when the key-value service is unreachable.
     async fn writers(&self) -> Result<Vec<Process>, RecoveryError>;
 }
 
-/// Why a journal could not be sealed, read or removed.
+/// Error of sealing, reading or removing a journal.
 #[derive(Clone, Debug)]
 pub enum RecoveryError {
-    /// The key-value service cannot be reached.
+    /// The key-value service is unreachable.
     Store(StoreError),
     /// The journal cannot be read.
     Damaged(burdockroad::Error),
--- a/crates/burdockroad-daemon/tests/fleet/trees.rs
+++ b/crates/burdockroad-daemon/tests/fleet/trees.rs
@@ -145,7 +145,7 @@
         table.released.retain(|partition| !partitions.contains(partition));
     }
 
-    async fn forget(&self, partitions: Vec<PartitionId>) {
+    async fn drop_partitions(&self, partitions: Vec<PartitionId>) {
         let mut table = self.table.lock().unwrap();
         table.released.retain(|partition| !partitions.contains(partition));
         let (lost, kept): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut table.trees)
