--- a/crates/burdockroad-daemon/src/config_watch.rs
+++ b/crates/burdockroad-daemon/src/config_watch.rs
@@ -1,11 +1,11 @@
 //! The configuration document in force on this host.
 //!
-//! A watch on the store reports changes of the document. Cheap reads of the store confirm that the
-//! document is current. A successful read is followed by a pause of `CONFIRM_AGE`, and reads are skipped
-//! while a peer attests to a confirmation younger than that. Progress events of the watch do not count
-//! as confirmations: they are not responses to a request of this host, so a process that was paused
-//! could not distinguish old events from new ones. A host that cannot reach the store receives changes
-//! from its peers.
+//! A watch on the store reports changes of the document. Cheap reads of the store, at most about one a
+//! second, confirm that the document is current. They are skipped while the latest confirmation, which
+//! may come from a peer, is younger than `CONFIRM_AGE`. Progress events of the watch do not count as
+//! confirmations: they are not responses to a request of this host, so a process that was paused could
+//! not distinguish old events from new ones. A host that cannot reach the store receives changes from
+//! its peers.
 
 mod in_force;
 mod shared;
--- a/crates/burdockroad-daemon/src/daemon.rs
+++ b/crates/burdockroad-daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon: its parts put together, started and stopped.
+//! Assembly, startup and shutdown of a daemon.
 
 mod journals;
 mod observed_hosts;
@@ -18,7 +18,7 @@
 };
 use tokio::{net::TcpListener, sync::oneshot, task::JoinHandle};
 
-use self::{journals::Journals, observed_hosts::ObservedHostList, operators::Operators};
+use self::{journals::Journals, observed_hosts::ObservedHostList, operators::OperatorApi};
 use crate::{
     admin::{self, AdminHandlers},
     calls::{CallLimits, CallRunner},
@@ -39,25 +39,25 @@
     telemetry::Telemetry,
 };
 
-/// Time between two runs of the systems that depend on time.
-const TICK: Duration = Duration::from_millis(200);
+/// Interval between two ticks of the programs.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Largest answer of a plain service, in bytes.
-const ANSWER_MAX_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of a response of a plain service, in bytes.
+const RESPONSE_MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// Longest wait for a program that is moving between hosts: more than a takeover takes.
+/// Maximum wait for a program that is moving between hosts. This is longer than a takeover takes.
 const MOVING_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Why a daemon did not start.
+/// Error returned when a daemon fails to start.
 #[derive(Debug)]
 pub enum DaemonError {
-    /// The platform's services cannot be used as the settings say.
+    /// The platform's services cannot be used with the settings.
     Platform(PlatformError),
-    /// An address cannot be listened on.
+    /// The daemon cannot listen on an address.
     Listen {
         /// The address.
         address: String,
-        /// What the system said.
+        /// Error of the operating system.
         cause: io::Error,
     },
     /// An actor could not be started.
@@ -97,7 +97,7 @@
     }
 }
 
-/// A running daemon.
+/// Running daemon.
 #[derive(Debug)]
 pub struct Daemon {
     caller_address: SocketAddr,
@@ -106,7 +106,7 @@
     shutdown_timeout: Duration,
     coordinator: Arc<Coordinator>,
     admin: AdminServer,
-    upkeep: JoinHandle<()>,
+    maintenance: JoinHandle<()>,
     callers: CallerServer,
     peers: PeerServer,
     programs: Arc<ProgramsHandle>,
@@ -115,15 +115,15 @@
     ticker: JoinHandle<()>,
 }
 
-/// The server that peers reach.
+/// Server for requests from peers.
 #[derive(Debug)]
 struct PeerServer {
     stop: oneshot::Sender<()>,
     task: JoinHandle<()>,
 }
 
-/// What all parts share.
-struct Base {
+/// State shared by all components of the daemon.
+struct Components {
     settings: Settings,
     store: SharedKeyValue,
     clients: Arc<PeerClients>,
@@ -135,11 +135,11 @@
 }
 
 impl Daemon {
-    /// Starts a daemon as its settings say; port 0 takes a free port.
+    /// Starts a daemon with the given settings. Port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// Fails when an address is taken, or the settings name a platform service that cannot be used.
+    /// Fails when an address is in use, or when the settings specify a platform service that cannot be used.
     pub async fn start(settings: Settings, telemetry: Telemetry) -> Result<Self, DaemonError> {
         let admin_listener = listen(&settings.admin_address).await?;
         let admin_address = local_address(&admin_listener, &settings.admin_address)?;
@@ -155,7 +155,7 @@
         let clients = Arc::new(PeerClients::new());
         let config = ConfigWatch::start(settings.host_id.clone(), Arc::clone(&store), Arc::clone(&clients));
         let views = Views::new(settings.host_id.clone());
-        let base = Base {
+        let components = Components {
             tails: Arc::new(TailStore::new(views.me())),
             endpoints: Arc::new(HttpEndpoints::new()),
             in_force: config.in_force(),
@@ -165,36 +165,36 @@
             views,
             telemetry,
         };
-        let journals = Arc::new(base.journals());
-        let journal = Arc::new(JournalHandle::open(Arc::clone(&journals) as _, base.views.me()).await);
-        let programs = Arc::new(base.start_programs(&journal).await?);
-        let shared: Arc<dyn Trees> = Arc::clone(&programs) as Arc<dyn Trees>;
-        journals.set_trees(&shared);
+        let journals = Arc::new(components.journals());
+        let journal = Arc::new(JournalHandle::open(Arc::clone(&journals) as _, components.views.me()).await);
+        let programs = Arc::new(components.start_programs(&journal).await?);
+        let trees: Arc<dyn Trees> = Arc::clone(&programs) as Arc<dyn Trees>;
+        journals.set_trees(&trees);
 
-        let options = base.coordinator_options(&config, hosts, journal, shared, peer_address);
+        let options = components.coordinator_options(&config, hosts, journal, trees, peer_address);
         let coordinator = Arc::new(Coordinator::start(options).await?);
-        let served = base
+        let services = components
             .start_serving(&coordinator, &config, &programs, leaving)
             .await?;
-        let peers = PeerServer::start(peer_listener, served.handlers);
+        let peers = PeerServer::start(peer_listener, services.handlers);
         let parts = CallerServerParts {
-            edge: served.edge,
-            in_force: base.in_force.clone(),
-            limits: base.settings.limits.clone(),
+            edge: services.edge,
+            in_force: components.in_force.clone(),
+            limits: components.settings.limits.clone(),
         };
         let callers = CallerServer::start(caller_listener, parts);
         let audit = MemoryAudit::start(
-            base.engine_memory(),
-            base.views.ownership(),
+            components.engine_memory(),
+            components.views.ownership(),
             ProgramsHandle::clone(&programs),
         );
         let ticker = tokio::spawn(tick(ProgramsHandle::clone(&programs)));
-        let operators = Arc::new(base.operators(&coordinator, &programs));
+        let operators = Arc::new(components.operators(&coordinator, &programs));
         let admin = AdminServer::start(admin_listener, &operators, config.offer());
-        let upkeep = tokio::spawn(base.telemetry.clone().maintain());
+        let maintenance = tokio::spawn(components.telemetry.clone().maintain());
         log::info!(
             "event=started host={} callers={caller_address} peers={peer_address}",
-            base.settings.host_id
+            components.settings.host_id
         );
         Ok(Self {
             caller_address,
@@ -203,7 +203,7 @@
             shutdown_timeout,
             coordinator,
             admin,
-            upkeep,
+            maintenance,
             callers,
             peers,
             programs,
@@ -213,51 +213,52 @@
         })
     }
 
-    /// Where callers reach the daemon.
+    /// Returns the address on which the daemon serves callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Where peers reach the daemon.
+    /// Returns the address on which the daemon serves peers.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Where operators and the balancer reach the daemon.
+    /// Returns the address on which the daemon serves operators and the load balancer.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin_address
     }
 
-    /// Finishes what runs here, hands everything over, and stops.
+    /// Waits for running calls, hands off all partitions, and stops.
     pub async fn close(self) {
         log::info!("event=stopping");
-        // Callers go first: what they still wait for may belong to programs of this host.
+        // Close the caller server first, because its running calls may belong to programs of this host.
         self.admin.operators.set_draining();
         self.coordinator.drain();
         self.callers.close(self.shutdown_timeout).await;
-        // An operator's order may hold the coordinator for a moment; what is left then is taken over.
-        let left = match Arc::into_inner(self.coordinator) {
+        // A running operator request may still hold a reference to the coordinator. Other hosts then take
+        // over the partitions.
+        let remaining = match Arc::into_inner(self.coordinator) {
             Some(coordinator) => coordinator.shutdown(self.shutdown_timeout).await,
             None => usize::from(PARTITIONS),
         };
         self.admin.close().await;
-        self.upkeep.abort();
+        self.maintenance.abort();
         self.peers.close().await;
         self.ticker.abort();
         self.audit.close();
         ProgramsHandle::clone(&self.programs).close();
         self.config.close().await;
-        log::info!("event=stopped partitions_left={left}");
+        log::info!("event=stopped partitions_left={remaining}");
     }
 }
 
-/// What serves callers and peers.
-struct Served {
+/// Services for callers and peers.
+struct Services {
     edge: Edge,
     handlers: PeerHandlers,
 }
 
-impl Base {
+impl Components {
     fn journals(&self) -> Journals {
         Journals {
             store: Arc::clone(&self.store),
@@ -265,7 +266,7 @@
             peers: self.views.peers(),
             clients: Arc::clone(&self.clients),
             tails: Arc::clone(&self.tails),
-            cleaning: Mutex::default(),
+            cleanup: Mutex::default(),
         }
     }
 
@@ -308,7 +309,7 @@
             store: Arc::clone(&self.store),
             host_list: Arc::new(hosts),
             journal,
-            recovery: Arc::new(journals::PatientRecovery { recovery }),
+            recovery: Arc::new(journals::RetryingRecovery { recovery }),
             trees,
             clients: Arc::clone(&self.clients),
             document: config.gossip(),
@@ -321,7 +322,7 @@
         config: &ConfigWatch,
         programs: &Arc<ProgramsHandle>,
         leaving: LeavingReceiver,
-    ) -> Result<Served, DaemonError> {
+    ) -> Result<Services, DaemonError> {
         let source = Arc::new(DocumentSource::new(self.in_force.clone(), leaving));
         let quota = Arc::new(self.start_quota(coordinator, &source).await?);
         let dispatcher = Arc::new(self.start_dispatcher(&source).await?);
@@ -354,7 +355,7 @@
             grant: quota,
             slot: dispatcher,
         };
-        Ok(Served { edge, handlers })
+        Ok(Services { edge, handlers })
     }
 
     async fn start_quota(
@@ -383,8 +384,8 @@
         Ok(PoolDispatcher::start(parts).await?)
     }
 
-    fn operators(&self, coordinator: &Arc<Coordinator>, programs: &Arc<ProgramsHandle>) -> Operators {
-        Operators {
+    fn operators(&self, coordinator: &Arc<Coordinator>, programs: &Arc<ProgramsHandle>) -> OperatorApi {
+        OperatorApi {
             failure_domain: self.settings.failure_domain.clone(),
             in_force: self.in_force.clone(),
             ownership: self.views.ownership(),
@@ -399,7 +400,7 @@
     fn call_limits(&self) -> CallLimits {
         CallLimits {
             queue_timeout: Duration::from_secs(self.settings.limits.queue_timeout_s),
-            answer_max_bytes: ANSWER_MAX_BYTES,
+            answer_max_bytes: RESPONSE_MAX_BYTES,
         }
     }
 }
@@ -409,7 +410,7 @@
         let (stop, stopped) = oneshot::channel();
         let task = tokio::spawn(async move {
             let stopped = async {
-                // A dropped sender stops the server as well.
+                // Dropping the sender also stops the server.
                 let _stopped = stopped.await;
             };
             if let Err(error) = peer::serve(listener, handlers, stopped).await {
@@ -420,7 +421,7 @@
     }
 
     async fn close(self) {
-        // The server may have ended by itself.
+        // The server may already have stopped by itself.
         let _sent = self.stop.send(());
         let mut task = self.task;
         if tokio::time::timeout(Duration::from_secs(1), &mut task)
@@ -432,16 +433,16 @@
     }
 }
 
-/// The server that operators and the balancer reach.
+/// Server for requests from operators and the load balancer.
 #[derive(Debug)]
 struct AdminServer {
     stop: oneshot::Sender<()>,
     task: JoinHandle<()>,
-    operators: Arc<Operators>,
+    operators: Arc<OperatorApi>,
 }
 
 impl AdminServer {
-    fn start(listener: TcpListener, operators: &Arc<Operators>, document: Arc<dyn DocumentOffer>) -> Self {
+    fn start(listener: TcpListener, operators: &Arc<OperatorApi>, document: Arc<dyn DocumentOffer>) -> Self {
         let (stop, stopped) = oneshot::channel();
         let handlers = AdminHandlers {
             document,
@@ -449,7 +450,7 @@
             actions: Arc::clone(operators) as _,
         };
         let task = tokio::spawn(admin::serve(listener, handlers, async {
-            // A dropped sender stops the server as well.
+            // Dropping the sender also stops the server.
             let _stopped = stopped.await;
         }));
         Self {
@@ -460,7 +461,7 @@
     }
 
     async fn close(self) {
-        // The server may have ended by itself.
+        // The server may already have stopped by itself.
         let _sent = self.stop.send(());
         if let Err(error) = self.task.await {
             log::warn!("event=admin_server_failed reason=\"{error}\"");
@@ -469,7 +470,7 @@
 }
 
 async fn tick(programs: ProgramsHandle) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
@@ -478,8 +479,8 @@
 }
 
 async fn listen(address: &str) -> Result<TcpListener, DaemonError> {
-    let listening = TcpListener::bind(address).await;
-    listening.map_err(|cause| DaemonError::Listen {
+    let listener = TcpListener::bind(address).await;
+    listener.map_err(|cause| DaemonError::Listen {
         address: address.to_owned(),
         cause,
     })
--- a/crates/burdockroad-daemon/src/daemon/journals.rs
+++ b/crates/burdockroad-daemon/src/daemon/journals.rs
@@ -1,4 +1,4 @@
-//! The journals of this process, one for each incarnation, and those of processes that are gone.
+//! Journals of this process, one for each incarnation, and recovery of the journals of failed processes.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError, Weak},
@@ -22,52 +22,52 @@
     takeover::{JournalRecovery, RecoveryError},
 };
 
-/// Longest wait for the peer that holds a journal's tail, before the tail counts as lost.
-const TAIL_PATIENCE: Duration = Duration::from_secs(2);
+/// Maximum wait for the peer that has a journal's tail, after which the tail counts as lost.
+const TAIL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause between two questions to that peer.
-const TAIL_PAUSE: Duration = Duration::from_millis(300);
+/// Backoff between two attempts to recover the tail from that peer.
+const TAIL_BACKOFF: Duration = Duration::from_millis(300);
 
-/// Opens this process's journals in the store.
+/// Factory of this process's journals in the store.
 #[derive(Debug)]
 pub(super) struct Journals {
     pub(super) store: SharedKeyValue,
     pub(super) settings: Settings,
     pub(super) peers: PeersReceiver,
     pub(super) clients: Arc<PeerClients>,
-    /// Copies that this process keeps for others.
+    /// Tail copies that this process stores for other hosts.
     pub(super) tails: Arc<TailStore>,
-    /// The trees of this process and its open journal, whichever of them comes first.
-    pub(super) cleaning: Mutex<Cleaning>,
+    /// Link between the trees of this process and its open journal, which may be set in either order.
+    pub(super) cleanup: Mutex<CleanupLink>,
 }
 
-/// What has to meet before old segments can be cleaned away.
+/// Trees and open journal, which must be connected before the journal can remove old segments.
 #[derive(Debug, Default)]
-pub(super) struct Cleaning {
+pub(super) struct CleanupLink {
     trees: Option<Weak<dyn Trees>>,
     journal: Option<StoreJournal>,
 }
 
 impl Journals {
-    /// Names the trees of which this and later journals ask snapshots.
+    /// Sets the trees from which the current and later journals request snapshots.
     pub(super) fn set_trees(&self, trees: &Arc<dyn Trees>) {
-        let mut cleaning = self.lock();
-        cleaning.trees = Some(Arc::downgrade(trees));
-        cleaning.connect();
+        let mut cleanup = self.lock();
+        cleanup.trees = Some(Arc::downgrade(trees));
+        cleanup.connect();
     }
 
     fn set_journal(&self, journal: StoreJournal) {
-        let mut cleaning = self.lock();
-        cleaning.journal = Some(journal);
-        cleaning.connect();
+        let mut cleanup = self.lock();
+        cleanup.journal = Some(journal);
+        cleanup.connect();
     }
 
-    fn lock(&self) -> MutexGuard<'_, Cleaning> {
-        self.cleaning.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, CleanupLink> {
+        self.cleanup.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Cleaning {
+impl CleanupLink {
     fn connect(&self) {
         if let (Some(journal), Some(trees)) = (&self.journal, &self.trees) {
             journal.set_trees(Weak::clone(trees));
@@ -94,45 +94,45 @@
     }
 }
 
-/// Recovers journals, and gives the peer that holds a tail some time to answer.
+/// Journal recovery that retries for up to `TAIL_TIMEOUT` while the peer that has the tail does not respond.
 #[derive(Debug)]
-pub(super) struct PatientRecovery {
+pub(super) struct RetryingRecovery {
     pub(super) recovery: StoreRecovery,
 }
 
-impl PatientRecovery {
-    async fn seal_and_read_patiently(&self, gone: &Process) -> Result<Recovered, StoredError> {
-        let latest = Instant::now() + TAIL_PATIENCE;
+impl RetryingRecovery {
+    async fn seal_and_read_with_retries(&self, failed: &Process) -> Result<Recovered, StoredError> {
+        let deadline = Instant::now() + TAIL_TIMEOUT;
         loop {
-            let recovered = self.recovery.seal_and_read(gone).await?;
-            if recovered.tail != RecoveredTail::Unreached || Instant::now() >= latest {
+            let recovered = self.recovery.seal_and_read(failed).await?;
+            if recovered.tail != RecoveredTail::Unreached || Instant::now() >= deadline {
                 return Ok(recovered);
             }
-            tokio::time::sleep(TAIL_PAUSE).await;
+            tokio::time::sleep(TAIL_BACKOFF).await;
         }
     }
 }
 
 #[async_trait]
-impl JournalRecovery for PatientRecovery {
+impl JournalRecovery for RetryingRecovery {
     async fn seal_and_read(
         &self,
-        gone: &Process,
+        failed: &Process,
         _successor: &Process,
     ) -> Result<Vec<Record>, RecoveryError> {
-        let recovered = self.seal_and_read_patiently(gone).await?;
+        let recovered = self.seal_and_read_with_retries(failed).await?;
         if matches!(recovered.tail, RecoveredTail::Unreached | RecoveredTail::Lost) {
             log::error!(
                 "event=tail_lost host={} incarnation={:016x}",
-                gone.host_id,
-                gone.incarnation
+                failed.host_id,
+                failed.incarnation
             );
         }
         Ok(recovered.records)
     }
 
-    async fn remove(&self, gone: &Process) -> Result<(), RecoveryError> {
-        Ok(self.recovery.remove(gone).await?)
+    async fn remove(&self, failed: &Process) -> Result<(), RecoveryError> {
+        Ok(self.recovery.remove(failed).await?)
     }
 
     async fn writers(&self) -> Result<Vec<Process>, RecoveryError> {
--- a/crates/burdockroad-daemon/src/daemon/observed_hosts.rs
+++ b/crates/burdockroad-daemon/src/daemon/observed_hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's host list, read once for all who need it.
+//! Wrapper of the platform's host list that publishes the leaving hosts.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -11,7 +11,7 @@
     platform::{HostList, HostState, ListedHost, StoreError},
 };
 
-/// Passes a host list on, and publishes which hosts are leaving each time it is read.
+/// Host list that also publishes which hosts are leaving each time it is read.
 #[derive(Debug)]
 pub(super) struct ObservedHostList {
     inner: Arc<dyn HostList>,
@@ -31,13 +31,14 @@
         let hosts = self.inner.hosts().await?;
         let leaving = hosts.iter().filter(|host| host.state == HostState::Leaving);
         let leaving = leaving.map(|host| host.host_id.clone()).collect();
-        self.leaving.send_if_modified(|known| replace(known, leaving));
+        self.leaving
+            .send_if_modified(|published| update(published, leaving));
         Ok(hosts)
     }
 }
 
-fn replace(known: &mut Arc<BTreeSet<HostId>>, leaving: BTreeSet<HostId>) -> bool {
-    let changed = **known != leaving;
-    *known = Arc::new(leaving);
+fn update(published: &mut Arc<BTreeSet<HostId>>, leaving: BTreeSet<HostId>) -> bool {
+    let changed = **published != leaving;
+    *published = Arc::new(leaving);
     changed
 }
--- a/crates/burdockroad-daemon/src/daemon/operators.rs
+++ b/crates/burdockroad-daemon/src/daemon/operators.rs
@@ -1,4 +1,4 @@
-//! What operators are told of this daemon, and what it does at their order.
+//! Status reports and actions that a daemon provides to operators.
 
 use std::{
     sync::{
@@ -27,12 +27,12 @@
     telemetry::Telemetry,
 };
 
-/// Accounts that are named as the worst served.
+/// Number of worst-served accounts in a status report.
 const WORST_SERVED_COUNT: usize = 10;
 
-/// The parts of a daemon that operators ask about.
+/// Components of a daemon that status reports and operator actions use.
 #[derive(Debug)]
-pub(super) struct Operators {
+pub(super) struct OperatorApi {
     pub(super) failure_domain: String,
     pub(super) in_force: InForceReceiver,
     pub(super) ownership: OwnershipReceiver,
@@ -43,8 +43,8 @@
     pub(super) draining: AtomicBool,
 }
 
-impl Operators {
-    /// Takes note that the host is being emptied, so that the balancer sends it no new callers.
+impl OperatorApi {
+    /// Records that the host is draining, so that the load balancer sends it no new callers.
     pub(super) fn set_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
@@ -54,7 +54,7 @@
     }
 }
 
-impl StatusSource for Operators {
+impl StatusSource for OperatorApi {
     fn readiness(&self) -> Readiness {
         if self.is_draining() {
             return Readiness::NotReady("draining".to_owned());
@@ -63,10 +63,12 @@
             return Readiness::NotReady("no configuration document is in force".to_owned());
         }
         if self.in_force.borrow().freshness() == Freshness::CutOff {
-            return Readiness::NotReady("cut off: keys cannot be checked here".to_owned());
+            return Readiness::NotReady(
+                "the configuration document may be outdated, so keys cannot be checked".to_owned(),
+            );
         }
         if self.ownership.borrow().owners.is_empty() {
-            return Readiness::NotReady("the ownership map is not known yet".to_owned());
+            return Readiness::NotReady("the ownership map has not been received yet".to_owned());
         }
         Readiness::Ready
     }
@@ -79,7 +81,7 @@
         let view = Arc::clone(&self.ownership.borrow());
         let in_force = Arc::clone(&self.in_force.borrow());
         let peers = self.peers.borrow();
-        let heard = peers.peers.iter().filter(|(_, peer)| peer.live);
+        let live = peers.peers.iter().filter(|(_, peer)| peer.live);
         Status {
             host_id: view.me.host_id.clone(),
             incarnation: view.me.incarnation,
@@ -93,7 +95,7 @@
                 version: view.version,
                 partitions: view.own_partitions().len(),
                 open_programs: self.programs.kept_trees(),
-                peers_heard: heard.map(|(host_id, _)| host_id.clone()).collect(),
+                peers_heard: live.map(|(host_id, _)| host_id.clone()).collect(),
             },
             endpoints: Vec::new(),
             worst_served: self.telemetry.worst_served(WORST_SERVED_COUNT),
@@ -102,13 +104,13 @@
 }
 
 #[async_trait]
-impl OperatorActions for Operators {
+impl OperatorActions for OperatorApi {
     async fn programs(&self, account_id: Option<AccountId>) -> Vec<ProgramSummary> {
         let trees = self.programs.list().await;
-        let wanted = trees
+        let matching = trees
             .iter()
             .filter(|tree| account_id.as_ref().is_none_or(|id| *id == tree.account_id));
-        wanted.flat_map(summaries).collect()
+        matching.flat_map(summaries).collect()
     }
 
     async fn program(&self, program_id: ProgramId) -> Option<ProgramSummary> {
--- a/crates/burdockroad-daemon/src/platform.rs
+++ b/crates/burdockroad-daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform gives: a small key-value service, and a list of hosts.
+//! Services of the platform: a small key-value service and a list of hosts.
 
 mod breaker;
 mod embedded;
@@ -24,15 +24,15 @@
 };
 use crate::settings::StoreSettings;
 
-/// Largest value that the key-value service takes, in bytes.
+/// Maximum size of a value in the key-value service, in bytes.
 pub const VALUE_MAX_BYTES: usize = 1_000_000;
 
-/// Time within which a call to the platform ends, one way or the other.
+/// Timeout of a request to the platform.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Opens the store that the settings name.
+/// Opens the store that the settings specify.
 ///
-/// A service that is down is no error here: calls to it fail until it is back.
+/// An unavailable service is not an error here. Requests to it fail until it is available again.
 ///
 /// # Errors
 ///
@@ -44,7 +44,7 @@
     }
 }
 
-/// Why a part of the platform cannot be used with these settings.
+/// Error of connecting to a platform service with the given settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformError {
     /// No address of the service was given.
@@ -53,12 +53,12 @@
     Address {
         /// The address.
         address: String,
-        /// What is wrong with it.
+        /// Description of the fault.
         reason: String,
     },
     /// The data folder cannot be used.
     DataFolder {
-        /// What the file system or the embedded store says.
+        /// Error of the file system or the embedded store.
         reason: String,
     },
 }
@@ -75,85 +75,87 @@
 
 impl std::error::Error for PlatformError {}
 
-/// Revision of a key, as the key-value service counts changes.
+/// Revision of a key. The key-value service assigns a higher revision to each change.
 pub type Revision = i64;
 
-/// Client of the platform's key-value service.
+/// Shared client of the platform's key-value service.
 pub type SharedKeyValue = Arc<dyn KeyValue>;
 
-/// A key-value service with compare-and-swap and watches.
+/// Client of a key-value service with compare-and-swap and watches.
 ///
-/// Each call counts against the service's rates, a waiting watch as one.
+/// Each request counts against the service's rate limits. A waiting watch counts as one request.
 #[async_trait]
 pub trait KeyValue: fmt::Debug + Send + Sync {
     /// Reads one key.
     ///
     /// # Errors
     ///
-    /// Fails when the service cannot be reached in time.
+    /// Fails when the service does not respond within [`CALL_TIMEOUT`].
     async fn get(&self, key: &str) -> Result<Option<Entry>, StoreError>;
 
-    /// Reads all keys that begin with `prefix`, in the order of their names.
+    /// Reads all keys that start with `prefix`, sorted by key.
     ///
     /// # Errors
     ///
-    /// Fails when the service cannot be reached in time.
+    /// Fails when the service does not respond within [`CALL_TIMEOUT`].
     async fn list(&self, prefix: &str, listing: Listing) -> Result<Vec<Entry>, StoreError>;
 
     /// Writes one key if it is still as expected.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] when nothing was written; [`StoreError::Ambiguous`] when the write
-    /// may have taken effect, which the caller settles by reading the key back.
+    /// Fails with [`StoreError::Unavailable`] when nothing was written, and with
+    /// [`StoreError::Ambiguous`] when the write may have taken effect. The caller resolves an ambiguous
+    /// write by reading the key back.
     async fn put(&self, key: &str, value: Bytes, expected: Expected) -> Result<Put, StoreError>;
 
-    /// Creates a key, if it does not exist and `predecessor` does.
+    /// Creates a key if it does not exist and `predecessor` does.
     ///
-    /// A missing predecessor is a conflict in which the key holds nothing.
+    /// A missing predecessor is reported as a conflict with an absent key.
     ///
     /// # Errors
     ///
-    /// As for [`put`](Self::put).
+    /// Fails as [`put`](Self::put) does.
     async fn create_after(&self, key: &str, value: Bytes, predecessor: &str) -> Result<Put, StoreError>;
 
-    /// Removes all keys from `from` up to, not including, `to` at once.
+    /// Removes all keys from `from` (inclusive) to `to` (exclusive) atomically.
     ///
     /// # Errors
     ///
-    /// As for [`put`](Self::put); removing again is harmless.
+    /// Fails as [`put`](Self::put) does. Removal is idempotent.
     async fn delete_range(&self, from: &str, to: &str) -> Result<(), StoreError>;
 
-    /// Removes one key, whatever it holds; a key that is absent is no error.
+    /// Removes one key, whatever its value. An absent key is not an error.
     ///
     /// # Errors
     ///
-    /// As for [`put`](Self::put); removing again is harmless.
+    /// Fails as [`put`](Self::put) does. Removal is idempotent.
     async fn delete(&self, key: &str) -> Result<(), StoreError>;
 
-    /// Watches one key from now on.
+    /// Watches the subsequent changes of one key.
     ///
-    /// The receiver ends when the watch breaks; the caller reads the key again and watches anew.
+    /// The receiver is closed when the watch fails. The caller then starts a new watch and reads the key
+    /// again.
     ///
     /// # Errors
     ///
-    /// Fails when the service cannot be reached in time.
+    /// Fails when the service does not respond within [`CALL_TIMEOUT`].
     async fn watch(&self, key: &str) -> Result<mpsc::Receiver<WatchEvent>, StoreError>;
 }
 
-/// One key and what it holds.
+/// Key with its value and revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Entry {
     /// The key.
     pub key: String,
-    /// The value; empty when only keys were listed.
+    /// The value, which is empty when only keys were listed.
     pub value: Bytes,
     /// Revision of the key's last change.
     pub revision: Revision,
 }
 
-/// Whether a listing carries values.
+/// Content of a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
     /// Keys and values.
@@ -162,7 +164,7 @@
     Keys,
 }
 
-/// What a key must hold for a write to take effect.
+/// Condition on a key under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
     /// The key does not exist.
@@ -172,7 +174,7 @@
 }
 
 impl Expected {
-    /// Whether a key that holds `entry` is as expected.
+    /// Returns whether a key with the given entry meets the condition.
     pub fn matches(self, entry: Option<&Entry>) -> bool {
         match (self, entry) {
             (Self::Absent, None) => true,
@@ -185,40 +187,40 @@
 /// Result of a write that reached the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Put {
-    /// The key now holds the value, with this revision.
+    /// The value was written with this revision.
     Done(Revision),
-    /// The key was not as expected and holds this.
+    /// The key did not meet the condition. Holds its entry, if it exists.
     Conflict(Option<Entry>),
 }
 
-/// What a watch reports.
+/// Event of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// The key changed; none when it was removed.
+    /// The key changed, or was removed if there is no entry.
     Changed(Option<Entry>),
     /// The service confirmed that the watch is up to date.
     Progress,
 }
 
-/// Why a call to the key-value service failed.
+/// Error of a request to the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// The call had no effect.
+    /// The request had no effect.
     Unavailable {
-        /// What happened, for the log.
+        /// Reason of the failure, for the log.
         reason: String,
-        /// When to try again.
+        /// Backoff before the next attempt.
         retry_after: Duration,
     },
-    /// The call may have taken effect.
+    /// The request may have taken effect.
     Ambiguous {
-        /// What happened, for the log.
+        /// Reason of the failure, for the log.
         reason: String,
     },
 }
 
 impl StoreError {
-    /// Says that the call may have taken effect, with the same reason.
+    /// Converts the error to one whose request may have taken effect, with the same reason.
     #[must_use]
     pub fn into_ambiguous(self) -> Self {
         match self {
@@ -238,7 +240,7 @@
 
 impl std::error::Error for StoreError {}
 
-/// The platform's list of hosts, which lags.
+/// Reader of the platform's list of hosts, which may lag behind the actual hosts.
 #[async_trait]
 pub trait HostList: fmt::Debug + Send + Sync {
     /// Reads the list.
@@ -249,28 +251,28 @@
     async fn hosts(&self) -> Result<Vec<ListedHost>, StoreError>;
 }
 
-/// One host, as the platform lists it.
+/// Host in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 pub struct ListedHost {
     /// Name of the host.
     pub host_id: String,
-    /// Failure domain that it stands in.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Where its daemon is reached by peers; empty for a host that runs endpoints.
+    /// Address on which the host's daemon serves peers. Empty for a host that runs only endpoints.
     #[serde(default)]
     pub peer_address: String,
-    /// Whether it stays or is being taken away.
+    /// Whether the host is in service or is leaving.
     pub state: HostState,
 }
 
-/// Whether a host stays or is being taken away.
+/// Lifecycle state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// In service.
+    /// The host is in service.
     Live,
-    /// To be taken away; it gets no new work.
+    /// The host is about to be removed and receives no new work.
     Leaving,
 }
--- a/crates/burdockroad-daemon/src/platform/breaker.rs
+++ b/crates/burdockroad-daemon/src/platform/breaker.rs
@@ -1,25 +1,26 @@
-//! Spares a service that is down from a storm of calls.
+//! Circuit breaker that protects an unavailable service from excessive requests.
 
 use std::time::{Duration, Instant};
 
 use rand::RngExt;
 
-/// Consecutive failures after which calls are refused for a while.
+/// Number of consecutive failures that open the breaker.
 const FAILURES_MAX: u32 = 3;
 
-/// Shortest time for which calls are refused.
-const PAUSE_MIN: Duration = Duration::from_millis(100);
+/// Initial time for which the breaker stays open, before jitter.
+const BACKOFF_MIN: Duration = Duration::from_millis(100);
 
-/// Longest time for which calls are refused.
-const PAUSE_MAX: Duration = Duration::from_secs(2);
+/// Maximum time for which the breaker stays open, before jitter.
+const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// Time after which a trial call that was never reported is taken for lost.
+/// Time after which a trial request without a recorded result counts as lost.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Refuses calls after consecutive failures, and lets single trial calls through after a pause.
+/// Circuit breaker: it refuses requests after consecutive failures, and admits a single trial request
+/// after each backoff.
 ///
-/// The pause doubles with each failed trial and is shortened by up to a half at random, so that many
-/// hosts do not try at the same moment.
+/// The backoff doubles with each failed trial, up to a maximum. Random jitter shortens it by up to half,
+/// so that many hosts do not retry at the same moment.
 ///
 /// # Example
 ///
@@ -39,28 +40,28 @@
 #[derive(Clone, Debug, Default)]
 pub struct Breaker {
     failures: u32,
-    closed_until: Option<Instant>,
+    open_until: Option<Instant>,
 }
 
 impl Breaker {
-    /// Lets a call through, or tells how long to wait.
+    /// Admits a request, unless the breaker is open.
     ///
     /// # Errors
     ///
-    /// Returns the time until the next trial call.
+    /// Returns the time until the next trial request is admitted.
     pub fn admit(&mut self, now: Instant) -> Result<(), Duration> {
-        let Some(closed_until) = self.closed_until else {
+        let Some(open_until) = self.open_until else {
             return Ok(());
         };
-        if now < closed_until {
-            return Err(closed_until - now);
+        if now < open_until {
+            return Err(open_until - now);
         }
-        // This call is the trial; the others wait for its result.
-        self.closed_until = Some(now + TRIAL_TIMEOUT);
+        // This request is the trial. Others are refused until its result is recorded or it times out.
+        self.open_until = Some(now + TRIAL_TIMEOUT);
         Ok(())
     }
 
-    /// Takes note of how a call ended.
+    /// Records the result of a request.
     pub fn report(&mut self, succeeded: bool, now: Instant) {
         if succeeded {
             *self = Self::default();
@@ -68,13 +69,13 @@
         }
         self.failures = self.failures.saturating_add(1);
         if self.failures >= FAILURES_MAX {
-            self.closed_until = Some(now + self.pause());
+            self.open_until = Some(now + self.backoff());
         }
     }
 
-    fn pause(&self) -> Duration {
+    fn backoff(&self) -> Duration {
         let doublings = (self.failures - FAILURES_MAX).min(10);
-        let longest = PAUSE_MIN.saturating_mul(1 << doublings).min(PAUSE_MAX);
-        longest.mul_f64(rand::rng().random_range(0.5..=1.0))
+        let upper_bound = BACKOFF_MIN.saturating_mul(1 << doublings).min(BACKOFF_MAX);
+        upper_bound.mul_f64(rand::rng().random_range(0.5..=1.0))
     }
 }
--- a/crates/burdockroad-daemon/src/platform/embedded.rs
+++ b/crates/burdockroad-daemon/src/platform/embedded.rs
@@ -1,4 +1,4 @@
-//! A key-value store inside the process, kept in the data folder, for a single host.
+//! Embedded key-value store in the data folder, for a deployment with a single host.
 
 use std::{
     fs,
@@ -17,22 +17,22 @@
     WatchEvent, watches::Watches,
 };
 
-/// Name of the store's file in the data folder.
+/// File name of the store in the data folder.
 const FILE_NAME: &str = "store.redb";
 
-/// When to try again after the disk failed.
+/// Backoff after a disk error.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Keys, with the revision of the last change and the value.
+/// Table of keys, with the revision of the last change and the value.
 const ENTRIES: TableDefinition<'_, &str, (Revision, &[u8])> = TableDefinition::new("entries");
 
-/// Counters of the store.
+/// Table of the store's counters.
 const COUNTERS: TableDefinition<'_, &str, Revision> = TableDefinition::new("counters");
 
-/// Name of the counter of changes.
+/// Key of the revision counter.
 const REVISION: &str = "revision";
 
-/// A key-value store kept on disk; each write is on disk before it is confirmed.
+/// Key-value store on disk. Each write is durable on disk before it is confirmed.
 #[derive(Clone, Debug)]
 pub struct EmbeddedKeyValue {
     inner: Arc<Inner>,
@@ -42,16 +42,16 @@
 struct Inner {
     database: Database,
     watches: Watches,
-    /// Held from the start of a write until it is published, so that watches see changes in their order.
-    writing: Mutex<()>,
+    /// Lock held from the start of a write until it is published, so that watches see changes in order.
+    write_lock: Mutex<()>,
 }
 
 impl EmbeddedKeyValue {
-    /// Opens the store in a folder, which is made if it does not exist.
+    /// Opens the store in a folder, which is created if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails when the folder cannot be used, or another process has the store open.
+    /// Fails when the folder cannot be used or another process has the store open.
     pub fn open(data_folder: &Path) -> Result<Self, PlatformError> {
         let unusable = |reason: String| PlatformError::DataFolder { reason };
         fs::create_dir_all(data_folder).map_err(|cause| unusable(cause.to_string()))?;
@@ -60,7 +60,7 @@
         let inner = Inner {
             database,
             watches: Watches::new(),
-            writing: Mutex::new(()),
+            write_lock: Mutex::new(()),
         };
         Ok(Self {
             inner: Arc::new(inner),
@@ -72,8 +72,8 @@
         job: impl FnOnce(&Inner) -> Result<T, redb::Error> + Send + 'static,
     ) -> Result<T, StoreError> {
         let inner = Arc::clone(&self.inner);
-        let done = spawn_blocking(move || job(&inner)).await;
-        match done {
+        let joined = spawn_blocking(move || job(&inner)).await;
+        match joined {
             Ok(result) => result.map_err(|cause| unavailable(cause.to_string())),
             Err(cause) => Err(unavailable(cause.to_string())),
         }
@@ -151,9 +151,9 @@
     table: &impl ReadableTable<&'static str, (Revision, &'static [u8])>,
     key: &str,
 ) -> Result<Option<Entry>, redb::Error> {
-    let held = table.get(key)?;
-    Ok(held.map(|held| {
-        let (revision, value) = held.value();
+    let stored = table.get(key)?;
+    Ok(stored.map(|stored| {
+        let (revision, value) = stored.value();
         entry(key, revision, value)
     }))
 }
@@ -165,11 +165,11 @@
 ) -> Result<Vec<Entry>, redb::Error> {
     let mut entries = Vec::new();
     for item in table.range(prefix..)? {
-        let (key, held) = item?;
+        let (key, stored) = item?;
         if !key.value().starts_with(prefix) {
             break;
         }
-        let (revision, value) = held.value();
+        let (revision, value) = stored.value();
         let value = match listing {
             Listing::Entries => value,
             Listing::Keys => &[],
@@ -187,13 +187,13 @@
         expected: Expected,
         predecessor: Option<&str>,
     ) -> Result<Put, redb::Error> {
-        let _writing = self.writing.lock().unwrap_or_else(PoisonError::into_inner);
+        let _guard = self.write_lock.lock().unwrap_or_else(PoisonError::into_inner);
         let transaction = self.database.begin_write()?;
         let revision = {
             let mut entries = transaction.open_table(ENTRIES)?;
-            let held = read(&entries, &key)?;
-            if !expected.matches(held.as_ref()) {
-                return Ok(Put::Conflict(held));
+            let existing = read(&entries, &key)?;
+            if !expected.matches(existing.as_ref()) {
+                return Ok(Put::Conflict(existing));
             }
             if let Some(predecessor) = predecessor
                 && entries.get(predecessor)?.is_none()
@@ -211,12 +211,12 @@
     }
 
     fn remove(&self, key: &str) -> Result<(), redb::Error> {
-        // The smallest key after this one ends with a zero byte more.
+        // The smallest key after this one is the key followed by a zero byte.
         self.remove_range(key, &format!("{key}\0"))
     }
 
     fn remove_range(&self, from: &str, to: &str) -> Result<(), redb::Error> {
-        let _writing = self.writing.lock().unwrap_or_else(PoisonError::into_inner);
+        let _guard = self.write_lock.lock().unwrap_or_else(PoisonError::into_inner);
         let transaction = self.database.begin_write()?;
         let mut removed = Vec::new();
         {
@@ -237,7 +237,7 @@
 }
 
 fn next_revision(counters: &mut Table<'_, &'static str, Revision>) -> Result<Revision, redb::Error> {
-    let last = counters.get(REVISION)?.map_or(0, |held| held.value());
+    let last = counters.get(REVISION)?.map_or(0, |stored| stored.value());
     let next = last + 1;
     counters.insert(REVISION, next)?;
     Ok(next)
--- a/crates/burdockroad-daemon/src/platform/etcd.rs
+++ b/crates/burdockroad-daemon/src/platform/etcd.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's key-value service, by the etcd v3 interface.
+//! Client of the platform's key-value service, using the etcd v3 API.
 
 mod requests;
 mod watch;
@@ -27,18 +27,18 @@
     VALUE_MAX_BYTES, WatchEvent,
 };
 
-/// Time within which a connection must stand; short enough to try another address within one call.
+/// Connect timeout, which is short enough to try another address within one request.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Largest answer that is read, in bytes; a listing carries many values.
-const ANSWER_MAX_BYTES: usize = 256 * 1024 * 1024;
+/// Maximum size of a response, in bytes. A listing contains many values.
+const RESPONSE_MAX_BYTES: usize = 256 * 1024 * 1024;
 
-/// When to try again after the service refused a call for its rate or was not reached.
+/// Backoff after the service refused a request because of its rate limit or was unreachable.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// A client of the key-value service at one or more addresses.
+/// Client of the key-value service at one or more addresses.
 ///
-/// A call goes to the address that last answered; after a failure the next one is taken.
+/// Requests go to the current address. After a failure the next address becomes current.
 #[derive(Debug)]
 pub struct EtcdKeyValue {
     channels: Vec<Channel>,
@@ -47,11 +47,11 @@
 }
 
 impl EtcdKeyValue {
-    /// Makes a client that connects when first used; needs a running tokio runtime.
+    /// Creates a client that connects on first use. Must be called within a tokio runtime.
     ///
     /// # Errors
     ///
-    /// Fails when there is no address, or one is not of the form `http://IP:PORT`.
+    /// Fails when there is no address or one is not of the form `http://IP:PORT`.
     pub fn new(addresses: &[String]) -> Result<Self, PlatformError> {
         if addresses.is_empty() {
             return Err(PlatformError::NoAddress);
@@ -67,11 +67,12 @@
         })
     }
 
-    /// Makes one call, at further addresses while it is certain that it had no effect or `repeatable`.
+    /// Sends a request, and retries it at the next address if it is certain that the failed attempt had no
+    /// effect or if the request is `idempotent`.
     async fn call<T, F>(
         &self,
-        repeatable: bool,
-        make: impl Fn(Channel) -> F + Send + Sync,
+        idempotent: bool,
+        send: impl Fn(Channel) -> F + Send + Sync,
     ) -> Result<T, StoreError>
     where
         F: Future<Output = Result<Response<T>, Status>> + Send,
@@ -79,21 +80,21 @@
     {
         self.admit()?;
         let deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
-        let mut error = StoreError::unavailable("no address was tried");
+        let mut error = StoreError::unavailable("no address is configured");
         for _ in 0..self.channels.len() {
             let current = self.current.load(Ordering::Relaxed);
             let channel = self.channels[current % self.channels.len()].clone();
-            match tokio::time::timeout_at(deadline, make(channel)).await {
+            match tokio::time::timeout_at(deadline, send(channel)).await {
                 Ok(Ok(response)) => {
                     self.breaker().report(true, Instant::now());
                     return Ok(response.into_inner());
                 }
                 Ok(Err(status)) => error = classify(&status),
-                Err(_) => error = StoreError::ambiguous("no answer in time"),
+                Err(_) => error = StoreError::ambiguous("no response in time"),
             }
             self.use_next_address(current);
-            let settled = matches!(error, StoreError::Ambiguous { .. }) && !repeatable;
-            if settled || tokio::time::Instant::now() >= deadline {
+            let not_retryable = matches!(error, StoreError::Ambiguous { .. }) && !idempotent;
+            if not_retryable || tokio::time::Instant::now() >= deadline {
                 break;
             }
         }
@@ -101,12 +102,12 @@
         Err(error)
     }
 
-    async fn read<T, F>(&self, make: impl Fn(Channel) -> F + Send + Sync) -> Result<T, StoreError>
+    async fn read<T, F>(&self, send: impl Fn(Channel) -> F + Send + Sync) -> Result<T, StoreError>
     where
         F: Future<Output = Result<Response<T>, Status>> + Send,
         T: Send,
     {
-        let result = self.call(true, make).await;
+        let result = self.call(true, send).await;
         // A read has no effect, so its failure is never ambiguous.
         result.map_err(|error| match error {
             StoreError::Ambiguous { reason } => StoreError::unavailable(reason),
@@ -125,7 +126,7 @@
     }
 
     async fn remove(&self, request: DeleteRangeRequest) -> Result<(), StoreError> {
-        // Removing again is harmless, so a further address may be tried after any failure.
+        // Removal is idempotent, so it may be retried at another address after any failure.
         self.call(true, |channel| {
             let request = request.clone();
             async move { kv(channel).delete_range(request).await }
@@ -137,15 +138,15 @@
     fn admit(&self) -> Result<(), StoreError> {
         let admitted = self.breaker().admit(Instant::now());
         admitted.map_err(|retry_after| StoreError::Unavailable {
-            reason: "the service failed a moment ago".to_owned(),
+            reason: "the circuit breaker is open after repeated failures".to_owned(),
             retry_after,
         })
     }
 
     fn use_next_address(&self, failed: usize) {
         let next = failed.wrapping_add(1);
-        // Another call may have moved on already; then its choice stands.
-        let _moved = self
+        // Another request may have changed the current address already. Its choice is then kept.
+        let _exchanged = self
             .current
             .compare_exchange(failed, next, Ordering::Relaxed, Ordering::Relaxed);
     }
@@ -206,7 +207,7 @@
         let current = self.current.load(Ordering::Relaxed);
         let channel = self.channels[current % self.channels.len()].clone();
         let opened = timeout(CALL_TIMEOUT, watch::open(WatchClient::new(channel), key)).await;
-        let result = opened.unwrap_or_else(|_| Err("no answer in time".to_owned()));
+        let result = opened.unwrap_or_else(|_| Err("no response in time".to_owned()));
         self.breaker().report(result.is_ok(), Instant::now());
         if result.is_err() {
             self.use_next_address(current);
@@ -246,19 +247,19 @@
 }
 
 fn kv(channel: Channel) -> KvClient<Channel> {
-    KvClient::new(channel).max_decoding_message_size(ANSWER_MAX_BYTES)
+    KvClient::new(channel).max_decoding_message_size(RESPONSE_MAX_BYTES)
 }
 
-/// Tells whether a failed call certainly had no effect.
+/// Classifies a failed request by whether it certainly had no effect.
 fn classify(status: &Status) -> StoreError {
     let reason = format!("{}: {}", status.code(), status.message());
-    if never_sent(status) || refused_for_rate(status) {
+    if never_sent(status) || rate_limited(status) {
         return StoreError::unavailable(reason);
     }
     StoreError::ambiguous(reason)
 }
 
-/// Whether the connection could not be made, so that nothing was sent.
+/// Returns whether the connection could not be established, so that nothing was sent.
 fn never_sent(status: &Status) -> bool {
     let mut cause = std::error::Error::source(status);
     while let Some(error) = cause {
@@ -270,11 +271,11 @@
     false
 }
 
-/// Whether the service itself refused the call before it had an effect.
+/// Returns whether the service refused the request because of its rate limit, before any effect.
 ///
-/// The code alone does not tell: a broken connection can carry it too (then the status has a source),
-/// and a service that runs out of space reports it for a write that it still applied.
-fn refused_for_rate(status: &Status) -> bool {
+/// The status code alone is not sufficient. A broken connection can produce the same code, but then the
+/// status has a source. A service that runs out of space returns it for a write that it still applied.
+fn rate_limited(status: &Status) -> bool {
     status.code() == Code::ResourceExhausted
         && std::error::Error::source(status).is_none()
         && !status.message().contains("space exceeded")
--- a/crates/burdockroad-daemon/src/platform/etcd/requests.rs
+++ b/crates/burdockroad-daemon/src/platform/etcd/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the etcd v3 interface, and what their answers say.
+//! Requests and responses of the etcd v3 API.
 
 use burdockroad_proto::{
     etcdserverpb::{
@@ -21,7 +21,7 @@
 }
 
 pub(super) fn list(prefix: &str, listing: Listing) -> RangeRequest {
-    // The interface has no empty key; the smallest one is a zero byte.
+    // The API does not accept an empty key. The smallest key is a zero byte.
     let first = if prefix.is_empty() { "\0" } else { prefix };
     RangeRequest {
         key: first.into(),
@@ -46,7 +46,8 @@
     }
 }
 
-/// As [`put`] of an absent key, and compares in the same transaction that the predecessor exists.
+/// Builds a [`put`] of an absent key that also requires, in the same transaction, that the predecessor
+/// exists.
 pub(super) fn create_after(key: &str, value: Bytes, predecessor: &str) -> TxnRequest {
     let mut request = put(key, value, Expected::Absent);
     request.compare.push(Compare {
@@ -58,7 +59,7 @@
     request
 }
 
-/// One transaction: it compares, then writes or reads what stands in the way.
+/// Builds a transaction that writes the key if it is as expected, and otherwise reads the existing entry.
 pub(super) fn put(key: &str, value: Bytes, expected: Expected) -> TxnRequest {
     let (target, target_union) = match expected {
         Expected::Absent => (CompareTarget::Create, TargetUnion::CreateRevision(0)),
@@ -85,21 +86,21 @@
     if response.succeeded {
         return Put::Done(response.header.map_or(0, |header| header.revision));
     }
-    let held = response
+    let existing = response
         .responses
         .into_iter()
         .find_map(|operation| match operation.response {
             Some(OpResponse::ResponseRange(range)) => range.kvs.into_iter().next(),
             _ => None,
         });
-    Put::Conflict(held.map(entry))
+    Put::Conflict(existing.map(entry))
 }
 
-pub(super) fn entry(held: mvccpb::KeyValue) -> Entry {
+pub(super) fn entry(stored: mvccpb::KeyValue) -> Entry {
     Entry {
-        key: String::from_utf8_lossy(&held.key).into_owned(),
-        value: held.value.into(),
-        revision: held.mod_revision,
+        key: String::from_utf8_lossy(&stored.key).into_owned(),
+        value: stored.value.into(),
+        revision: stored.mod_revision,
     }
 }
 
@@ -109,7 +110,7 @@
     }
 }
 
-/// First key after all that begin with `prefix`.
+/// Returns the smallest key after all keys that start with `prefix`.
 fn range_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -118,6 +119,6 @@
             return end;
         }
     }
-    // A single zero byte stands for no end.
+    // In the API, a single zero byte as the end means an unbounded range.
     vec![0]
 }
--- a/crates/burdockroad-daemon/src/platform/etcd/watch.rs
+++ b/crates/burdockroad-daemon/src/platform/etcd/watch.rs
@@ -1,4 +1,4 @@
-//! A watch of one key, on a stream of its own.
+//! Watch of one key, on a separate stream.
 
 use std::time::Duration;
 
@@ -18,24 +18,24 @@
 
 use crate::platform::{WatchEvent, etcd::requests};
 
-/// Time between two questions whether the watch is up to date.
+/// Interval between two requests for the progress of the watch.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time without any message after which a watch is taken for broken.
-const SILENCE_MAX: Duration = Duration::from_secs(4);
+/// Time without any message after which a watch counts as failed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Events that a slow reader may fall behind.
-const BACKLOG_EVENTS: usize = 64;
+/// Capacity of the channel of events to the reader.
+const EVENT_CHANNEL_CAPACITY: usize = 64;
 
-/// Requests that may wait on the stream.
-const REQUESTS_MAX: usize = 4;
+/// Capacity of the channel of requests to the stream.
+const REQUEST_CHANNEL_CAPACITY: usize = 4;
 
-/// Opens a watch and waits until the service has confirmed it.
+/// Creates a watch and waits until the service has confirmed it.
 pub(super) async fn open(
     mut client: WatchClient<Channel>,
     key: &str,
 ) -> Result<mpsc::Receiver<WatchEvent>, String> {
-    let (requests, request_stream) = mpsc::channel(REQUESTS_MAX);
+    let (requests, request_stream) = mpsc::channel(REQUEST_CHANNEL_CAPACITY);
     let create = WatchCreateRequest {
         key: key.into(),
         progress_notify: true,
@@ -49,17 +49,19 @@
         .await
         .map_err(|cause| cause.to_string())?;
     let mut responses = response.into_inner();
-    let first = next(&mut responses).await.ok_or("the watch ended at once")?;
+    let first = next(&mut responses)
+        .await
+        .ok_or("the watch ended before it was created")?;
     if !first.created || first.canceled {
         return Err(format!("the watch was refused: {}", first.cancel_reason));
     }
-    let (events, receiver) = mpsc::channel(BACKLOG_EVENTS);
-    tokio::spawn(ask_progress(requests, events.clone()));
+    let (events, receiver) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
+    tokio::spawn(request_progress(requests, events.clone()));
     tokio::spawn(forward(responses, events));
     Ok(receiver)
 }
 
-async fn ask_progress(requests: mpsc::Sender<WatchRequest>, events: mpsc::Sender<WatchEvent>) {
+async fn request_progress(requests: mpsc::Sender<WatchRequest>, events: mpsc::Sender<WatchEvent>) {
     let mut ticks = interval(PROGRESS_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -68,7 +70,7 @@
             () = requests.closed() => return,
             _ = ticks.tick() => {}
         }
-        // A full queue means that the connection is stuck, which `forward` finds out.
+        // A full channel means that the connection has stalled, which `forward` detects.
         let _queued = requests.try_send(request(RequestUnion::ProgressRequest(WatchProgressRequest {})));
     }
 }
@@ -77,16 +79,16 @@
     loop {
         let response = tokio::select! {
             () = events.closed() => return,
-            response = timeout(SILENCE_MAX, next(&mut responses)) => response,
+            response = timeout(IDLE_TIMEOUT, next(&mut responses)) => response,
         };
         let Ok(Some(response)) = response else { return };
-        if response.canceled || !pass_on(response, &events).await {
+        if response.canceled || !forward_events(response, &events).await {
             return;
         }
     }
 }
 
-async fn pass_on(response: WatchResponse, events: &mpsc::Sender<WatchEvent>) -> bool {
+async fn forward_events(response: WatchResponse, events: &mpsc::Sender<WatchEvent>) -> bool {
     if response.events.is_empty() {
         return events.send(WatchEvent::Progress).await.is_ok();
     }
@@ -100,8 +102,8 @@
 
 fn change(event: Event) -> WatchEvent {
     let removed = event.r#type == i32::from(EventType::Delete);
-    let held = event.kv.filter(|_| !removed);
-    WatchEvent::Changed(held.map(requests::entry))
+    let entry = event.kv.filter(|_| !removed);
+    WatchEvent::Changed(entry.map(requests::entry))
 }
 
 async fn next(responses: &mut Streaming<WatchResponse>) -> Option<WatchResponse> {
--- a/crates/burdockroad-daemon/src/platform/host_list.rs
+++ b/crates/burdockroad-daemon/src/platform/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, read by HTTP or fixed in the settings.
+//! The platform's list of hosts, read over HTTP or fixed in the settings.
 
 use std::sync::Arc;
 
@@ -17,10 +17,10 @@
     settings::HostListSettings,
 };
 
-/// Largest list that is read, in bytes.
+/// Maximum size of the list, in bytes.
 const LIST_MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// Opens the host list that the settings name.
+/// Opens the host list that the settings specify.
 ///
 /// # Errors
 ///
@@ -32,14 +32,14 @@
     }
 }
 
-/// A list that does not change.
+/// Host list that does not change.
 #[derive(Clone, Debug)]
 pub struct FixedHostList {
     hosts: Vec<ListedHost>,
 }
 
 impl FixedHostList {
-    /// Makes a list of these hosts.
+    /// Creates a list of the given hosts.
     pub fn new(hosts: Vec<ListedHost>) -> Self {
         Self { hosts }
     }
@@ -52,7 +52,7 @@
     }
 }
 
-/// A list that is read as a JSON array from an HTTP address.
+/// Host list that is read as a JSON array from an HTTP address.
 #[derive(Clone, Debug)]
 pub struct HttpHostList {
     uri: Uri,
@@ -60,7 +60,7 @@
 }
 
 impl HttpHostList {
-    /// Makes a client of the list at an address such as `http://10.0.0.1:8080/hosts`.
+    /// Creates a client of the list at an address such as `http://10.0.0.1:8080/hosts`.
     ///
     /// # Errors
     ///
@@ -96,8 +96,8 @@
 #[async_trait]
 impl HostList for HttpHostList {
     async fn hosts(&self) -> Result<Vec<ListedHost>, StoreError> {
-        let read = timeout(CALL_TIMEOUT, self.read()).await;
-        let result = read.unwrap_or_else(|_| Err("no answer in time".to_owned()));
+        let result = timeout(CALL_TIMEOUT, self.read()).await;
+        let result = result.unwrap_or_else(|_| Err("no response in time".to_owned()));
         result.map_err(|reason| StoreError::Unavailable {
             reason: format!("host list: {reason}"),
             retry_after: CALL_TIMEOUT,
--- a/crates/burdockroad-daemon/src/platform/memory.rs
+++ b/crates/burdockroad-daemon/src/platform/memory.rs
@@ -1,4 +1,4 @@
-//! A key-value store in memory, whose failures can be scripted.
+//! In-memory key-value store with scripted faults, for tests.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -15,25 +15,25 @@
     watches::Watches,
 };
 
-/// When a failed call is to be tried again.
+/// Backoff after a failed request.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// What happens to one call.
+/// Fault that affects one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The call goes through.
+    /// The request succeeds.
     None,
-    /// The call never reaches the store.
+    /// The request does not reach the store, and the caller gets an error that says so.
     Refused,
-    /// The call is lost on its way; the caller cannot tell.
+    /// The request is lost before it reaches the store. The outcome of a write is unknown to the caller.
     RequestLost,
-    /// The call takes effect and its reply is lost.
+    /// The request takes effect, but its response is lost.
     ReplyLost,
-    /// The call goes through after this time.
+    /// The request succeeds after this delay.
     Slow(Duration),
 }
 
-/// A key-value store in memory; clones share their contents, and each clone has its own faults.
+/// In-memory key-value store. [Clients](Self::client) share its contents, and each has its own faults.
 ///
 /// # Example
 ///
@@ -67,7 +67,7 @@
 #[derive(Debug, Default)]
 struct Faults {
     next_writes: VecDeque<Fault>,
-    standing: Option<Fault>,
+    default_fault: Option<Fault>,
 }
 
 impl Default for MemoryKeyValue {
@@ -77,7 +77,7 @@
 }
 
 impl MemoryKeyValue {
-    /// Makes an empty store.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self {
             table: Arc::default(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Makes another client of the same store, without faults.
+    /// Creates another client of the same store, without faults.
     #[must_use]
     pub fn client(&self) -> Self {
         Self {
@@ -96,22 +96,22 @@
         }
     }
 
-    /// Sets what happens to this client's next writes, in their order.
+    /// Queues faults for this client's next writes, in order.
     pub fn script(&self, faults: impl IntoIterator<Item = Fault>) {
         self.faults().next_writes.extend(faults);
     }
 
-    /// Sets what happens to every call of this client that no script covers.
+    /// Sets the fault of every request of this client that has no queued fault.
     pub fn set_fault(&self, fault: Fault) {
-        self.faults().standing = Some(fault);
+        self.faults().default_fault = Some(fault);
     }
 
-    /// Writes that reached the store, through all clients.
+    /// Returns the number of writes that reached the store through all clients.
     pub fn write_count(&self) -> u64 {
         self.table().writes
     }
 
-    /// Reads that reached the store, through all clients.
+    /// Returns the number of reads that reached the store through all clients.
     pub fn read_count(&self) -> u64 {
         self.table().reads
     }
@@ -124,29 +124,29 @@
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn read<T>(&self, job: impl FnOnce(&mut MemoryTable) -> T + Send) -> Result<T, StoreError> {
-        let fault = self.faults().standing.unwrap_or(Fault::None);
+    async fn read<T>(&self, operation: impl FnOnce(&mut MemoryTable) -> T + Send) -> Result<T, StoreError> {
+        let fault = self.faults().default_fault.unwrap_or(Fault::None);
         match fault {
             Fault::None => {}
-            Fault::Slow(time) => sleep(time).await,
-            Fault::Refused | Fault::RequestLost | Fault::ReplyLost => return Err(refused()),
+            Fault::Slow(delay) => sleep(delay).await,
+            Fault::Refused | Fault::RequestLost | Fault::ReplyLost => return Err(scripted_error()),
         }
         let mut table = self.table();
         table.reads += 1;
-        Ok(job(&mut table))
+        Ok(operation(&mut table))
     }
 
-    async fn write<T>(&self, job: impl FnOnce(&mut MemoryTable) -> T + Send) -> Result<T, StoreError> {
+    async fn write<T>(&self, operation: impl FnOnce(&mut MemoryTable) -> T + Send) -> Result<T, StoreError> {
         let fault = self.next_write_fault();
         match fault {
             Fault::None | Fault::ReplyLost => {}
-            Fault::Slow(time) => sleep(time).await,
-            Fault::Refused => return Err(refused()),
-            Fault::RequestLost => return Err(refused().into_ambiguous()),
+            Fault::Slow(delay) => sleep(delay).await,
+            Fault::Refused => return Err(scripted_error()),
+            Fault::RequestLost => return Err(scripted_error().into_ambiguous()),
         }
-        let result = self.apply(job);
+        let result = self.apply(operation);
         if fault == Fault::ReplyLost {
-            return Err(refused().into_ambiguous());
+            return Err(scripted_error().into_ambiguous());
         }
         Ok(result)
     }
@@ -154,13 +154,13 @@
     fn next_write_fault(&self) -> Fault {
         let mut faults = self.faults();
         let scripted = faults.next_writes.pop_front();
-        scripted.or(faults.standing).unwrap_or(Fault::None)
+        scripted.or(faults.default_fault).unwrap_or(Fault::None)
     }
 
-    fn apply<T>(&self, job: impl FnOnce(&mut MemoryTable) -> T) -> T {
+    fn apply<T>(&self, operation: impl FnOnce(&mut MemoryTable) -> T) -> T {
         let mut table = self.table();
         table.writes += 1;
-        job(&mut table)
+        operation(&mut table)
     }
 }
 
@@ -176,7 +176,7 @@
 
     async fn put(&self, key: &str, value: Bytes, expected: Expected) -> Result<Put, StoreError> {
         if value.len() > VALUE_MAX_BYTES {
-            return Err(refused());
+            return Err(scripted_error());
         }
         let watches = self.watches.clone();
         self.write(|table| table.put(&watches, key, value, expected))
@@ -185,12 +185,12 @@
 
     async fn create_after(&self, key: &str, value: Bytes, predecessor: &str) -> Result<Put, StoreError> {
         if value.len() > VALUE_MAX_BYTES {
-            return Err(refused());
+            return Err(scripted_error());
         }
         let watches = self.watches.clone();
         self.write(|table| {
-            let follows = table.entries.contains_key(predecessor);
-            if !follows && !table.entries.contains_key(key) {
+            let has_predecessor = table.entries.contains_key(predecessor);
+            if !has_predecessor && !table.entries.contains_key(key) {
                 return Put::Conflict(None);
             }
             table.put(&watches, key, value, Expected::Absent)
@@ -201,8 +201,8 @@
     async fn delete_range(&self, from: &str, to: &str) -> Result<(), StoreError> {
         let watches = self.watches.clone();
         self.write(|table| {
-            let held = table.entries.range(from.to_owned()..to.to_owned());
-            let keys: Vec<_> = held.map(|(key, _)| key.clone()).collect();
+            let range = table.entries.range(from.to_owned()..to.to_owned());
+            let keys: Vec<_> = range.map(|(key, _)| key.clone()).collect();
             for key in keys {
                 table.delete(&watches, &key);
             }
@@ -223,9 +223,9 @@
 
 impl MemoryTable {
     fn list(&self, prefix: &str, listing: Listing) -> Vec<Entry> {
-        let held = self.entries.range(prefix.to_owned()..);
-        let wanted = held.take_while(|(key, _)| key.starts_with(prefix));
-        wanted
+        let range = self.entries.range(prefix.to_owned()..);
+        let matching = range.take_while(|(key, _)| key.starts_with(prefix));
+        matching
             .map(|(_, entry)| match listing {
                 Listing::Entries => entry.clone(),
                 Listing::Keys => Entry {
@@ -237,9 +237,9 @@
     }
 
     fn put(&mut self, watches: &Watches, key: &str, value: Bytes, expected: Expected) -> Put {
-        let held = self.entries.get(key);
-        if !expected.matches(held) {
-            return Put::Conflict(held.cloned());
+        let existing = self.entries.get(key);
+        if !expected.matches(existing) {
+            return Put::Conflict(existing.cloned());
         }
         self.revision += 1;
         let entry = Entry {
@@ -260,7 +260,7 @@
     }
 }
 
-fn refused() -> StoreError {
+fn scripted_error() -> StoreError {
     StoreError::Unavailable {
         reason: "scripted fault".to_owned(),
         retry_after: RETRY_AFTER,
--- a/crates/burdockroad-daemon/src/platform/watches.rs
+++ b/crates/burdockroad-daemon/src/platform/watches.rs
@@ -1,4 +1,4 @@
-//! Watches of keys that are kept in this process.
+//! Watches of the keys of an in-process store.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 
 use crate::platform::{Entry, WatchEvent};
 
-/// Changes that a slow watch may fall behind before it breaks.
-const BACKLOG_CHANGES: usize = 1_024;
+/// Number of changes by which a slow watch may lag before it fails.
+const CHANGE_CHANNEL_CAPACITY: usize = 1_024;
 
-/// Time between two confirmations that a watch is up to date.
+/// Interval between two confirmations that a watch is up to date.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Passes changes on to the watches of their keys.
+/// Publisher of changes to the watches of their keys.
 #[derive(Clone, Debug)]
 pub(super) struct Watches {
     changes: broadcast::Sender<Change>,
@@ -30,23 +30,23 @@
 impl Watches {
     pub(super) fn new() -> Self {
         Self {
-            changes: broadcast::Sender::new(BACKLOG_CHANGES),
+            changes: broadcast::Sender::new(CHANGE_CHANNEL_CAPACITY),
         }
     }
 
-    /// Tells the watches of a key what it holds now.
+    /// Publishes the current entry of a key to its watches.
     pub(super) fn publish(&self, key: &str, entry: Option<Entry>) {
         let change = Change {
             key: key.to_owned(),
             entry,
         };
-        // No watch at all is the usual case.
-        let _watches = self.changes.send(change);
+        // The send fails when there are no watches, which is the usual case.
+        let _result = self.changes.send(change);
     }
 
-    /// Watches one key from now on.
+    /// Watches the subsequent changes of one key.
     pub(super) fn watch(&self, key: &str) -> mpsc::Receiver<WatchEvent> {
-        let (sender, receiver) = mpsc::channel(BACKLOG_CHANGES);
+        let (sender, receiver) = mpsc::channel(CHANGE_CHANNEL_CAPACITY);
         tokio::spawn(forward(self.changes.subscribe(), key.to_owned(), sender));
         receiver
     }
