--- a/crates/burdockroad-daemon/src/admin.rs
+++ b/crates/burdockroad-daemon/src/admin.rs
@@ -1,16 +1,16 @@
-//! What operators and the balancer ask of one host, at the admin address.
+//! Admin API of one host, which serves operators and the load balancer at the admin address.
 //!
-//! | request | answer |
+//! | request | response |
 //! |---|---|
 //! | `GET /live` | 200 while the process runs |
-//! | `GET /ready` | 200 when the host may be given calls, else 503 with the reason |
-//! | `GET /metrics` | all metrics, in Prometheus' text form |
-//! | `GET /status` | [`Status`] in JSON |
-//! | `GET /programs` | the [`ProgramSummary`] of each program that this host owns; `?account=` for one account |
-//! | `GET /programs/{id}` | the [`ProgramSummary`] of one, 404 when this host does not own it |
-//! | `POST /programs/{id}/end` | ends one, 404 when this host does not own it |
-//! | `POST /document` | takes the stored document, if this host cannot confirm its own; [`DocumentAnswer`] in JSON |
-//! | `POST /drain` | this host hands its work over and takes no more |
+//! | `GET /ready` | 200 when the host can accept calls, otherwise 503 with the reason |
+//! | `GET /metrics` | all metrics in the Prometheus text format |
+//! | `GET /status` | [`Status`] as JSON |
+//! | `GET /programs` | [`ProgramSummary`] of each program that this host owns; `?account=` selects one account |
+//! | `GET /programs/{id}` | [`ProgramSummary`] of one program, or 404 when this host does not own it |
+//! | `POST /programs/{id}/end` | ends a program, or 404 when this host does not own it |
+//! | `POST /document` | accepts the stored document if this host cannot confirm its own; [`DocumentResponse`] as JSON |
+//! | `POST /drain` | starts handing off all work of this host, which accepts no new work |
 
 mod server;
 mod status;
@@ -25,46 +25,46 @@
 pub use self::{
     server::serve,
     status::{
-        DocumentAnswer, DocumentStatus, EndpointStatus, OwnershipStatus, ProgramSummary, Readiness, Status,
+        DocumentResponse, DocumentStatus, EndpointStatus, OwnershipStatus, ProgramSummary, Readiness, Status,
         freshness_name,
     },
 };
 
-/// Tells how the host is.
+/// Source of the host's status.
 pub trait StatusSource: fmt::Debug + Send + Sync {
-    /// Returns whether the host may be given calls.
+    /// Returns whether the host can accept calls.
     fn readiness(&self) -> Readiness;
 
-    /// Returns all metrics in Prometheus' text form.
+    /// Returns all metrics in the Prometheus text format.
     fn metrics(&self) -> String;
 
-    /// Returns what an operator has to know of the host.
+    /// Returns the status report of the host.
     fn status(&self) -> Status;
 }
 
-/// Carries out what operators order.
+/// Actions that operators can request.
 #[async_trait]
 pub trait OperatorActions: fmt::Debug + Send + Sync {
-    /// Returns the programs that this host owns, those of one account or all.
+    /// Returns the programs that this host owns, for one account or for all accounts.
     async fn programs(&self, account_id: Option<AccountId>) -> Vec<ProgramSummary>;
 
-    /// Returns one program; none when this host does not own it.
+    /// Returns one program, or `None` when this host does not own it.
     async fn program(&self, program_id: ProgramId) -> Option<ProgramSummary>;
 
-    /// Ends a program and its sub-agents, and returns whether this host owns it.
+    /// Ends a program and its sub-agents. Returns whether this host owns the program.
     async fn end_program(&self, program_id: ProgramId) -> bool;
 
-    /// Starts to hand all work of this host over; returns at once.
+    /// Starts handing off all work of this host, and returns without waiting for it.
     async fn drain(&self);
 }
 
-/// What the admin address serves.
+/// Handlers of requests at the admin address.
 #[derive(Clone, Debug)]
 pub struct AdminHandlers {
-    /// Tells how the host is.
+    /// Source of the host's status.
     pub status: Arc<dyn StatusSource>,
-    /// Carries out what operators order.
+    /// Actions that operators can request.
     pub actions: Arc<dyn OperatorActions>,
-    /// Takes the stored document.
+    /// Receiver of the stored document.
     pub document: Arc<dyn DocumentOffer>,
 }
--- a/crates/burdockroad-daemon/src/admin/server.rs
+++ b/crates/burdockroad-daemon/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server at the admin address.
+//! HTTP server at the admin address.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -20,46 +20,46 @@
 };
 
 use crate::{
-    admin::{AdminHandlers, DocumentAnswer, Readiness},
+    admin::{AdminHandlers, DocumentResponse, Readiness},
     platform::VALUE_MAX_BYTES,
 };
 
-/// Open connections; further ones wait.
+/// Maximum number of open connections. Further connections wait.
 const CONNECTIONS_MAX: usize = 64;
 
-/// Largest request head, in bytes.
+/// Maximum size of a request head, in bytes.
 const HEAD_MAX_BYTES: usize = 16 * 1024;
 
-/// Time in which a request's head must have arrived.
+/// Timeout for receiving a request head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time after which a connection is closed, whatever it does.
+/// Maximum lifetime of a connection, including active ones.
 const CONNECTION_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Pause after a connection could not be accepted, such as for want of file descriptors.
-const ACCEPT_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Backoff after a failed accept, for example when no file descriptors are available.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-const TEXT: &str = "text/plain; charset=utf-8";
-const METRICS: &str = "text/plain; version=0.0.4; charset=utf-8";
-const JSON: &str = "application/json";
+const TEXT_CONTENT_TYPE: &str = "text/plain; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
+const JSON_CONTENT_TYPE: &str = "application/json";
 
-type Answer = Response<Full<Bytes>>;
+type AdminResponse = Response<Full<Bytes>>;
 
-/// Serves operators and the balancer until `stop` is done; then open connections are closed.
+/// Serves operators and the load balancer until `stop` completes, then closes open connections.
 pub async fn serve(listener: TcpListener, handlers: AdminHandlers, stop: impl Future<Output = ()>) {
-    let slots = Arc::new(Semaphore::new(CONNECTIONS_MAX));
+    let permits = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     let mut connections = JoinSet::new();
     tokio::pin!(stop);
     loop {
         let accepted = tokio::select! {
             () = &mut stop => break,
-            accepted = accept(&listener, &slots) => accepted,
+            accepted = accept(&listener, &permits) => accepted,
         };
-        if let Some((stream, slot)) = accepted {
+        if let Some((stream, permit)) = accepted {
             let handlers = handlers.clone();
             connections.spawn(async move {
                 serve_connection(stream, handlers).await;
-                drop(slot);
+                drop(permit);
             });
         }
         while connections.try_join_next().is_some() {}
@@ -69,14 +69,14 @@
 
 async fn accept(
     listener: &TcpListener,
-    slots: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) -> Option<(TcpStream, tokio::sync::OwnedSemaphorePermit)> {
-    let slot = Arc::clone(slots).acquire_owned().await.ok()?;
+    let permit = Arc::clone(permits).acquire_owned().await.ok()?;
     match listener.accept().await {
-        Ok((stream, _)) => Some((stream, slot)),
+        Ok((stream, _)) => Some((stream, permit)),
         Err(error) => {
             log::warn!("event=admin_accept_failed reason={:?}", error.to_string());
-            sleep(ACCEPT_RETRY_AFTER).await;
+            sleep(ACCEPT_BACKOFF).await;
             None
         }
     }
@@ -85,7 +85,7 @@
 async fn serve_connection(stream: TcpStream, handlers: AdminHandlers) {
     let service = service_fn(move |request| {
         let handlers = handlers.clone();
-        async move { Ok::<_, Infallible>(answer(&handlers, request).await) }
+        async move { Ok::<_, Infallible>(respond(&handlers, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -98,14 +98,14 @@
     }
 }
 
-async fn answer(handlers: &AdminHandlers, request: Request<Incoming>) -> Answer {
+async fn respond(handlers: &AdminHandlers, request: Request<Incoming>) -> AdminResponse {
     let path = request.uri().path().trim_matches('/').to_owned();
     let segments: Vec<&str> = path.split('/').collect();
     let query = request.uri().query().unwrap_or_default();
     match (request.method(), segments.as_slice()) {
-        (&Method::GET, ["live"]) => text(StatusCode::OK, TEXT, "live\n"),
+        (&Method::GET, ["live"]) => text(StatusCode::OK, TEXT_CONTENT_TYPE, "live\n"),
         (&Method::GET, ["ready"]) => ready(handlers),
-        (&Method::GET, ["metrics"]) => text(StatusCode::OK, METRICS, handlers.status.metrics()),
+        (&Method::GET, ["metrics"]) => text(StatusCode::OK, METRICS_CONTENT_TYPE, handlers.status.metrics()),
         (&Method::GET, ["status"]) => json(&handlers.status.status()),
         (&Method::GET, ["programs"]) => {
             let account_id = query.strip_prefix("account=").map(str::to_owned);
@@ -118,7 +118,7 @@
         (&Method::POST, ["programs", id, "end"]) => {
             log::info!("event=operator_ends_program program={id:?}");
             if handlers.actions.end_program((*id).to_owned()).await {
-                return text(StatusCode::OK, TEXT, "ended\n");
+                return text(StatusCode::OK, TEXT_CONTENT_TYPE, "ended\n");
             }
             not_owned()
         }
@@ -126,7 +126,7 @@
         (&Method::POST, ["drain"]) => {
             log::info!("event=operator_drains_host");
             handlers.actions.drain().await;
-            text(StatusCode::ACCEPTED, TEXT, "draining\n")
+            text(StatusCode::ACCEPTED, TEXT_CONTENT_TYPE, "draining\n")
         }
         (
             _,
@@ -134,51 +134,63 @@
                 "live" | "ready" | "metrics" | "status" | "programs" | "document" | "drain",
                 ..,
             ],
-        ) => text(StatusCode::METHOD_NOT_ALLOWED, TEXT, "not with this method\n"),
-        _ => text(StatusCode::NOT_FOUND, TEXT, "there is nothing here\n"),
+        ) => text(
+            StatusCode::METHOD_NOT_ALLOWED,
+            TEXT_CONTENT_TYPE,
+            "method not allowed\n",
+        ),
+        _ => text(StatusCode::NOT_FOUND, TEXT_CONTENT_TYPE, "not found\n"),
     }
 }
 
-async fn document(handlers: &AdminHandlers, body: Incoming) -> Answer {
+async fn document(handlers: &AdminHandlers, body: Incoming) -> AdminResponse {
     let body = match Limited::new(body, VALUE_MAX_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
-        Err(error) => return text(StatusCode::BAD_REQUEST, TEXT, format!("{error}\n")),
+        Err(error) => return text(StatusCode::BAD_REQUEST, TEXT_CONTENT_TYPE, format!("{error}\n")),
     };
     match VersionedDocument::from_bytes(&body) {
         Ok(versioned) => {
             let version = handlers.document.offer_document(versioned);
-            json(&DocumentAnswer { version })
+            json(&DocumentResponse { version })
         }
-        Err(error) => text(StatusCode::BAD_REQUEST, TEXT, format!("{error}\n")),
+        Err(error) => text(StatusCode::BAD_REQUEST, TEXT_CONTENT_TYPE, format!("{error}\n")),
     }
 }
 
-fn ready(handlers: &AdminHandlers) -> Answer {
+fn ready(handlers: &AdminHandlers) -> AdminResponse {
     match handlers.status.readiness() {
-        Readiness::Ready => text(StatusCode::OK, TEXT, "ready\n"),
-        Readiness::NotReady(reason) => text(StatusCode::SERVICE_UNAVAILABLE, TEXT, format!("{reason}\n")),
+        Readiness::Ready => text(StatusCode::OK, TEXT_CONTENT_TYPE, "ready\n"),
+        Readiness::NotReady(reason) => text(
+            StatusCode::SERVICE_UNAVAILABLE,
+            TEXT_CONTENT_TYPE,
+            format!("{reason}\n"),
+        ),
     }
 }
 
-fn not_owned() -> Answer {
+fn not_owned() -> AdminResponse {
     text(
         StatusCode::NOT_FOUND,
-        TEXT,
+        TEXT_CONTENT_TYPE,
         "this host does not own the program\n",
     )
 }
 
-fn json(value: &impl Serialize) -> Answer {
+fn json(value: &impl Serialize) -> AdminResponse {
     match serde_json::to_vec(value) {
-        Ok(body) => text(StatusCode::OK, JSON, body),
-        Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, TEXT, error.to_string()),
+        Ok(body) => text(StatusCode::OK, JSON_CONTENT_TYPE, body),
+        Err(error) => text(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            TEXT_CONTENT_TYPE,
+            error.to_string(),
+        ),
     }
 }
 
-fn text(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Answer {
-    let mut answer = Response::new(Full::new(body.into()));
-    *answer.status_mut() = status;
+fn text(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> AdminResponse {
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
     let content_type = HeaderValue::from_static(content_type);
-    answer.headers_mut().insert(CONTENT_TYPE, content_type);
-    answer
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
+    response
 }
--- a/crates/burdockroad-daemon/src/admin/status.rs
+++ b/crates/burdockroad-daemon/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! What the admin address tells, as JSON.
+//! JSON types of the admin API.
 
 use burdockroad::{
     AccountId, DocumentVersion, EndpointId, HostId, Incarnation, PoolId, ProgramId, config::Freshness,
@@ -7,34 +7,34 @@
 
 use crate::telemetry::AccountService;
 
-/// Whether a host may be given calls.
+/// Whether a host can accept calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It may.
+    /// The host can accept calls.
     Ready,
-    /// It may not, for this reason.
+    /// The host cannot accept calls, for the given reason.
     NotReady(String),
 }
 
-/// What an operator has to know of a host.
+/// Status report of a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Status {
-    /// The host.
+    /// ID of the host.
     pub host_id: HostId,
-    /// The run of its daemon.
+    /// Incarnation of the host's daemon.
     pub incarnation: Incarnation,
-    /// Failure domain that it stands in.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Whether it hands its work over and takes no more.
+    /// Whether the host is handing off its work and accepts no new work.
     pub draining: bool,
     /// The document in force.
     pub document: DocumentStatus,
-    /// What it owns.
+    /// Partitions and programs that the host owns.
     pub ownership: OwnershipStatus,
-    /// Endpoints of the pools that it owns.
+    /// Endpoints of the pools that the host owns.
     pub endpoints: Vec<EndpointStatus>,
-    /// Accounts that it served worst, the worst first.
+    /// Accounts with the worst service on this host, worst first.
     pub worst_served: Vec<AccountService>,
 }
 
@@ -42,71 +42,71 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DocumentStatus {
-    /// Version; 0 as long as there is none.
+    /// Version of the document, or 0 when there is none.
     pub version: DocumentVersion,
-    /// `fresh`, `outage_for_all` or `cut_off`.
+    /// Freshness of the document: `fresh`, `outage_for_all` or `cut_off`.
     pub freshness: String,
 }
 
-/// Answer to a document that was handed over.
+/// Response to a document sent by an operator's tool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct DocumentAnswer {
-    /// Version that is in force now.
+pub struct DocumentResponse {
+    /// Document version in force after the request.
     pub version: DocumentVersion,
 }
 
-/// What a host owns.
+/// Partition ownership of a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OwnershipStatus {
-    /// Version of the map that it knows.
+    /// Version of the host's copy of the ownership map.
     pub version: u64,
-    /// Partitions that it owns.
+    /// Number of partitions that the host owns.
     pub partitions: usize,
-    /// Programs that have not ended.
+    /// Number of programs that have not ended.
     pub open_programs: usize,
-    /// Hosts that it hears, itself left out.
+    /// Live hosts, not including this one.
     pub peers_heard: Vec<HostId>,
 }
 
-/// One endpoint, as the owner of its pool sees it.
+/// Status of an endpoint, reported by the owner of its pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EndpointStatus {
-    /// The endpoint.
+    /// ID of the endpoint.
     pub endpoint_id: EndpointId,
-    /// Its pool.
+    /// Pool of the endpoint.
     pub pool_id: PoolId,
-    /// Calls that it serves now.
+    /// Number of calls that the endpoint is serving.
     pub busy_slots: u32,
-    /// Calls that it may serve at once.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Whether it is given calls: `in_service`, `draining` or `failed`.
+    /// Service state, which decides whether it receives calls: `in_service`, `draining` or `failed`.
     pub state: String,
 }
 
-/// One program, as its owner sees it.
+/// Summary of a program, reported by its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ProgramSummary {
-    /// The program.
+    /// ID of the program.
     pub program_id: ProgramId,
-    /// Account that it runs for.
+    /// Client account that the program runs for.
     pub account_id: AccountId,
-    /// Its parent, for a sub-agent.
+    /// Parent program, if the program is a sub-agent.
     pub parent_id: Option<ProgramId>,
-    /// `open`, or how it ended.
+    /// `open`, or the reason for which the program ended.
     pub state: String,
-    /// Calls that it has begun.
+    /// Number of calls that the program has started.
     pub calls: u32,
-    /// Tokens spent by its tree.
+    /// Number of tokens that the program's tree has spent.
     pub spent_tokens: u64,
-    /// Seconds since it was created.
+    /// Age of the program's tree, in seconds.
     pub age_s: u64,
 }
 
-/// Returns how a freshness is written in [`DocumentStatus`].
+/// Returns the name of a freshness in [`DocumentStatus`].
 pub fn freshness_name(freshness: Freshness) -> &'static str {
     match freshness {
         Freshness::Fresh => "fresh",
--- a/crates/burdockroad-daemon/src/calls.rs
+++ b/crates/burdockroad-daemon/src/calls.rs
@@ -38,7 +38,7 @@
     problem::{Problem, ProblemKind},
     programs::ProgramsHandle,
     quota::Quota,
-    telemetry::{Measure, RefusedBecause, Telemetry},
+    telemetry::{Measure, RefusalReason, Telemetry},
 };
 
 /// On whose behalf a call runs.
@@ -139,8 +139,8 @@
     /// Takes note of a call that was refused for want of rate or of a slot.
     fn note_refusal(&self, plan: &Plan, problem: &Problem) {
         let because = match problem.kind {
-            ProblemKind::OverRate => RefusedBecause::OverRate,
-            ProblemKind::Overloaded | ProblemKind::NotRecordable => RefusedBecause::InsideRate,
+            ProblemKind::OverRate => RefusalReason::OverRate,
+            ProblemKind::Overloaded | ProblemKind::NotRecordable => RefusalReason::InsideRate,
             _ => return,
         };
         self.telemetry.refused(&plan.caller.account_id, because);
--- a/crates/burdockroad-daemon/src/calls/program_call.rs
+++ b/crates/burdockroad-daemon/src/calls/program_call.rs
@@ -179,7 +179,8 @@
             .min(report.prompt_tokens)
             .saturating_sub(report.cached_tokens);
         if wasted > 0 {
-            self.telemetry.cache_wasted(&call.plan.caller.account_id, wasted);
+            self.telemetry
+                .record_recomputed_tokens(&call.plan.caller.account_id, wasted);
         }
     }
 
--- a/crates/burdockroad-daemon/src/document_source.rs
+++ b/crates/burdockroad-daemon/src/document_source.rs
@@ -1,4 +1,4 @@
-//! What quota and dispatch take from the document in force and from the host list.
+//! Limits, weights and endpoint sets for quota and dispatch, from the document in force and the host list.
 
 use std::{
     collections::BTreeSet,
@@ -14,36 +14,36 @@
 
 use crate::{config_watch::InForceReceiver, dispatch::PoolSource, quota::AccountLimits};
 
-/// Hosts that are being taken away, by the platform's host list, and every change of them.
+/// Receiver of the hosts that are leaving according to the platform's host list, and of their changes.
 pub type LeavingReceiver = watch::Receiver<Arc<BTreeSet<HostId>>>;
 
-/// Weight of an account that the document does not name.
-const UNNAMED_WEIGHT: f64 = 1.0;
+/// Weight of an account that the document does not contain.
+const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Reads limits, weights and endpoint sets from the document in force.
+/// Source of limits, weights and endpoint sets, read from the document in force.
 #[derive(Debug)]
 pub struct DocumentSource {
     in_force: InForceReceiver,
     leaving: LeavingReceiver,
-    seen: Mutex<Seen>,
+    last_seen: Mutex<LastSeen>,
 }
 
-/// What the last answer was made of.
+/// Inputs at the last call of [`PoolSource::version`], and the number of their changes.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct LastSeen {
     document: DocumentVersion,
     leaving: BTreeSet<HostId>,
-    /// Counts the changes of either.
-    changes: u64,
+    /// Number of changes of either input, which is the version of the source.
+    change_count: u64,
 }
 
 impl DocumentSource {
-    /// Makes a source of the document in force and the leaving hosts.
+    /// Creates a source from the document in force and the leaving hosts.
     pub fn new(in_force: InForceReceiver, leaving: LeavingReceiver) -> Self {
         Self {
             in_force,
             leaving,
-            seen: Mutex::default(),
+            last_seen: Mutex::default(),
         }
     }
 
@@ -64,7 +64,7 @@
 
     fn weight(&self, account_id: &AccountId) -> f64 {
         self.account(account_id, |account| account.weight)
-            .unwrap_or(UNNAMED_WEIGHT)
+            .unwrap_or(DEFAULT_WEIGHT)
     }
 }
 
@@ -72,13 +72,13 @@
     fn version(&self) -> u64 {
         let document = self.in_force.borrow().version;
         let leaving = self.leaving.borrow();
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        if seen.document != document || seen.leaving != **leaving {
-            seen.document = document;
-            seen.leaving.clone_from(&leaving);
-            seen.changes += 1;
+        let mut last_seen = self.last_seen.lock().unwrap_or_else(PoisonError::into_inner);
+        if last_seen.document != document || last_seen.leaving != **leaving {
+            last_seen.document = document;
+            last_seen.leaving.clone_from(&leaving);
+            last_seen.change_count += 1;
         }
-        seen.changes
+        last_seen.change_count
     }
 
     fn endpoint_sets(&self) -> Vec<EndpointSet> {
--- a/crates/burdockroad-daemon/src/lib.rs
+++ b/crates/burdockroad-daemon/src/lib.rs
@@ -1,17 +1,17 @@
 //! The daemon that runs on every entry host.
 //!
-//! Each module stands for one border of the daemon and defines the trait object by which the others
-//! reach it: [`platform`] (key-value service and host list), [`journal`] (durable records),
-//! [`ownership`] (which host serves which partition), [`quota`] (rates and bursts), [`dispatch`]
-//! (slots at endpoints), [`peer`] (the other daemons), [`config_watch`] (the document in force) and
-//! [`admin`] (operators and the balancer). [`settings`] holds what a process is told when it starts;
-//! [`logging`] and [`telemetry`] tell what it does.
+//! Each of these modules is one interface of the daemon and defines the traits through which the other
+//! modules use it: [`platform`] (key-value service and host list), [`journal`] (durable records),
+//! [`ownership`] (assignment of partitions to hosts), [`quota`] (rates and bursts), [`dispatch`] (slots
+//! at endpoints), [`peer`] (other daemons), [`config_watch`] (the document in force) and [`admin`]
+//! (operators and the load balancer). [`settings`] contains the settings of a process. [`logging`] and
+//! [`telemetry`] report on its operation.
 //!
-//! [`daemon`] puts the parts together. A request comes in through [`http`], goes to the owner of its
-//! program through [`edge`], and runs in [`calls`], which keeps to what [`programs`] allows and writes
-//! to an [`answer`]. [`coordinator`] keeps a host in the fleet: [`membership`] tells which hosts are up,
-//! [`takeover`] takes over from a process that is gone, and [`handoff`] moves partitions between
-//! processes that are up.
+//! [`daemon`] assembles the components. A request arrives through [`http`], is routed to the owner of
+//! its program by [`edge`], and runs in [`calls`], which enforces the limits of [`programs`] and writes
+//! the response to an [`answer`]. [`coordinator`] makes the host part of the fleet: [`membership`]
+//! tracks which hosts are live, [`takeover`] takes over the partitions of failed processes, and
+//! [`handoff`] moves partitions between running processes.
 
 pub mod admin;
 pub mod answer;
--- a/crates/burdockroad-daemon/src/logging.rs
+++ b/crates/burdockroad-daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: one event each, as key=value pairs, to standard error or a file.
+//! Log lines with one event each, as key=value pairs, to standard error or a file.
 
 use std::{
     fmt,
@@ -16,10 +16,10 @@
     encode::pattern::PatternEncoder,
 };
 
-/// Time, level and module, in front of the event's own pairs.
+/// Format of a log line: time, level and module, followed by the pairs of the event.
 const PATTERN: &str = "time={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} target={t} {m}{n}";
 
-/// Crates whose events are logged at the level of the settings; libraries only warn.
+/// Crates whose events are logged at the configured level. Other crates are logged at most at `warn`.
 const OWN_TARGETS: [&str; 4] = [
     "burdockroad",
     "burdockroad_daemon",
@@ -27,11 +27,12 @@
     "burdockroadd",
 ];
 
-/// Starts to log, at a level of `error`, `warn`, `info`, `debug` or `trace`.
+/// Starts logging at a level of `error`, `warn`, `info`, `debug` or `trace`.
 ///
 /// # Errors
 ///
-/// Fails when the level is none of these, the file cannot be opened, or logging was started before.
+/// Fails when the level is none of these, when the file cannot be opened, or when logging was already
+/// started.
 pub fn start(level: &str, file: Option<&Path>) -> Result<(), LoggingError> {
     let level = level
         .parse()
@@ -70,26 +71,26 @@
     }
 }
 
-/// Why logging did not start.
+/// Error returned when logging fails to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoggingError {
-    /// There is no such level.
+    /// The level is unknown.
     Level(String),
     /// The file cannot be opened.
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         reason: String,
     },
-    /// Logging was started before.
+    /// Logging was already started, or its configuration was rejected.
     Started(String),
 }
 
 impl fmt::Display for LoggingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Level(level) => write!(f, "there is no log level `{level}`"),
+            Self::Level(level) => write!(f, "unknown log level `{level}`"),
             Self::File { path, reason } => write!(f, "{}: {reason}", path.display()),
             Self::Started(reason) => f.write_str(reason),
         }
--- a/crates/burdockroad-daemon/src/main.rs
+++ b/crates/burdockroad-daemon/src/main.rs
@@ -11,19 +11,19 @@
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
-/// What `--help` prints.
+/// Output of `--help`.
 const HELP: &str = "\
 burdockroadd: serves callers on one entry host
 
 Usage:
-  burdockroadd --settings FILE    run until SIGTERM or SIGINT, then finish what runs and stop
-  burdockroadd --check FILE       check settings, all faults at once, and stop
+  burdockroadd --settings FILE    run until SIGTERM or SIGINT, then finish running calls and stop
+  burdockroadd --check FILE       check the settings, report all faults, and exit
   burdockroadd --help | --version
 
-Exit codes: 0 stopped as asked, 1 could not start or run, 2 wrong arguments or settings.
+Exit codes: 0 success, 1 failed to start or run, 2 invalid arguments or settings.
 ";
 
-/// What the command line asks for.
+/// Command selected by the arguments.
 enum Command {
     Help,
     Version,
@@ -102,11 +102,11 @@
 async fn serve(settings: Settings) -> Result<()> {
     logging::start(&settings.log_level, settings.log_file.as_deref())?;
     let telemetry = Telemetry::install()?;
-    let mut terminate = signal(SignalKind::terminate()).context("cannot watch for SIGTERM")?;
-    let mut interrupt = signal(SignalKind::interrupt()).context("cannot watch for SIGINT")?;
+    let mut terminate = signal(SignalKind::terminate()).context("cannot install the SIGTERM handler")?;
+    let mut interrupt = signal(SignalKind::interrupt()).context("cannot install the SIGINT handler")?;
     let daemon = tokio::select! {
         daemon = Daemon::start(settings, telemetry) => daemon?,
-        // Nothing was served yet, as while the store is down.
+        // The daemon serves nothing yet, for example because the store is unavailable.
         _ = terminate.recv() => return Ok(()),
         _ = interrupt.recv() => return Ok(()),
     };
--- a/crates/burdockroad-daemon/src/peer.rs
+++ b/crates/burdockroad-daemon/src/peer.rs
@@ -1,4 +1,4 @@
-//! The other daemons: clients of them, and the service that answers them.
+//! Communication with other daemons: clients, and the server of their requests.
 
 mod clients;
 mod server;
--- a/crates/burdockroad-daemon/src/peer/clients.rs
+++ b/crates/burdockroad-daemon/src/peer/clients.rs
@@ -1,40 +1,40 @@
-//! Connections to other daemons, one for each address.
+//! Clients of other daemons, with one connection for each address.
 
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
 use burdockroad_proto::peer::peer_client::PeerClient;
 use tonic::transport::{Channel, Endpoint};
 
-/// Time within which a connection to a peer must stand.
+/// Timeout of establishing a connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time without a frame after which a connection in use is tried with a ping.
+/// Time without a frame after which a connection in use is probed with a ping.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time within which a ping must be answered, or the connection is made anew: after a cut has healed,
-/// TCP alone may take as long again as the cut did.
+/// Timeout of a ping, after which the connection is reestablished. After a network partition ends, TCP
+/// alone may take as long again as the partition lasted to recover.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Largest message between peers, in bytes.
+/// Maximum size of a message between peers, in bytes.
 const MESSAGE_MAX_BYTES: usize = 64 * 1024 * 1024;
 
-/// Clients of all peers, connected when first used and again after a break.
+/// Clients of all peers, which connect on first use and reconnect after a failure.
 #[derive(Debug, Default)]
 pub struct PeerClients {
     channels: Mutex<HashMap<String, Channel>>,
 }
 
 impl PeerClients {
-    /// Makes an empty set of clients.
+    /// Creates an empty set of clients.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns a client of the peer at an IP number and port.
+    /// Returns a client of the peer at an IP address and port.
     ///
     /// # Errors
     ///
-    /// Fails when the address is not of that form; a peer that is down is found out by the call.
+    /// Fails when the address is malformed. An unreachable peer is detected only by a request.
     pub fn get(&self, address: &str) -> Result<PeerClient<Channel>, tonic::transport::Error> {
         let mut channels = self
             .channels
--- a/crates/burdockroad-daemon/src/peer/server.rs
+++ b/crates/burdockroad-daemon/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The service that answers other daemons; each call goes to the module that it concerns.
+//! Server of requests from other daemons, which dispatches each request to the responsible module.
 
 use std::{fmt, net::SocketAddr, pin::Pin, sync::Arc};
 
@@ -17,83 +17,83 @@
     transport::{Server, server::TcpIncoming},
 };
 
-/// Largest message between peers, in bytes.
+/// Maximum size of a message between peers, in bytes.
 const MESSAGE_MAX_BYTES: usize = 64 * 1024 * 1024;
 
-/// Frames of a forwarded call's answer.
+/// Stream of the response frames of a forwarded call.
 pub type ForwardStream = Pin<Box<dyn Stream<Item = Result<ForwardFrame, Status>> + Send>>;
 
-/// Answers heartbeats.
+/// Handler of heartbeats.
 #[async_trait]
 pub trait HeartbeatHandler: fmt::Debug + Send + Sync {
-    /// Takes note of the sender and tells how this host sees things.
+    /// Records the sender and returns this host's view of the fleet.
     async fn heartbeat(&self, request: HeartbeatRequest) -> HeartbeatResponse;
 }
 
-/// Serves calls that a peer took from a caller.
+/// Handler of calls that a peer has received from a caller and forwards to this host.
 #[async_trait]
 pub trait ForwardHandler: fmt::Debug + Send + Sync {
     /// Serves one call.
     async fn forward(&self, request: ForwardRequest) -> ForwardStream;
 }
 
-/// Keeps copies of peers' journal tails.
+/// Handler of copies of peers' journal tails.
 #[async_trait]
 pub trait TailHandler: fmt::Debug + Send + Sync {
-    /// Keeps records, unless the tail is sealed.
+    /// Stores copies of records, unless the tail is sealed.
     async fn replicate(&self, request: ReplicateTailRequest) -> ReplicateTailResponse;
 
-    /// Seals a tail and returns what is held of it.
+    /// Seals a tail and returns its copy.
     async fn seal(&self, request: SealTailRequest) -> SealTailResponse;
 }
 
-/// Takes over program trees.
+/// Handler of program trees that are handed off to this host.
 #[async_trait]
 pub trait AdoptHandler: fmt::Debug + Send + Sync {
-    /// Makes the trees durable here before they are served here.
+    /// Makes the trees durable on this host, before this host serves them.
     async fn adopt(&self, request: AdoptRequest) -> AdoptResponse;
 }
 
-/// Gives out the document in force.
+/// Handler of requests for the document in force.
 #[async_trait]
 pub trait DocumentHandler: fmt::Debug + Send + Sync {
-    /// Returns the document in force here.
+    /// Returns the document in force on this host.
     async fn document(&self) -> FetchDocumentResponse;
 }
 
-/// Gives out tokens of the buckets that this host owns.
+/// Handler of requests for tokens from the buckets that this host owns.
 #[async_trait]
 pub trait GrantHandler: fmt::Debug + Send + Sync {
-    /// Grants what the bucket allows now.
+    /// Grants the tokens that the bucket allows at present.
     async fn grant(&self, request: GrantRequest) -> GrantResponse;
 }
 
-/// Gives out slots of the pools that this host owns.
+/// Handler of requests for slots of the pools that this host owns.
 #[async_trait]
 pub trait SlotHandler: fmt::Debug + Send + Sync {
     /// Waits for a slot.
     async fn acquire(&self, request: AcquireSlotRequest) -> AcquireSlotResponse;
 
-    /// Takes a slot back.
+    /// Releases a slot.
     async fn release(&self, request: ReleaseSlotRequest) -> ReleaseSlotResponse;
 }
 
-/// The modules that answer peers.
+/// Handlers of requests from peers.
 #[derive(Clone, Debug)]
 pub struct PeerHandlers {
-    /// Answers heartbeats.
+    /// Handler of heartbeats.
     pub heartbeat: Arc<dyn HeartbeatHandler>,
-    /// Serves forwarded calls.
+    /// Handler of forwarded calls.
     pub forward: Arc<dyn ForwardHandler>,
-    /// Keeps journal tails.
+    /// Handler of journal tails.
     pub tail: Arc<dyn TailHandler>,
-    /// Takes over program trees.
+    /// Handler of program trees.
     pub adopt: Arc<dyn AdoptHandler>,
-    /// Gives out the document.
+    /// Handler of document requests.
     pub document: Arc<dyn DocumentHandler>,
-    /// Gives out tokens.
+    /// Handler of token grants.
     pub grant: Arc<dyn GrantHandler>,
-    /// Gives out slots.
+    /// Handler of slots.
     pub slot: Arc<dyn SlotHandler>,
 }
 
@@ -161,11 +161,11 @@
     }
 }
 
-/// Answers peers on a listener until `stop` resolves.
+/// Serves peers on a listener until `stop` completes.
 ///
 /// # Errors
 ///
-/// Fails when the listener breaks.
+/// Fails when the listener fails.
 pub async fn serve(
     listener: TcpListener,
     handlers: PeerHandlers,
@@ -177,7 +177,7 @@
     let service = PeerServer::new(handlers)
         .max_decoding_message_size(MESSAGE_MAX_BYTES)
         .max_encoding_message_size(MESSAGE_MAX_BYTES);
-    // The builder's own setting concerns only listeners that it opens itself.
+    // The builder's own `tcp_nodelay` setting applies only to listeners that it opens itself.
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
     Server::builder()
         .add_service(service)
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -336,10 +336,10 @@
         self.ask(|port| ProgramsMessage::Adopt(trees, port)).await;
     }
 
-    async fn release(&self, partitions: Vec<PartitionId>, patience: Duration) -> Option<Vec<Tree>> {
+    async fn release(&self, partitions: Vec<PartitionId>, timeout: Duration) -> Option<Vec<Tree>> {
         let frozen = partitions.clone();
         self.ask(|port| ProgramsMessage::Freeze(frozen, port)).await?;
-        let latest = Instant::now() + patience;
+        let latest = Instant::now() + timeout;
         loop {
             let asked = partitions.clone();
             let exported = self
--- a/crates/burdockroad-daemon/src/settings.rs
+++ b/crates/burdockroad-daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told when it starts.
+//! Settings of a daemon process.
 
 mod read;
 
@@ -13,34 +13,34 @@
 
 use crate::platform::ListedHost;
 
-/// Settings of one daemon, read from a file in JSON with comments.
+/// Settings of a daemon, read from a file in JSON with comments.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of this host, as the platform's host list gives it.
+    /// ID of this host in the platform's host list.
     pub host_id: HostId,
-    /// Failure domain that this host stands in.
+    /// Failure domain of this host.
     pub failure_domain: String,
-    /// Site that this host stands in.
+    /// Site of this host.
     pub site: SiteId,
-    /// IP number and port for callers.
+    /// IP address and port on which the daemon serves callers.
     pub caller_address: String,
-    /// IP number and port for other daemons.
+    /// IP address and port on which the daemon serves other daemons.
     pub peer_address: String,
-    /// IP number and port for operators and the balancer's checks.
+    /// IP address and port on which the daemon serves operators and the load balancer's health checks.
     pub admin_address: String,
-    /// Where agreed and durable state is kept.
+    /// Store of coordination state and durable state.
     pub store: StoreSettings,
-    /// Where the list of hosts comes from.
+    /// Source of the list of hosts.
     pub host_list: HostListSettings,
-    /// Least severe level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
+    /// Minimum severity of logged events: `error`, `warn`, `info`, `debug` or `trace`.
     #[serde(default = "default_log_level")]
     pub log_level: String,
-    /// File that log lines are appended to; standard error when left out.
+    /// File to which log lines are appended. Logs go to standard error if it is omitted.
     #[serde(default)]
     pub log_file: Option<PathBuf>,
-    /// Limits towards callers.
+    /// Limits on callers' connections, requests and calls.
     #[serde(default)]
     pub limits: LimitSettings,
 }
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be read, or with everything that is wrong with its text.
+    /// Fails when the file cannot be read, or with all faults in its text.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = fs::read_to_string(path).map_err(|cause| SettingsError::Unreadable {
             path: path.to_owned(),
@@ -62,20 +62,20 @@
         })
     }
 
-    /// Reads settings from their text, in JSON with comments.
+    /// Parses settings from text in JSON with comments.
     ///
     /// # Errors
     ///
-    /// Returns everything that is wrong with the text, in the order of the places.
+    /// Returns all faults in the text, in order of their position.
     pub fn parse(text: &str) -> Result<Self, Vec<Finding>> {
         read::parse(text)
     }
 
-    /// Checks a file as `burdockroadd --check` does, and returns what it tells about valid settings.
+    /// Checks a file as `burdockroadd --check` does, and returns a summary of valid settings.
     ///
     /// # Errors
     ///
-    /// As for [`load`](Self::load).
+    /// Fails as [`load`](Self::load) does.
     pub fn check(path: &Path) -> Result<String, SettingsError> {
         let settings = Self::load(path)?;
         let mut lines = vec![format!(
@@ -101,21 +101,21 @@
     }
 }
 
-/// Why settings cannot be used.
+/// Error of loading settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// The file cannot be read.
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         reason: String,
     },
     /// The text is not valid.
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Everything that is wrong with it.
+        /// All faults in the text.
         findings: Vec<Finding>,
     },
 }
@@ -136,7 +136,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Where agreed and durable state is kept.
+/// Store of coordination state and durable state.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
@@ -146,21 +146,21 @@
         /// Addresses of the service, as `http://IP:PORT`.
         addresses: Vec<String>,
     },
-    /// A store inside the process, for a single host.
+    /// An embedded store in the process, for a deployment with a single host.
     Embedded {
-        /// Folder that the store is kept in.
+        /// Folder of the store's data.
         data_folder: PathBuf,
     },
 }
 
-/// Where the list of hosts comes from.
+/// Source of the list of hosts.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum HostListSettings {
-    /// The platform's host list, read by HTTP.
+    /// The platform's host list, read over HTTP.
     Service {
-        /// Address of the list, as `http://IP:PORT/path`.
+        /// URL of the list, as `http://IP:PORT/path`.
         url: String,
     },
     /// A fixed list.
@@ -170,26 +170,26 @@
     },
 }
 
-/// Limits towards callers.
+/// Limits on callers' connections, requests and calls.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_max_bytes: usize,
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_max_bytes: usize,
-    /// Open connections of callers.
+    /// Maximum number of open connections of callers.
     pub connections_max: usize,
-    /// Seconds in which a request's head must have arrived.
+    /// Timeout for receiving a request head, in seconds.
     pub head_timeout_s: u64,
-    /// Seconds in which a request's body must have arrived.
+    /// Timeout for receiving a request body, in seconds.
     pub body_timeout_s: u64,
-    /// Seconds that a call may take from its arrival to the end of its answer.
+    /// Timeout of a call from its arrival to the end of its response, in seconds.
     pub call_timeout_s: u64,
-    /// Seconds that a call may wait for its account's rate or for an endpoint.
+    /// Maximum time that a call waits for its client account's rate limit or for an endpoint, in seconds.
     pub queue_timeout_s: u64,
-    /// Seconds that a stopping daemon waits for running calls.
+    /// Maximum time that a daemon waits for running calls at shutdown, in seconds.
     pub shutdown_timeout_s: u64,
 }
 
--- a/crates/burdockroad-daemon/src/settings/read.rs
+++ b/crates/burdockroad-daemon/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reads the text of settings and checks all of it.
+//! Parsing and validation of settings.
 
 use std::{ops::RangeInclusive, path::PathBuf};
 
@@ -79,7 +79,7 @@
     })
 }
 
-/// Reads an address to listen at, which must differ from those before it.
+/// Reads a listen address, which must differ from all listen addresses read before it.
 fn address(
     reader: &mut Reader<'_>,
     fields: &mut Fields<'_>,
@@ -209,7 +209,7 @@
     Some(PathBuf::from(text))
 }
 
-/// Reads an address of the platform, whose host must be an IP number.
+/// Reads the URL of a platform service, whose host must be an IP address.
 fn url(
     reader: &mut Reader<'_>,
     node: &Node<'_>,
--- a/crates/burdockroad-daemon/src/telemetry.rs
+++ b/crates/burdockroad-daemon/src/telemetry.rs
@@ -1,7 +1,7 @@
-//! Metrics of the daemon, and what each client account gets.
+//! Metrics of the daemon and service statistics of each client account.
 //!
-//! Prometheus keeps one series for each value of a label, so only the busiest accounts have their own
-//! label and the others share one. The figures behind `status` are kept for all accounts apart.
+//! Prometheus stores one series for each label value, so only the busiest accounts have their own label
+//! and the others share one. The statistics in `status` are collected separately for every account.
 
 mod accounts;
 mod labels;
@@ -20,41 +20,41 @@
 use self::accounts::AccountTable;
 pub use self::{accounts::AccountService, labels::AccountLabels};
 
-/// Accounts that have a label of their own.
+/// Maximum number of accounts with their own label.
 pub const ACCOUNT_LABELS_MAX: usize = 50;
 
-/// Time between two choices of the accounts that have their own label, and length of a window of the
-/// figures behind `status`.
+/// Interval between two selections of the accounts with their own label, and length of a window of the
+/// statistics in `status`.
 pub const ROTATE_INTERVAL: Duration = Duration::from_mins(5);
 
-/// Time between two rounds in which recorded durations are moved into the histograms.
+/// Interval between two runs of the exporter's upkeep, which moves recorded durations into histograms.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time after which a series that nothing was added to is dropped.
-const SERIES_IDLE: Duration = Duration::from_mins(30);
+/// Time without an update after which a series is dropped.
+const SERIES_IDLE_TIMEOUT: Duration = Duration::from_mins(30);
 
-/// Upper bounds of the histograms' buckets, in seconds.
+/// Upper bounds of the histogram buckets, in seconds.
 const BUCKETS_S: [f64; 14] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 120.0, 600.0,
 ];
 
-/// A duration that is measured for each account.
+/// Duration that is measured for each account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Measure {
     /// From a program's creation to its end.
     Program,
     /// From a call's arrival to its slot at an endpoint.
     Queue,
-    /// From sending a completion to the first byte of its answer.
+    /// From sending a completion to the first byte of its response.
     FirstToken,
 }
 
-/// Why a call was refused, as it counts for the account.
+/// Reason for the refusal of a call, in the statistics of its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefusedBecause {
-    /// The account was over its rate and burst.
+pub enum RefusalReason {
+    /// The account exceeded its rate and burst.
     OverRate,
-    /// Something else was short, although the account was within its rate.
+    /// Another resource was exhausted, although the account was within its rate.
     InsideRate,
 }
 
@@ -76,15 +76,15 @@
 }
 
 impl Telemetry {
-    /// Makes the metrics of this process available to [`render`](Self::render).
+    /// Installs a metrics recorder for this process, whose metrics [`render`](Self::render) returns.
     ///
     /// # Errors
     ///
-    /// Fails when a recorder of metrics is installed already.
+    /// Fails when a metrics recorder is already installed.
     pub fn install() -> Result<Self, TelemetryError> {
         let prometheus = PrometheusBuilder::new()
             .set_buckets(&BUCKETS_S)
-            .map(|builder| builder.idle_timeout(MetricKindMask::ALL, Some(SERIES_IDLE)))
+            .map(|builder| builder.idle_timeout(MetricKindMask::ALL, Some(SERIES_IDLE_TIMEOUT)))
             .and_then(PrometheusBuilder::install_recorder)
             .map_err(|cause| TelemetryError {
                 reason: cause.to_string(),
@@ -92,8 +92,8 @@
         Ok(Self::with(Some(prometheus)))
     }
 
-    /// Makes telemetry whose metrics go to the recorder that is installed, if any; for embedding.
-    pub fn unrecorded() -> Self {
+    /// Creates telemetry for embedding, whose metrics go to the installed recorder, if any.
+    pub fn without_exporter() -> Self {
         Self::with(None)
     }
 
@@ -110,13 +110,13 @@
         }
     }
 
-    /// Returns all metrics in Prometheus' text form.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let prometheus = self.inner.prometheus.as_ref();
         prometheus.map(PrometheusHandle::render).unwrap_or_default()
     }
 
-    /// Adds a duration of an account.
+    /// Records a duration for an account.
     pub fn record(&self, account_id: &AccountId, measure: Measure, duration: Duration) {
         let label = {
             let mut accounts = self.accounts();
@@ -126,29 +126,29 @@
         metrics::histogram!(measure.metric(), "account" => label).record(duration.as_secs_f64());
     }
 
-    /// Counts a refusal of an account.
-    pub fn refused(&self, account_id: &AccountId, because: RefusedBecause) {
+    /// Records a refusal of a call of an account.
+    pub fn refused(&self, account_id: &AccountId, reason: RefusalReason) {
         let label = {
             let mut accounts = self.accounts();
-            accounts.table.refused(account_id, because);
+            accounts.table.refused(account_id, reason);
             accounts.labels.label(account_id)
         };
-        let because = because.label();
-        metrics::counter!("burdockroad_refused_total", "account" => label, "because" => because).increment(1);
+        let reason = reason.label();
+        metrics::counter!("burdockroad_refused_total", "account" => label, "because" => reason).increment(1);
     }
 
-    /// Counts tokens of a prompt that an engine had to compute although it had computed them before.
-    pub fn cache_wasted(&self, account_id: &AccountId, tokens: u64) {
+    /// Records prompt tokens that an engine had to recompute although it had computed them before.
+    pub fn record_recomputed_tokens(&self, account_id: &AccountId, tokens: u64) {
         let label = self.accounts().labels.label(account_id);
         metrics::counter!("burdockroad_cache_wasted_tokens_total", "account" => label).increment(tokens);
     }
 
-    /// Returns up to `count` accounts, the worst served first: refusals inside the rate, then latency.
+    /// Returns up to `count` accounts, worst served first, by refusals within the rate, then by latency.
     pub fn worst_served(&self, count: usize) -> Vec<AccountService> {
         self.accounts().table.worst_served(count)
     }
 
-    /// Keeps the figures in bounds for as long as the daemon runs; to be spawned once.
+    /// Runs periodic maintenance that bounds the collected data, until cancelled. Must be spawned only once.
     pub async fn maintain(self) {
         let mut last_rotated = Instant::now();
         loop {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Starts a new window, and chooses anew which accounts have their own label.
+    /// Starts a new window and reselects the accounts with their own label.
     pub fn rotate(&self) {
         let mut accounts = self.accounts();
         accounts.labels.rotate();
@@ -193,7 +193,7 @@
     }
 }
 
-impl RefusedBecause {
+impl RefusalReason {
     fn label(self) -> &'static str {
         match self {
             Self::OverRate => "over_rate",
@@ -202,7 +202,7 @@
     }
 }
 
-/// Why metrics cannot be collected.
+/// Error of installing the metrics recorder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TelemetryError {
     reason: String,
--- a/crates/burdockroad-daemon/src/telemetry/accounts.rs
+++ b/crates/burdockroad-daemon/src/telemetry/accounts.rs
@@ -1,4 +1,4 @@
-//! What each account got lately.
+//! Service statistics of each account in the current and the previous window.
 
 use std::{cmp::Reverse, collections::HashMap, time::Duration};
 
@@ -6,43 +6,44 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::telemetry::{Measure, RefusedBecause};
+use crate::telemetry::{Measure, RefusalReason};
 
-/// Longest duration that is told apart, in milliseconds.
+/// Maximum duration that histograms distinguish, in milliseconds. Longer durations are clamped to it.
 const DURATION_MAX_MS: u64 = 3_600_000;
 
-/// Significant digits; one keeps a histogram near 1 kB, so that many thousand accounts fit.
+/// Significant digits of histograms. With one digit a histogram takes about 1 kB, so that many thousand
+/// accounts fit in memory.
 const SIGNIFICANT_DIGITS: u8 = 1;
 
-/// What one account got in this window and the one before.
+/// Service statistics of one account in the current and the previous window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AccountService {
-    /// The account.
+    /// ID of the client account.
     pub account_id: AccountId,
-    /// Programs that ended.
+    /// Number of programs that ended.
     pub programs: u64,
-    /// Median of the program latency, in milliseconds; 0 without programs.
+    /// Median program latency, in milliseconds, or 0 without programs.
     pub program_p50_ms: u64,
-    /// 99th percentile of the program latency, in milliseconds; 0 without programs.
+    /// 99th percentile of the program latency, in milliseconds, or 0 without programs.
     pub program_p99_ms: u64,
-    /// 99th percentile of the queue time, in milliseconds; 0 without calls.
+    /// 99th percentile of the queue time, in milliseconds, or 0 without calls.
     pub queue_p99_ms: u64,
-    /// Calls refused although the account was within its rate.
+    /// Number of calls refused although the account was within its rate.
     pub refused_inside_rate: u64,
-    /// Calls refused because the account was over its rate.
+    /// Number of calls refused because the account exceeded its rate.
     pub refused_over_rate: u64,
 }
 
-/// Figures of all accounts that had events in this window or the one before.
+/// Statistics of all accounts with events in the current or the previous window.
 #[derive(Debug, Default)]
 pub(super) struct AccountTable {
-    current: HashMap<AccountId, Figures>,
-    previous: HashMap<AccountId, Figures>,
+    current: HashMap<AccountId, AccountStatistics>,
+    previous: HashMap<AccountId, AccountStatistics>,
 }
 
 #[derive(Clone, Debug)]
-struct Figures {
+struct AccountStatistics {
     program_ms: Histogram<u32>,
     queue_ms: Histogram<u32>,
     refused_inside_rate: u64,
@@ -51,21 +52,21 @@
 
 impl AccountTable {
     pub(super) fn record(&mut self, account_id: &AccountId, measure: Measure, duration: Duration) {
-        let figures = self.figures(account_id);
+        let statistics = self.statistics(account_id);
         let histogram = match measure {
-            Measure::Program => &mut figures.program_ms,
-            Measure::Queue => &mut figures.queue_ms,
+            Measure::Program => &mut statistics.program_ms,
+            Measure::Queue => &mut statistics.queue_ms,
             Measure::FirstToken => return,
         };
         let ms = u64::try_from(duration.as_millis()).unwrap_or(DURATION_MAX_MS);
         histogram.saturating_record(ms);
     }
 
-    pub(super) fn refused(&mut self, account_id: &AccountId, because: RefusedBecause) {
-        let figures = self.figures(account_id);
-        match because {
-            RefusedBecause::InsideRate => figures.refused_inside_rate += 1,
-            RefusedBecause::OverRate => figures.refused_over_rate += 1,
+    pub(super) fn refused(&mut self, account_id: &AccountId, reason: RefusalReason) {
+        let statistics = self.statistics(account_id);
+        match reason {
+            RefusalReason::InsideRate => statistics.refused_inside_rate += 1,
+            RefusalReason::OverRate => statistics.refused_over_rate += 1,
         }
     }
 
@@ -80,16 +81,16 @@
             .filter(|(account_id, _)| !self.current.contains_key(*account_id));
         let all = self.current.iter().chain(only_previous);
         let mut services: Vec<AccountService> = all.map(|(account_id, _)| self.service(account_id)).collect();
-        services.sort_by(|a, b| a.badness().cmp(&b.badness()));
+        services.sort_by(|a, b| a.severity_key().cmp(&b.severity_key()));
         services.truncate(count);
         services
     }
 
     fn service(&self, account_id: &AccountId) -> AccountService {
-        let mut sum = Figures::new();
+        let mut sum = AccountStatistics::new();
         for window in [&self.current, &self.previous] {
-            if let Some(figures) = window.get(account_id) {
-                sum.add(figures);
+            if let Some(statistics) = window.get(account_id) {
+                sum.add(statistics);
             }
         }
         AccountService {
@@ -103,15 +104,15 @@
         }
     }
 
-    fn figures(&mut self, account_id: &AccountId) -> &mut Figures {
+    fn statistics(&mut self, account_id: &AccountId) -> &mut AccountStatistics {
         self.current
             .entry(account_id.clone())
-            .or_insert_with(Figures::new)
+            .or_insert_with(AccountStatistics::new)
     }
 }
 
 impl AccountService {
-    fn badness(&self) -> (Reverse<u64>, Reverse<u64>, Reverse<u64>, &str) {
+    fn severity_key(&self) -> (Reverse<u64>, Reverse<u64>, Reverse<u64>, &str) {
         (
             Reverse(self.refused_inside_rate),
             Reverse(self.program_p99_ms),
@@ -121,7 +122,7 @@
     }
 }
 
-impl Figures {
+impl AccountStatistics {
     fn new() -> Self {
         Self {
             program_ms: histogram(),
@@ -132,7 +133,7 @@
     }
 
     fn add(&mut self, other: &Self) {
-        // Both histograms have the same bounds, so that adding cannot fail.
+        // Both histograms have the same bounds, so adding cannot fail.
         let _ = self.program_ms.add(&other.program_ms);
         let _ = self.queue_ms.add(&other.queue_ms);
         self.refused_inside_rate += other.refused_inside_rate;
@@ -142,5 +143,5 @@
 
 fn histogram() -> Histogram<u32> {
     Histogram::new_with_bounds(1, DURATION_MAX_MS, SIGNIFICANT_DIGITS)
-        .expect("the bounds are constants that the library allows")
+        .expect("the constant bounds are valid for the library")
 }
--- a/crates/burdockroad-daemon/src/telemetry/labels.rs
+++ b/crates/burdockroad-daemon/src/telemetry/labels.rs
@@ -1,16 +1,16 @@
-//! Which accounts have a label of their own.
+//! Selection of the accounts with their own metrics label.
 
 use std::collections::{HashMap, HashSet};
 
 use burdockroad::AccountId;
 
-/// Label of all accounts that have none of their own.
-const OTHER: &str = "other";
+/// Label shared by all accounts without their own label.
+const OTHER_ACCOUNTS_LABEL: &str = "other";
 
-/// Label of calls without an account, on open routes.
-const NONE: &str = "none";
+/// Label of calls without an account, which occur on open routes.
+const NO_ACCOUNT_LABEL: &str = "none";
 
-/// A bounded set of account labels, given to the accounts with the most events.
+/// Bounded set of account labels, assigned to the accounts with the most events.
 ///
 /// # Example
 ///
@@ -26,25 +26,26 @@
 /// ```
 #[derive(Debug)]
 pub struct AccountLabels {
-    count_max: usize,
+    labels_max: usize,
     labelled: HashSet<AccountId>,
     events: HashMap<AccountId, u64>,
 }
 
 impl AccountLabels {
-    /// Makes a set of at most `count_max` labels, besides those for other and for no account.
-    pub fn new(count_max: usize) -> Self {
+    /// Creates a set of at most `labels_max` account labels, not counting the labels of other accounts and
+    /// of calls without an account.
+    pub fn new(labels_max: usize) -> Self {
         Self {
-            count_max,
+            labels_max,
             labelled: HashSet::new(),
             events: HashMap::new(),
         }
     }
 
-    /// Counts an event of an account, and returns the account's label.
+    /// Records an event of an account and returns the account's label.
     pub fn label(&mut self, account_id: &str) -> String {
         if account_id.is_empty() {
-            return NONE.to_owned();
+            return NO_ACCOUNT_LABEL.to_owned();
         }
         match self.events.get_mut(account_id) {
             Some(events) => *events += 1,
@@ -55,14 +56,15 @@
         if self.labelled.contains(account_id) {
             return account_id.to_owned();
         }
-        if self.labelled.len() < self.count_max {
+        if self.labelled.len() < self.labels_max {
             self.labelled.insert(account_id.to_owned());
             return account_id.to_owned();
         }
-        OTHER.to_owned()
+        OTHER_ACCOUNTS_LABEL.to_owned()
     }
 
-    /// Gives the labels to the accounts with the most events, of which older ones count less.
+    /// Reassigns the labels to the accounts with the most events. Event counts are halved at each rotation,
+    /// so that older events have less weight.
     pub fn rotate(&mut self) {
         let mut busiest: Vec<(&AccountId, u64)> = self
             .events
@@ -72,7 +74,7 @@
         busiest.sort_by_key(|&(account_id, events)| (std::cmp::Reverse(events), account_id));
         self.labelled = busiest
             .into_iter()
-            .take(self.count_max)
+            .take(self.labels_max)
             .map(|(account_id, _)| account_id.clone())
             .collect();
         self.events.retain(|_, events| {
--- a/crates/burdockroad-daemon/tests/call_order.rs
+++ b/crates/burdockroad-daemon/tests/call_order.rs
@@ -157,7 +157,7 @@
             endpoints: Arc::new(HttpEndpoints::new()),
             in_force: receiver,
             retries: Arc::new(Mutex::new(RetryBudgets::new(RetryOptions::default()))),
-            telemetry: Telemetry::unrecorded(),
+            telemetry: Telemetry::without_exporter(),
             limits: CallLimits {
                 queue_timeout: Duration::from_secs(5),
                 answer_max_bytes: 1_000_000,
