--- a/crates/burdockroad-daemon/src/config_watch/tasks.rs
+++ b/crates/burdockroad-daemon/src/config_watch/tasks.rs
@@ -55,7 +55,7 @@
     while let Some(event) = events.recv().await {
         match event {
             WatchEvent::Changed(Some(entry)) => {
-                apply_entry(shared, &entry);
+                take(shared, &entry);
             }
             WatchEvent::Changed(None) => {
                 log::error!("event=document_removed version_kept={}", shared.version());
@@ -112,7 +112,7 @@
     let Some(entry) = shared.store.get(DOCUMENT_KEY).await? else {
         return Ok(None);
     };
-    let version = apply_entry(shared, &entry);
+    let version = take(shared, &entry);
     if let Some(version) = version {
         shared.confirm(version, requested_at);
     }
@@ -123,7 +123,7 @@
 }
 
 /// Puts a stored document in force if it is newer, and returns its version.
-fn apply_entry(shared: &Shared, entry: &Entry) -> Option<DocumentVersion> {
+fn take(shared: &Shared, entry: &Entry) -> Option<DocumentVersion> {
     match VersionedDocument::from_bytes(&entry.value) {
         Ok(versioned) => {
             let version = versioned.version;
--- a/crates/burdockroad-daemon/src/coordinator/worker.rs
+++ b/crates/burdockroad-daemon/src/coordinator/worker.rs
@@ -289,8 +289,8 @@
             return;
         }
         let me = self.ownership.me().host_id;
-        let is_selected = rendezvous_order(ORPHAN_SWEEP_KEY, remaining_hosts(snapshot)).first() == Some(&me);
-        if !is_selected {
+        let first = rendezvous_order(ORPHAN_SWEEP_KEY, remaining_hosts(snapshot)).first() == Some(&me);
+        if !first {
             return;
         }
         let live: BTreeSet<Process> = snapshot
--- a/crates/burdockroad-daemon/src/daemon/observed_hosts.rs
+++ b/crates/burdockroad-daemon/src/daemon/observed_hosts.rs
@@ -32,12 +32,12 @@
         let leaving = hosts.iter().filter(|host| host.state == HostState::Leaving);
         let leaving = leaving.map(|host| host.host_id.clone()).collect();
         self.leaving
-            .send_if_modified(|published| update(published, leaving));
+            .send_if_modified(|published| replace(published, leaving));
         Ok(hosts)
     }
 }
 
-fn update(published: &mut Arc<BTreeSet<HostId>>, leaving: BTreeSet<HostId>) -> bool {
+fn replace(published: &mut Arc<BTreeSet<HostId>>, leaving: BTreeSet<HostId>) -> bool {
     let changed = **published != leaving;
     *published = Arc::new(leaving);
     changed
--- a/crates/burdockroad-daemon/src/journal/actor.rs
+++ b/crates/burdockroad-daemon/src/journal/actor.rs
@@ -163,7 +163,7 @@
         message: Self::Msg,
         state: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
-        state.apply(message);
+        state.take(message);
         state.poll(&myself);
         Ok(())
     }
@@ -182,7 +182,7 @@
 }
 
 impl JournalState {
-    fn apply(&mut self, message: JournalMessage) {
+    fn take(&mut self, message: JournalMessage) {
         let now = Instant::now();
         match message {
             JournalMessage::Append {
--- a/crates/burdockroad-daemon/src/journal/recovery.rs
+++ b/crates/burdockroad-daemon/src/journal/recovery.rs
@@ -137,8 +137,8 @@
         failed: &Process,
         number: SegmentNumber,
     ) -> Result<Option<StoredSegment>, RecoveryError> {
-        let entry = self.store.get(&keys::segment(failed, number)).await?;
-        entry.as_ref().map(decode).transpose()
+        let stored = self.store.get(&keys::segment(failed, number)).await?;
+        stored.as_ref().map(decode).transpose()
     }
 
     /// Seals the tail at this process, at the peer that was to have copies, and at all other peers that
@@ -271,8 +271,8 @@
     segment.encode().unwrap_or_default().into()
 }
 
-fn decode(entry: &Entry) -> Result<StoredSegment, RecoveryError> {
-    StoredSegment::decode(&entry.value).map_err(|cause| damaged(entry.key.clone(), &cause.to_string()))
+fn decode(stored: &Entry) -> Result<StoredSegment, RecoveryError> {
+    StoredSegment::decode(&stored.value).map_err(|cause| damaged(stored.key.clone(), &cause.to_string()))
 }
 
 fn damaged(key: String, reason: &str) -> RecoveryError {
--- a/crates/burdockroad-daemon/src/ownership/actor.rs
+++ b/crates/burdockroad-daemon/src/ownership/actor.rs
@@ -336,7 +336,7 @@
             BTreeSet::new()
         };
         let lost = self.lost(&found.map);
-        let trees = self.arguments.staging.take_trees(&found.map, &gained).await;
+        let trees = self.arguments.staging.take(&found.map, &gained).await;
         log::info!(
             "event=ownership_changed host={} version={} gained={} lost={} trees={}",
             self.arguments.me.host_id,
--- a/crates/burdockroad-daemon/src/ownership/staging.rs
+++ b/crates/burdockroad-daemon/src/ownership/staging.rs
@@ -133,7 +133,7 @@
     ///
     /// The map names this process only after a copy was confirmed as durable. A later copy of the same
     /// epoch may have replaced that copy without being confirmed yet. It has the same trees and is queued.
-    pub async fn take_trees(&self, map: &OwnershipMap, partitions: &BTreeSet<PartitionId>) -> Vec<Tree> {
+    pub async fn take(&self, map: &OwnershipMap, partitions: &BTreeSet<PartitionId>) -> Vec<Tree> {
         let mut inner = self.inner.lock().await;
         let mut trees = Vec::new();
         for partition in partitions {
--- a/crates/burdockroad-daemon/src/platform/etcd/watch.rs
+++ b/crates/burdockroad-daemon/src/platform/etcd/watch.rs
@@ -102,8 +102,8 @@
 
 fn change(event: Event) -> WatchEvent {
     let removed = event.r#type == i32::from(EventType::Delete);
-    let entry = event.kv.filter(|_| !removed);
-    WatchEvent::Changed(entry.map(requests::entry))
+    let stored = event.kv.filter(|_| !removed);
+    WatchEvent::Changed(stored.map(requests::entry))
 }
 
 async fn next(responses: &mut Streaming<WatchResponse>) -> Option<WatchResponse> {
--- a/crates/burdockroad-daemon/src/takeover.rs
+++ b/crates/burdockroad-daemon/src/takeover.rs
@@ -174,7 +174,7 @@
             summary.trees,
         );
         metrics::counter!("burdockroad_takeovers_total").increment(1);
-        self.remove_journal(failed).await;
+        self.remove(failed).await;
         Ok(summary)
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Removes a journal that is no longer needed. On failure a later orphan sweep removes it.
-    async fn remove_journal(&self, failed: &Process) {
+    async fn remove(&self, failed: &Process) {
         if let Err(cause) = self.recovery.remove(failed).await {
             log::warn!(
                 "event=journal_not_removed host={} reason=\"{cause}\"",
