--- a/crates/burdockroad-daemon/src/coordinator/journal_handle.rs
+++ b/crates/burdockroad-daemon/src/coordinator/journal_handle.rs
@@ -21,13 +21,13 @@
     ///
     /// # Errors
     ///
-    /// Fails when the journal was sealed before it was fully open.
+    /// Fails when the journal is sealed before it is fully open.
     async fn open(&self, process: Process) -> Result<Arc<dyn Journal>, JournalError>;
 }
 
 /// Handle that passes records to the journal of the current incarnation.
 ///
-/// # Use
+/// # Usage
 ///
 /// After this process is fenced, its trees are cleared *before* the next incarnation's journal is
 /// installed. Code that appends a record of a tree must therefore hold the lock that [`Trees::clear`]
@@ -39,11 +39,11 @@
 #[derive(Debug)]
 pub struct JournalHandle {
     factory: Arc<dyn JournalFactory>,
-    open: RwLock<Open>,
+    open: RwLock<OpenJournal>,
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenJournal {
     process: Process,
     journal: Arc<dyn Journal>,
 }
@@ -85,16 +85,16 @@
         process
     }
 
-    fn read<T>(&self, get: impl FnOnce(&Open) -> T) -> T {
+    fn read<T>(&self, get: impl FnOnce(&OpenJournal) -> T) -> T {
         get(&self.open.read().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-async fn open_journal(factory: &dyn JournalFactory, first: Process) -> Open {
+async fn open_journal(factory: &dyn JournalFactory, first: Process) -> OpenJournal {
     let mut process = first;
     loop {
         match factory.open(process.clone()).await {
-            Ok(journal) => return Open { process, journal },
+            Ok(journal) => return OpenJournal { process, journal },
             Err(cause) => log::warn!("event=journal_not_opened reason=\"{cause}\""),
         }
         tokio::time::sleep(REOPEN_BACKOFF).await;
--- a/crates/burdockroad-daemon/src/coordinator/orphaned_journals.rs
+++ b/crates/burdockroad-daemon/src/coordinator/orphaned_journals.rs
@@ -1,4 +1,4 @@
-//! Removal of journals whose writers are dead and own no partitions.
+//! Removal of journals whose writers own no partitions and are not live.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,8 @@
 /// journal is removed.
 const ORPHANED_AGE: Duration = Duration::from_secs(30);
 
-/// Journals of processes that own no partitions and are not live, with the time since each is tracked.
+/// Orphaned journals, whose writers own no partitions and are not live, with the time at which each was
+/// first observed.
 #[derive(Debug, Default)]
 pub(super) struct OrphanedJournals {
     orphaned_since: BTreeMap<Process, Instant>,
--- a/crates/burdockroad-daemon/src/coordinator/worker.rs
+++ b/crates/burdockroad-daemon/src/coordinator/worker.rs
@@ -46,8 +46,8 @@
 /// Minimum time between the starts of two rebalancing attempts.
 const REBALANCE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Timeout of the handoffs of one rebalancing attempt, including the wait for running calls.
-const REBALANCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time that one rebalancing attempt waits for running calls.
+const REBALANCE_DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Maximum number of partitions in one handoff.
 const HANDOFF_PARTITIONS_MAX: usize = 32;
@@ -191,7 +191,7 @@
         self.observe_hosts(snapshot, now);
         self.refresh_map(snapshot, now);
         self.start_takeovers(snapshot, now);
-        self.start_move(snapshot, now);
+        self.start_rebalance(snapshot, now);
         self.start_sweep(snapshot, now);
     }
 
@@ -220,10 +220,10 @@
     }
 
     fn start_takeovers(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
-        let failed: BTreeSet<&Process> = snapshot.gone.iter().map(|gone| &gone.process).collect();
+        let failed: BTreeSet<&Process> = snapshot.failed.iter().map(|failed| &failed.process).collect();
         self.takeovers
             .retain(|process, task| failed.contains(process) || task.is_running());
-        for Gone { process, .. } in &snapshot.gone {
+        for Gone { process, .. } in &snapshot.failed {
             let delay = self.takeover_delay(process, snapshot);
             let task = self
                 .takeovers
@@ -246,10 +246,10 @@
         TAKEOVER_RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
-    fn start_move(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
+    fn start_rebalance(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
         let hosts_settled = now - self.hosts_changed_at >= REBALANCE_SETTLE_TIME;
         let takeover_running = self.takeovers.values().any(RepeatedTask::is_running);
-        if !hosts_settled || takeover_running || !snapshot.gone.is_empty() {
+        if !hosts_settled || takeover_running || !snapshot.failed.is_empty() {
             return;
         }
         if !self.rebalance.is_due(now, REBALANCE_RETRY_DELAY) {
@@ -258,8 +258,10 @@
         let groups = self.planned_moves(snapshot);
         if !groups.is_empty() {
             let (handoff, membership) = (self.handoff.clone(), self.membership.clone());
-            self.rebalance
-                .start(now, move_groups(handoff, membership, groups, REBALANCE_TIMEOUT));
+            self.rebalance.start(
+                now,
+                move_groups(handoff, membership, groups, REBALANCE_DRAIN_TIMEOUT),
+            );
         }
     }
 
--- a/crates/burdockroad-daemon/src/daemon/journals.rs
+++ b/crates/burdockroad-daemon/src/daemon/journals.rs
@@ -12,7 +12,7 @@
 use crate::{
     coordinator::JournalFactory,
     journal::{
-        Journal, JournalError, JournalParts, Recovered, RecoveredTail, Recovery,
+        Journal, JournalError, JournalParts, RecoveredJournal, RecoveredTail, Recovery,
         RecoveryError as StoredError, StoreJournal, StoreRecovery, TailStore, Trees, writer_options,
     },
     ownership::PeersReceiver,
@@ -101,7 +101,7 @@
 }
 
 impl RetryingRecovery {
-    async fn seal_and_read_with_retries(&self, failed: &Process) -> Result<Recovered, StoredError> {
+    async fn seal_and_read_with_retries(&self, failed: &Process) -> Result<RecoveredJournal, StoredError> {
         let deadline = Instant::now() + TAIL_TIMEOUT;
         loop {
             let recovered = self.recovery.seal_and_read(failed).await?;
--- a/crates/burdockroad-daemon/src/daemon/observed_hosts.rs
+++ b/crates/burdockroad-daemon/src/daemon/observed_hosts.rs
@@ -1,4 +1,5 @@
-//! Wrapper of the platform's host list that publishes the leaving hosts.
+//! Wrapper of the platform's host list that publishes the leaving hosts, so that one read of the list
+//! serves all of its users.
 
 use std::{collections::BTreeSet, sync::Arc};
 
--- a/crates/burdockroad-daemon/src/handoff.rs
+++ b/crates/burdockroad-daemon/src/handoff.rs
@@ -52,7 +52,7 @@
 /// Handoff of partitions from this process to another.
 #[derive(Clone, Debug)]
 pub struct Handoff {
-    /// The ownership map.
+    /// Handle of the ownership map.
     pub ownership: OwnershipHandle,
     /// Source of the attempt numbers of copies.
     pub staging: Arc<Staging>,
@@ -221,7 +221,7 @@
 /// Handler that stages trees received from peers.
 #[derive(Clone, Debug)]
 pub struct StagingAdopter {
-    /// The ownership map.
+    /// Handle of the ownership map.
     pub ownership: OwnershipHandle,
     /// Staging area in which the received trees are made durable.
     pub staging: Arc<Staging>,
--- a/crates/burdockroad-daemon/src/journal.rs
+++ b/crates/burdockroad-daemon/src/journal.rs
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// Fails when the key-value service is unreachable or a segment is damaged.
-    async fn seal_and_read(&self, failed: &Process) -> Result<Recovered, RecoveryError>;
+    async fn seal_and_read(&self, failed: &Process) -> Result<RecoveredJournal, RecoveryError>;
 
     /// Removes a sealed journal, once another journal contains all of its records that are still needed.
     ///
@@ -78,7 +78,7 @@
 
 /// Records recovered from a sealed journal.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Recovered {
+pub struct RecoveredJournal {
     /// Records in order, for replay.
     pub records: Vec<Record>,
     /// Number of trailing records that only a peer had.
--- a/crates/burdockroad-daemon/src/journal/actor.rs
+++ b/crates/burdockroad-daemon/src/journal/actor.rs
@@ -47,7 +47,7 @@
         records: Vec<Record>,
         durability: Durability,
         reply: oneshot::Sender<Result<(), JournalError>>,
-        at: Instant,
+        appended_at: Instant,
     },
     /// Sets the trees that write snapshots on request.
     SetTrees(Weak<dyn Trees>),
@@ -112,13 +112,13 @@
 #[derive(Debug)]
 struct PendingAppend {
     reply: oneshot::Sender<Result<(), JournalError>>,
-    at: Instant,
+    appended_at: Instant,
     durability: Durability,
 }
 
 #[derive(Debug)]
 struct Timer {
-    at: Instant,
+    fires_at: Instant,
     task: JoinHandle<()>,
 }
 
@@ -182,6 +182,7 @@
 }
 
 impl JournalState {
+    /// Applies a message to the writer and to the state of the actor.
     fn take(&mut self, message: JournalMessage) {
         let now = Instant::now();
         match message {
@@ -189,12 +190,12 @@
                 records,
                 durability,
                 reply,
-                at,
+                appended_at,
             } => {
                 self.last_ticket += 1;
                 let pending = PendingAppend {
                     reply,
-                    at,
+                    appended_at,
                     durability,
                 };
                 self.pending.insert(self.last_ticket, pending);
@@ -277,7 +278,7 @@
             Durability::Replicated => "replicated",
             Durability::Stored => "stored",
         };
-        let seconds = pending.at.elapsed().as_secs_f64();
+        let seconds = pending.appended_at.elapsed().as_secs_f64();
         metrics::histogram!("burdockroad_journal_append_seconds", "durability" => durability).record(seconds);
         // The caller may have given up. The records stay queued in any case.
         let _sent = pending.reply.send(result);
@@ -337,10 +338,14 @@
     /// Ensures that a timer polls the actor no later than the writer's next poll time. A timer that is
     /// due earlier is kept.
     fn set_timer(&mut self, myself: &ActorRef<JournalMessage>, now: Instant) {
-        let Some(at) = self.writer.next_poll(now) else {
+        let Some(fires_at) = self.writer.next_poll(now) else {
             return;
         };
-        if self.timer.as_ref().is_some_and(|timer| timer.at <= at) {
+        if self
+            .timer
+            .as_ref()
+            .is_some_and(|timer| timer.fires_at <= fires_at)
+        {
             return;
         }
         if let Some(timer) = self.timer.take() {
@@ -348,10 +353,10 @@
         }
         let myself = myself.clone();
         let task = tokio::spawn(async move {
-            sleep_until(at.into()).await;
+            sleep_until(fires_at.into()).await;
             let _cast = myself.cast(JournalMessage::Poll);
         });
-        self.timer = Some(Timer { at, task });
+        self.timer = Some(Timer { fires_at, task });
     }
 }
 
--- a/crates/burdockroad-daemon/src/journal/recovery.rs
+++ b/crates/burdockroad-daemon/src/journal/recovery.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     journal::{
-        Recovered, RecoveredTail, Recovery, RecoveryError, TailStore, keys,
+        RecoveredJournal, RecoveredTail, Recovery, RecoveryError, TailStore, keys,
         tail::{host_ref, process_of},
     },
     ownership::{PeerView, PeersReceiver, Process},
@@ -188,9 +188,9 @@
 
 #[async_trait]
 impl Recovery for StoreRecovery {
-    async fn seal_and_read(&self, failed: &Process) -> Result<Recovered, RecoveryError> {
+    async fn seal_and_read(&self, failed: &Process) -> Result<RecoveredJournal, RecoveryError> {
         let Some(seal) = self.seal(failed).await? else {
-            return Ok(Recovered {
+            return Ok(RecoveredJournal {
                 records: Vec::new(),
                 tail_count: 0,
                 tail: RecoveredTail::NotKept,
@@ -210,7 +210,7 @@
             joined.tail_count,
             tails.outcome
         );
-        Ok(Recovered {
+        Ok(RecoveredJournal {
             tail_count: joined.tail_count,
             records: joined.records,
             tail: tails.outcome,
--- a/crates/burdockroad-daemon/src/journal/store_journal.rs
+++ b/crates/burdockroad-daemon/src/journal/store_journal.rs
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the journal is sealed before it was fully open. Waits while the store is unavailable.
+    /// Fails when the journal is sealed before it is fully open. Waits while the store is unavailable.
     pub async fn open(parts: JournalParts) -> Result<Self, JournalError> {
         let me = parts.options.me.clone();
         let (admission, admission_receiver) = watch::channel(Admission::default());
@@ -155,7 +155,7 @@
             records,
             durability,
             reply,
-            at: Instant::now(),
+            appended_at: Instant::now(),
         };
         // If the actor has stopped, the reply sender is dropped, and the caller's receiver reports it.
         let _cast = self.actor.cast(message);
--- a/crates/burdockroad-daemon/src/membership/actor.rs
+++ b/crates/burdockroad-daemon/src/membership/actor.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipSnapshot {
     /// Removed or unresponsive processes that own partitions and may be taken over.
-    pub gone: Vec<Gone>,
+    pub failed: Vec<Gone>,
     /// This process and those whose last report is within the suspicion time.
     pub live: Vec<Member>,
     /// Whether the host list was read and every host on it is live.
@@ -84,11 +84,11 @@
         lease: Arc<Lease>,
     ) -> Result<Self, ractor::SpawnErr> {
         let peers = peers_sender.subscribe();
-        let (standing_sender, snapshot) = watch::channel(Arc::default());
+        let (snapshot_sender, snapshot) = watch::channel(Arc::default());
         let interval = arguments.options.heartbeat_interval;
         let outputs = Outputs {
             peers: peers_sender,
-            snapshot: standing_sender,
+            snapshot: snapshot_sender,
             lease,
         };
         let (actor, _joined) = Actor::spawn(None, MembershipActor, (arguments, outputs)).await?;
@@ -399,7 +399,7 @@
         live.push(self.table.me().clone());
         self.publish_peers(members);
         self.outputs.snapshot.send_replace(Arc::new(MembershipSnapshot {
-            gone: self.table.gone(now),
+            failed: self.table.gone(now),
             live,
             complete: self.host_list_read && self.table.hears_all_listed(now),
             ownership_version: self.ownership_version,
--- a/crates/burdockroad-daemon/src/membership/lease.rs
+++ b/crates/burdockroad-daemon/src/membership/lease.rs
@@ -24,8 +24,10 @@
 }
 
 impl Lease {
-    /// Sets the expiry of the lease. `Ok(None)` is a lease that never expires, for a process that no other
-    /// could replace.
+    /// Sets the expiry of the lease.
+    ///
+    /// `Ok(None)` is a lease that never expires, for a process that no other process could replace. An
+    /// error means that there is no lease, because too few hosts responded.
     pub fn set(&self, expires_at: Result<Option<Instant>, TooFewAnswers>) {
         *self.expires_at.lock().unwrap_or_else(PoisonError::into_inner) = expires_at;
     }
--- a/crates/burdockroad-daemon/src/ownership.rs
+++ b/crates/burdockroad-daemon/src/ownership.rs
@@ -51,7 +51,7 @@
 pub struct PeerView {
     /// The peer's process.
     pub process: Process,
-    /// Address for requests from peers.
+    /// Address on which the peer serves other daemons.
     pub address: String,
     /// Failure domain of the peer.
     pub failure_domain: String,
--- a/crates/burdockroad-daemon/src/ownership/actor.rs
+++ b/crates/burdockroad-daemon/src/ownership/actor.rs
@@ -130,8 +130,9 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`ChangeError::Conflict`] when the map was not at `base_version` or has been changed by
-    /// another process, whose newer map is then accepted. After any other error nothing has changed.
+    /// Fails with [`ChangeError::Conflict`] when the plan does not match the current map, or when another
+    /// process changed the map first. In the latter case the newer map is accepted. After any error the
+    /// moves have not been applied.
     pub async fn change(
         &self,
         planner: Process,
@@ -401,12 +402,12 @@
                 ..OwnershipView::default()
             },
         };
-        metrics::gauge!("burdockroad_partitions_owned").set(f64_of(view.own_partitions().len()));
+        metrics::gauge!("burdockroad_partitions_owned").set(gauge_value(view.own_partitions().len()));
         self.view.send_replace(Arc::new(view));
     }
 }
 
 /// Converts a count to a metric value, exactly for any number of partitions.
-fn f64_of(count: usize) -> f64 {
+fn gauge_value(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
--- a/crates/burdockroad-daemon/src/ownership/store.rs
+++ b/crates/burdockroad-daemon/src/ownership/store.rs
@@ -90,10 +90,10 @@
 
     /// Writes the map if the key is still as expected. Returns only once the outcome is certain.
     ///
-    /// A write whose response was lost may still be in flight, so reading the key back is not enough: the
-    /// old value could be read and then replaced. The same write is repeated until it succeeds or
-    /// conflicts. In both cases the revision has changed, so an earlier attempt can no longer succeed. The
-    /// change ID in the conflicting map shows whether one of the attempts wrote it.
+    /// A write whose response was lost may still be in flight. Reading the key back is not enough, because
+    /// the write could still replace the old value after it was read. The same write is repeated until it
+    /// succeeds or conflicts. In both cases the revision has changed, so an earlier attempt can no longer
+    /// succeed. The change ID in the conflicting map shows whether one of the attempts wrote it.
     ///
     /// # Errors
     ///
--- a/crates/burdockroad-daemon/src/settings/read.rs
+++ b/crates/burdockroad-daemon/src/settings/read.rs
@@ -14,11 +14,11 @@
 
 const STORE_ADDRESSES_MAX: usize = 16;
 const HOSTS_MAX: usize = 10_000;
-const BODY_BYTES: RangeInclusive<u64> = 1_024..=64 * 1024 * 1024;
-const HEAD_BYTES: RangeInclusive<u64> = 8_192..=1024 * 1024;
-const CONNECTIONS: RangeInclusive<u64> = 1..=1_000_000;
-const TIMEOUT_S: RangeInclusive<u64> = 1..=24 * 3_600;
-const LOG_LEVELS: [(&str, &str); 5] = [
+const BODY_BYTES_RANGE: RangeInclusive<u64> = 1_024..=64 * 1024 * 1024;
+const HEAD_BYTES_RANGE: RangeInclusive<u64> = 8_192..=1024 * 1024;
+const CONNECTIONS_RANGE: RangeInclusive<u64> = 1..=1_000_000;
+const TIMEOUT_S_RANGE: RangeInclusive<u64> = 1..=24 * 3_600;
+const LOG_LEVEL_NAMES: [(&str, &str); 5] = [
     ("error", "error"),
     ("warn", "warn"),
     ("info", "info"),
@@ -54,7 +54,7 @@
     let log_level = fields
         .optional("log_level")
         .map_or(Some(default_log_level()), |node| {
-            reader.choice(&node, &LOG_LEVELS).map(str::to_owned)
+            reader.choice(&node, &LOG_LEVEL_NAMES).map(str::to_owned)
         });
     let log_file = fields
         .optional("log_file")
@@ -180,14 +180,18 @@
             .optional(name)
             .map_or(Some(default), |node| reader.integer(&node, range))
     };
-    let body_max_bytes = number("body_max_bytes", BODY_BYTES, widen(default.body_max_bytes));
-    let head_max_bytes = number("head_max_bytes", HEAD_BYTES, widen(default.head_max_bytes));
-    let connections_max = number("connections_max", CONNECTIONS, widen(default.connections_max));
-    let head_timeout_s = number("head_timeout_s", TIMEOUT_S, default.head_timeout_s);
-    let body_timeout_s = number("body_timeout_s", TIMEOUT_S, default.body_timeout_s);
-    let call_timeout_s = number("call_timeout_s", TIMEOUT_S, default.call_timeout_s);
-    let queue_timeout_s = number("queue_timeout_s", TIMEOUT_S, default.queue_timeout_s);
-    let shutdown_timeout_s = number("shutdown_timeout_s", TIMEOUT_S, default.shutdown_timeout_s);
+    let body_max_bytes = number("body_max_bytes", BODY_BYTES_RANGE, widen(default.body_max_bytes));
+    let head_max_bytes = number("head_max_bytes", HEAD_BYTES_RANGE, widen(default.head_max_bytes));
+    let connections_max = number(
+        "connections_max",
+        CONNECTIONS_RANGE,
+        widen(default.connections_max),
+    );
+    let head_timeout_s = number("head_timeout_s", TIMEOUT_S_RANGE, default.head_timeout_s);
+    let body_timeout_s = number("body_timeout_s", TIMEOUT_S_RANGE, default.body_timeout_s);
+    let call_timeout_s = number("call_timeout_s", TIMEOUT_S_RANGE, default.call_timeout_s);
+    let queue_timeout_s = number("queue_timeout_s", TIMEOUT_S_RANGE, default.queue_timeout_s);
+    let shutdown_timeout_s = number("shutdown_timeout_s", TIMEOUT_S_RANGE, default.shutdown_timeout_s);
     fields.close(reader);
     Some(LimitSettings {
         body_max_bytes: usize::try_from(body_max_bytes?).ok()?,
--- a/crates/burdockroad-daemon/src/takeover.rs
+++ b/crates/burdockroad-daemon/src/takeover.rs
@@ -33,7 +33,7 @@
 /// Takeover of the partitions of failed processes.
 #[derive(Clone, Debug)]
 pub struct Takeover {
-    /// The ownership map.
+    /// Handle of the ownership map.
     pub ownership: OwnershipHandle,
     /// Staging area in which the copied trees are made durable.
     pub staging: Arc<Staging>,
