--- a/crates/burdockroad-daemon/src/peer/clients.rs
+++ b/crates/burdockroad-daemon/src/peer/clients.rs
@@ -11,8 +11,8 @@
 /// Time without a frame after which a connection in use is probed with a ping.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Timeout of a ping, after which the connection is reestablished. After a network partition ends, TCP
-/// alone may take as long again as the partition lasted to recover.
+/// Timeout of a ping, after which the connection is reestablished. Without it, TCP may take as long to
+/// recover from a network partition as the partition lasted.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Maximum size of a message between peers, in bytes.
--- a/crates/burdockroad-daemon/src/peer/server.rs
+++ b/crates/burdockroad-daemon/src/peer/server.rs
@@ -165,7 +165,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the listener fails.
+/// Fails when connections cannot be accepted on the listener.
 pub async fn serve(
     listener: TcpListener,
     handlers: PeerHandlers,
