--- a/crates/burdockroad-daemon/src/platform.rs
+++ b/crates/burdockroad-daemon/src/platform.rs
@@ -90,14 +90,14 @@
     ///
     /// # Errors
     ///
-    /// Fails when the service does not respond within [`CALL_TIMEOUT`].
+    /// Fails when the service is unreachable or does not respond within [`CALL_TIMEOUT`].
     async fn get(&self, key: &str) -> Result<Option<Entry>, StoreError>;
 
     /// Reads all keys that start with `prefix`, sorted by key.
     ///
     /// # Errors
     ///
-    /// Fails when the service does not respond within [`CALL_TIMEOUT`].
+    /// Fails when the service is unreachable or does not respond within [`CALL_TIMEOUT`].
     async fn list(&self, prefix: &str, listing: Listing) -> Result<Vec<Entry>, StoreError>;
 
     /// Writes one key if it is still as expected.
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the service does not respond within [`CALL_TIMEOUT`].
+    /// Fails when the service is unreachable or does not respond within [`CALL_TIMEOUT`].
     async fn watch(&self, key: &str) -> Result<mpsc::Receiver<WatchEvent>, StoreError>;
 }
 
