--- a/crates/burdockroad-daemon/src/journal/recovery.rs
+++ b/crates/burdockroad-daemon/src/journal/recovery.rs
@@ -246,7 +246,7 @@
     }
 
     async fn journals(&self) -> Result<Vec<Process>, RecoveryError> {
-        let listed = self.store.list(keys::JOURNALS_PREFIX, Listing::Keys).await?;
+        let listed = self.store.list(keys::JOURNALS, Listing::Keys).await?;
         let mut writers: Vec<_> = listed
             .iter()
             .filter_map(|entry| keys::parse(&entry.key))
