--- a/crates/burdockroad-daemon/src/calls.rs
+++ b/crates/burdockroad-daemon/src/calls.rs
@@ -129,7 +129,7 @@
     }
 
     /// Tokens that a completion may have generated at most; 0 for a service.
-    fn wanted_tokens(&self, work: &Work) -> u64 {
+    fn max_tokens(&self, work: &Work) -> u64 {
         match work {
             Work::Completion(request) => request.max_tokens.unwrap_or_else(|| self.default_max_tokens()),
             Work::Service(_) => 0,
@@ -161,20 +161,20 @@
     }
 
     /// Pays a call into its account's budget of retries.
-    fn note_call(&self, plan: &Plan) {
+    fn record_call(&self, plan: &Plan) {
         let mut retries = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
-        retries.note_call(&plan.caller.account_id, &plan.route_id);
+        retries.record_call(&plan.caller.account_id, &plan.route_id);
     }
 
     /// Draws a retry for a call that was tried some times, and returns how long to wait before it.
     fn draw_retry(&self, plan: &Plan, tried: &[EndpointId]) -> Option<Duration> {
         let attempts = u32::try_from(tried.len()).unwrap_or(u32::MAX);
         let mut retries = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
-        if !retries.draw(&plan.caller.account_id, &plan.route_id, attempts) {
+        if !retries.withdraw(&plan.caller.account_id, &plan.route_id, attempts) {
             return None;
         }
         metrics::counter!("burdockroad_retries_total").increment(1);
-        Some(retries.back_off(attempts, &mut rand::rng()))
+        Some(retries.backoff(attempts, &mut rand::rng()))
     }
 
     /// Endpoints that another try should leave out: those tried before, as long as others are left.
--- a/crates/burdockroad-daemon/src/calls/attempt.rs
+++ b/crates/burdockroad-daemon/src/calls/attempt.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use burdockroad::{ProgramId, program::Answer};
+use burdockroad::{ProgramId, program::CallResponse};
 use bytes::Bytes;
 use eventsource_stream::Eventsource;
 use futures_util::{Stream, StreamExt, pin_mut};
@@ -70,7 +70,7 @@
 /// A whole answer, of which the end has not been passed on yet.
 #[derive(Debug)]
 pub(super) struct Whole {
-    pub(super) answer: Answer,
+    pub(super) answer: CallResponse,
     /// What is still to be passed on, before the end.
     pub(super) rest: Vec<Frame>,
 }
@@ -122,7 +122,7 @@
             .headers
             .get(header::CONTENT_TYPE)
             .and_then(|value| value.to_str().ok());
-        let recorded = Answer {
+        let recorded = CallResponse {
             status: head.status,
             content_type: content_type.unwrap_or_default().to_owned(),
             body: body.to_vec(),
--- a/crates/burdockroad-daemon/src/calls/completion.rs
+++ b/crates/burdockroad-daemon/src/calls/completion.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use burdockroad::program::Answer;
+use burdockroad::program::CallResponse;
 use bytes::Bytes;
 use serde::Deserialize;
 use serde_json::{Map, Value, json, value::RawValue};
@@ -296,7 +296,7 @@
     }
 
     /// The answer to be recorded: the body without its message, and the message.
-    pub fn answer(&self) -> Answer {
+    pub fn answer(&self) -> CallResponse {
         let usage = self.usage.unwrap_or_default();
         let body = json!({
             "id": self.id,
@@ -306,7 +306,7 @@
             "choices": [{ "index": 0, "finish_reason": self.finish_reason }],
             "usage": usage_json(usage),
         });
-        Answer {
+        CallResponse {
             status: 200,
             content_type: JSON_CONTENT_TYPE.to_owned(),
             body: body.to_string().into_bytes(),
@@ -363,7 +363,7 @@
 }
 
 /// The whole `chat.completion` object of a recorded answer.
-pub fn whole_body(answer: &Answer) -> Bytes {
+pub fn whole_body(answer: &CallResponse) -> Bytes {
     let parsed: Result<Value, _> = serde_json::from_slice(&answer.body);
     let message = answer
         .message
@@ -379,7 +379,7 @@
 }
 
 /// The events of a recorded answer, for a caller that asked for a stream.
-pub fn stream_body(answer: &Answer, include_usage: bool) -> Bytes {
+pub fn stream_body(answer: &CallResponse, include_usage: bool) -> Bytes {
     let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let mut delta: Value = answer
         .message
--- a/crates/burdockroad-daemon/src/calls/program_call.rs
+++ b/crates/burdockroad-daemon/src/calls/program_call.rs
@@ -5,7 +5,7 @@
 
 use burdockroad::{
     CallNumber, ProgramId,
-    program::{Answer, CallKind, CallRequest, Outcome, Placement, Usage},
+    program::{CallResponse, CallKind, CallRequest, Outcome, Placement, Usage},
 };
 use bytes::Bytes;
 use tokio::time::Instant;
@@ -50,7 +50,7 @@
     log: Arc<AnswerLog>,
     usage: Usage,
     prefix_endpoint_id: Option<String>,
-    latest: Instant,
+    slot_deadline: Instant,
     /// Endpoints that the call was sent to, or was about to be.
     tried: Vec<String>,
 }
@@ -72,7 +72,7 @@
                 prefix_endpoint_id,
             } => {
                 let reader = call.log.reader();
-                let latest = self.latest_start(&plan);
+                let slot_deadline = self.latest_start(&plan);
                 let log = Arc::clone(&call.log);
                 let tried = Vec::new();
                 let started = ProgramCall {
@@ -81,7 +81,7 @@
                     log,
                     usage,
                     prefix_endpoint_id,
-                    latest,
+                    slot_deadline,
                     tried,
                 };
                 let runner = self.clone();
@@ -95,7 +95,7 @@
     async fn run_program_call(&self, mut call: ProgramCall, running: RunningCall) {
         let RunningCall { mut stop, .. } = running;
         let mut quota_paid = false;
-        self.note_call(&call.plan);
+        self.record_call(&call.plan);
         loop {
             let outcome = self.try_program_call(&mut call, &mut stop, &mut quota_paid).await;
             match outcome {
@@ -137,7 +137,7 @@
         let placement = Placement {
             pool_id: slot.pool_id.clone(),
             endpoint_id: slot.endpoint_id.clone(),
-            wanted_tokens: self.wanted_tokens(&call.plan.work),
+            max_tokens: self.max_tokens(&call.plan.work),
         };
         let sent = self
             .programs
@@ -192,7 +192,7 @@
     ) -> Result<Slot, Problem> {
         let account_id = &call.plan.caller.account_id;
         if !*quota_paid && !account_id.is_empty() {
-            self.quota.admit(account_id, call.latest).await?;
+            self.quota.admit(account_id, call.slot_deadline).await?;
             *quota_paid = true;
         }
         let request = self.slot_request(call);
@@ -276,11 +276,11 @@
             program_id: Some(call.position.program_id.clone()),
             call_number: call.position.number,
             prompt_tokens: prompt_tokens(&call.plan.work, call.usage.history_bytes),
-            max_output_tokens: self.wanted_tokens(&call.plan.work),
+            max_output_tokens: self.max_tokens(&call.plan.work),
             attained_tokens: call.usage.attained_tokens,
             prefix_endpoint_id: call.prefix_endpoint_id.clone(),
             excluded: self.excluded(&call.plan, &call.tried),
-            latest: call.latest,
+            slot_deadline: call.slot_deadline,
         }
     }
 }
@@ -295,7 +295,7 @@
 /// Whether a failed pass is followed by another.
 fn retry(call: &ProgramCall, failure: Failure, progress: Progress) -> Retry {
     let again = progress == Progress::Sent
-        && Instant::now() < call.latest
+        && Instant::now() < call.slot_deadline
         && may_repeat(&call.plan, &failure, &call.log);
     if again {
         Retry::Elsewhere(failure.problem)
@@ -372,7 +372,7 @@
 }
 
 /// A recorded answer in the form that the caller asks for.
-fn repeat(plan: &Plan, answer: &Answer) -> Arc<AnswerLog> {
+fn repeat(plan: &Plan, answer: &CallResponse) -> Arc<AnswerLog> {
     let Work::Completion(request) = &plan.work else {
         let head = Head::new(answer.status, &answer.content_type);
         return AnswerLog::whole(head, Bytes::from(answer.body.clone()));
--- a/crates/burdockroad-daemon/src/calls/single_call.rs
+++ b/crates/burdockroad-daemon/src/calls/single_call.rs
@@ -40,17 +40,17 @@
     }
 
     async fn try_single(&self, plan: &Plan, log: &Arc<AnswerLog>) -> Result<(), Problem> {
-        let latest = self.latest_start(plan);
+        let slot_deadline = self.latest_start(plan);
         let queued = clock();
         if !plan.caller.account_id.is_empty() {
-            self.quota.admit(&plan.caller.account_id, latest).await?;
+            self.quota.admit(&plan.caller.account_id, slot_deadline).await?;
         }
-        self.note_call(plan);
+        self.record_call(plan);
         let mut tried = Vec::new();
         loop {
             let slot = self
                 .dispatcher
-                .acquire(self.single_slot(plan, self.excluded(plan, &tried), latest))
+                .acquire(self.single_slot(plan, self.excluded(plan, &tried), slot_deadline))
                 .await?;
             if !self.key_works(&plan.caller) {
                 self.dispatcher
@@ -95,7 +95,7 @@
             slot,
             program_id: None,
             prompt,
-            max_tokens: self.wanted_tokens(&plan.work),
+            max_tokens: self.max_tokens(&plan.work),
             attained_tokens: 0,
             log,
         };
@@ -109,18 +109,18 @@
         Ok(())
     }
 
-    fn single_slot(&self, plan: &Plan, excluded: Vec<String>, latest: tokio::time::Instant) -> SlotRequest {
+    fn single_slot(&self, plan: &Plan, excluded: Vec<String>, slot_deadline: tokio::time::Instant) -> SlotRequest {
         SlotRequest {
             pool_ids: plan.pool_ids.clone(),
             account_id: plan.caller.account_id.clone(),
             program_id: None,
             call_number: 1,
             prompt_tokens: prompt_tokens(&plan.work, 0),
-            max_output_tokens: self.wanted_tokens(&plan.work),
+            max_output_tokens: self.max_tokens(&plan.work),
             attained_tokens: 0,
             prefix_endpoint_id: None,
             excluded,
-            latest,
+            slot_deadline,
         }
     }
 }
--- a/crates/burdockroad-daemon/src/config_watch/shared.rs
+++ b/crates/burdockroad-daemon/src/config_watch/shared.rs
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn attestation_age(&self) -> Option<Duration> {
-        self.tracker().vouch_age(Instant::now())
+        self.tracker().attestation_age(Instant::now())
     }
 
     pub(super) fn decide(&self) -> Freshness {
@@ -111,7 +111,7 @@
 impl DocumentGossip for Shared {
     fn document_freshness(&self) -> DocumentFreshness {
         let tracker = self.tracker();
-        let age = tracker.vouch_age(Instant::now());
+        let age = tracker.attestation_age(Instant::now());
         DocumentFreshness {
             version: tracker.version(),
             vouch_age_ms: age.map(rounded_up_ms),
--- a/crates/burdockroad-daemon/src/coordinator/worker.rs
+++ b/crates/burdockroad-daemon/src/coordinator/worker.rs
@@ -8,7 +8,7 @@
 
 use burdockroad::{
     HostId, PartitionId,
-    membership::{Gone, Member},
+    membership::{DeadProcess, Member},
     ownership::{Candidate, Process, rebalance, rendezvous_order, takeover_rank},
 };
 use tokio::{
@@ -223,7 +223,7 @@
         let failed: BTreeSet<&Process> = snapshot.failed.iter().map(|failed| &failed.process).collect();
         self.takeovers
             .retain(|process, task| failed.contains(process) || task.is_running());
-        for Gone { process, .. } in &snapshot.failed {
+        for DeadProcess { process, .. } in &snapshot.failed {
             let delay = self.takeover_delay(process, snapshot);
             let task = self
                 .takeovers
--- a/crates/burdockroad-daemon/src/dispatch.rs
+++ b/crates/burdockroad-daemon/src/dispatch.rs
@@ -70,7 +70,7 @@
     /// Endpoints already tried for this call.
     pub excluded: Vec<EndpointId>,
     /// When the call must have a slot.
-    pub latest: Instant,
+    pub slot_deadline: Instant,
 }
 
 /// A slot at an endpoint.
--- a/crates/burdockroad-daemon/src/dispatch/dispatcher.rs
+++ b/crates/burdockroad-daemon/src/dispatch/dispatcher.rs
@@ -203,7 +203,7 @@
         let answer = tokio::select! {
             answer = client.acquire_slot(message) => answer,
             () = self.gone(owner) => return Acquired::NotOwner,
-            () = tokio::time::sleep_until(request.latest + ANSWER_GRACE) => return Acquired::NotOwner,
+            () = tokio::time::sleep_until(request.slot_deadline + ANSWER_GRACE) => return Acquired::NotOwner,
         };
         let Ok(answer) = answer else {
             return Acquired::NotOwner;
--- a/crates/burdockroad-daemon/src/dispatch/messages.rs
+++ b/crates/burdockroad-daemon/src/dispatch/messages.rs
@@ -35,7 +35,7 @@
     request: &SlotRequest,
     request_id: RequestId,
 ) -> AcquireSlotRequest {
-    let timeout = request.latest.saturating_duration_since(Instant::now());
+    let timeout = request.slot_deadline.saturating_duration_since(Instant::now());
     AcquireSlotRequest {
         from: Some(host_ref(from)),
         pool: pool_id.to_owned(),
@@ -64,7 +64,7 @@
         attained_tokens: request.attained_tokens,
         prefix_endpoint_id: some(request.prefix_endpoint),
         excluded: request.excluded,
-        latest: Instant::now() + Duration::from_millis(request.timeout_ms),
+        slot_deadline: Instant::now() + Duration::from_millis(request.timeout_ms),
     }
 }
 
--- a/crates/burdockroad-daemon/src/dispatch/pools.rs
+++ b/crates/burdockroad-daemon/src/dispatch/pools.rs
@@ -390,7 +390,7 @@
         attained_tokens: request.attained_tokens,
         prefix_endpoint_id: request.prefix_endpoint_id,
         excluded: request.excluded,
-        latest: request.latest.into_std(),
+        slot_deadline: request.slot_deadline.into_std(),
     }
 }
 
--- a/crates/burdockroad-daemon/src/journal/actor.rs
+++ b/crates/burdockroad-daemon/src/journal/actor.rs
@@ -10,7 +10,7 @@
 use burdockroad::{
     ProgramId, Record, SegmentNumber,
     journal::{
-        Action, Copies, Durability, JournalError, Peer, ReadReply, TailReply, Ticket, WriteReply, Writer,
+        Action, TailBatch, Durability, JournalError, Peer, ReadReply, TailReply, Ticket, WriteReply, Writer,
     },
 };
 use burdockroad_proto::peer::ReplicateTailRequest;
@@ -240,7 +240,7 @@
         let me = &self.parts.options.me;
         let store = Arc::clone(&self.parts.store);
         match action {
-            Action::Answer { ticket, result } => self.complete_append(ticket, result),
+            Action::Complete { ticket, result } => self.complete_append(ticket, result),
             Action::Write { segment, value } => {
                 let (me, myself) = (me.clone(), myself.clone());
                 tokio::spawn(async move {
@@ -284,7 +284,7 @@
         let _sent = pending.reply.send(result);
     }
 
-    fn replicate(&self, to: Process, copies: Copies, myself: &ActorRef<JournalMessage>) {
+    fn replicate(&self, to: Process, copies: TailBatch, myself: &ActorRef<JournalMessage>) {
         let view = Arc::clone(&self.parts.peers.borrow());
         let peer = view.peers.get(&to.host_id);
         let address = peer
@@ -396,7 +396,7 @@
     address: &str,
     me: &Process,
     to: &Process,
-    copies: Copies,
+    copies: TailBatch,
 ) -> TailReply {
     let request = ReplicateTailRequest {
         writer: Some(host_ref(me)),
--- a/crates/burdockroad-daemon/src/journal/tail.rs
+++ b/crates/burdockroad-daemon/src/journal/tail.rs
@@ -6,7 +6,7 @@
 };
 
 use async_trait::async_trait;
-use burdockroad::journal::{Copies, TailCopy, TailReply, TailTable, TailTableOptions};
+use burdockroad::journal::{TailBatch, TailCopy, TailReply, TailTable, TailTableOptions};
 use burdockroad_proto::peer::{
     HostRef, ReplicateTailRequest, ReplicateTailResponse, SealTailRequest, SealTailResponse,
 };
@@ -82,13 +82,13 @@
                 ..ReplicateTailResponse::default()
             };
         };
-        let copies = Copies {
+        let copies = TailBatch {
             session: request.session,
             position: request.position,
             records: request.records.into_iter().map(Arc::from).collect(),
             stored_end: request.stored_end,
         };
-        match state.table.keep(&process_of(writer), copies) {
+        match state.table.append_batch(&process_of(writer), copies) {
             TailReply::Held(held_end) => ReplicateTailResponse {
                 held_end,
                 ..ReplicateTailResponse::default()
--- a/crates/burdockroad-daemon/src/membership/lease.rs
+++ b/crates/burdockroad-daemon/src/membership/lease.rs
@@ -5,20 +5,20 @@
     time::Instant,
 };
 
-use burdockroad::membership::TooFewAnswers;
+use burdockroad::membership::TooFewAcknowledgements;
 
 use crate::quota::OwnerLease;
 
 /// Lease of this process, which responses to its heartbeats extend.
 #[derive(Debug)]
 pub struct Lease {
-    expires_at: Mutex<Result<Option<Instant>, TooFewAnswers>>,
+    expires_at: Mutex<Result<Option<Instant>, TooFewAcknowledgements>>,
 }
 
 impl Default for Lease {
     fn default() -> Self {
         Self {
-            expires_at: Mutex::new(Err(TooFewAnswers)),
+            expires_at: Mutex::new(Err(TooFewAcknowledgements)),
         }
     }
 }
@@ -28,7 +28,7 @@
     ///
     /// `Ok(None)` is a lease that never expires, for a process that no other process could replace. An
     /// error means that there is no lease, because too few hosts responded.
-    pub fn set(&self, expires_at: Result<Option<Instant>, TooFewAnswers>) {
+    pub fn set(&self, expires_at: Result<Option<Instant>, TooFewAcknowledgements>) {
         *self.expires_at.lock().unwrap_or_else(PoisonError::into_inner) = expires_at;
     }
 }
--- a/crates/burdockroad-daemon/src/memory.rs
+++ b/crates/burdockroad-daemon/src/memory.rs
@@ -11,7 +11,7 @@
     ProgramId,
     config::{Endpoint, RouteKind},
     partition_of_program,
-    program::Hold,
+    program::CachedPrefix,
 };
 use bytes::Bytes;
 use http::{HeaderMap, Method};
@@ -48,12 +48,12 @@
 
 #[async_trait]
 impl MemoryReleaser for EngineMemory {
-    async fn release(&self, hold: &Hold) -> bool {
-        let Some(endpoint) = self.endpoint(&hold.endpoint_id) else {
+    async fn release(&self, prefix: &CachedPrefix) -> bool {
+        let Some(endpoint) = self.endpoint(&prefix.endpoint_id) else {
             // Operators have taken the endpoint away, and its memory with it.
             return true;
         };
-        self.free(&endpoint, &hold.program_id).await
+        self.free(&endpoint, &prefix.program_id).await
     }
 }
 
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -18,8 +18,8 @@
 use burdockroad::{
     AccountId, PartitionId, ProgramId, Record,
     program::{
-        Answer, CallRequest, Hold, NewProgram, Outcome, Placement, Programs, ProgramsOptions, Refusal,
-        Sending, Tree, Usage,
+        CallResponse, CallRequest, CachedPrefix, NewProgram, Outcome, Placement, Programs, ProgramsOptions, Refusal,
+        PreparedCall, Tree, Usage,
     },
 };
 use ractor::{Actor, ActorRef, RpcReplyPort, SpawnErr, rpc::CallResult};
@@ -39,7 +39,7 @@
 #[async_trait]
 pub trait MemoryReleaser: fmt::Debug + Send + Sync {
     /// Asks an endpoint to free what it holds; true once it has, or is itself gone.
-    async fn release(&self, hold: &Hold) -> bool;
+    async fn release(&self, prefix: &CachedPrefix) -> bool;
 }
 
 /// A call that this host runs.
@@ -66,7 +66,7 @@
     /// It runs already: read its answer.
     Attach(Arc<AnswerLog>),
     /// It was answered before.
-    Answered(Answer),
+    Answered(CallResponse),
 }
 
 /// Why a program or call was not taken. Nothing ran.
@@ -116,7 +116,7 @@
     Send(
         ProgramId,
         Placement,
-        RpcReplyPort<Result<(Sending, Appended), Refusal>>,
+        RpcReplyPort<Result<(PreparedCall, Appended), Refusal>>,
     ),
     /// Record how a call ended.
     Settle(Settlement, RpcReplyPort<Option<Appended>>),
@@ -125,7 +125,7 @@
     /// End a program.
     End(AccountId, ProgramId, RpcReplyPort<Result<Appended, Refusal>>),
     /// An endpoint freed what it held.
-    Released(Hold),
+    Released(CachedPrefix),
     /// Time has passed.
     Tick,
     /// Take trees over.
@@ -262,7 +262,7 @@
         &self,
         program_id: ProgramId,
         placement: Placement,
-    ) -> Result<(Sending, Appended), Refusal> {
+    ) -> Result<(PreparedCall, Appended), Refusal> {
         let asked = self
             .ask(|port| ProgramsMessage::Send(program_id, placement, port))
             .await;
--- a/crates/burdockroad-daemon/src/programs/actor.rs
+++ b/crates/burdockroad-daemon/src/programs/actor.rs
@@ -12,8 +12,8 @@
 use burdockroad::{
     AccountId, PartitionId, ProgramId, Record, partition_of_program,
     program::{
-        Action, Begun, CallRequest, Cancelled, Hold, NewProgram, Outcome, Placement, Programs, Refusal,
-        Sending, Tree,
+        Action, CallDecision, CallRequest, CancelledCall, CachedPrefix, NewProgram, Outcome, Placement, Programs, Refusal,
+        PreparedCall, Tree,
     },
 };
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
@@ -112,7 +112,7 @@
             ProgramsMessage::End(account_id, program_id, port) => {
                 reply(port, self.end(myself, &account_id, &program_id));
             }
-            ProgramsMessage::Released(hold) => self.released(&hold),
+            ProgramsMessage::Released(prefix) => self.on_prefix_released(&prefix),
             ProgramsMessage::Tick => self.tick(myself),
             ProgramsMessage::OpenCalls(port) => reply(port, self.table.open_calls()),
             ProgramsMessage::List(port) => reply(port, self.table.trees().cloned().collect()),
@@ -135,7 +135,7 @@
             ProgramsMessage::Export(partitions, port) => reply(port, self.export(&partitions)),
             ProgramsMessage::Thaw(partitions) => self.table.thaw(&partitions),
             ProgramsMessage::Forget(partitions, port) => {
-                let records = self.table.forget(&partitions);
+                let records = self.table.remove_partitions(&partitions);
                 self.append_later(records);
                 reply(port, ());
             }
@@ -187,8 +187,8 @@
         Ok(self.perform(myself, actions))
     }
 
-    fn released(&mut self, hold: &Hold) {
-        let record = self.table.released(hold);
+    fn on_prefix_released(&mut self, prefix: &CachedPrefix) {
+        let record = self.table.on_prefix_released(prefix);
         self.append_later(record.into_iter().collect());
     }
 
@@ -220,7 +220,7 @@
             return Ok(Taken::Attach(Arc::clone(&running.log)));
         }
         match self.table.begin(request.clone(), now())? {
-            Begun::Run(usage, prefix_endpoint_id) => {
+            CallDecision::Run(usage, prefix_endpoint_id) => {
                 if let Err(error) = self.parts.journal.admit(intent_durability(request.idempotent)) {
                     self.table.withdraw(&request.program_id);
                     return Err(error.into());
@@ -232,15 +232,15 @@
                     prefix_endpoint_id,
                 })
             }
-            Begun::Attach => Err(Refusal::NotOwner.into()),
-            Begun::Answered(answer) => Ok(Taken::Answered(answer)),
+            CallDecision::Attach => Err(Refusal::NotOwner.into()),
+            CallDecision::Answered(answer) => Ok(Taken::Answered(answer)),
         }
     }
 
     fn reopen(&mut self, request: CallRequest, log: Arc<AnswerLog>) -> Option<RunningCall> {
         match self.table.begin(request.clone(), now()) {
-            Ok(Begun::Run(..)) => Some(self.open(request, log)),
-            Ok(Begun::Attach | Begun::Answered(_)) | Err(_) => None,
+            Ok(CallDecision::Run(..)) => Some(self.open(request, log)),
+            Ok(CallDecision::Attach | CallDecision::Answered(_)) | Err(_) => None,
         }
     }
 
@@ -255,9 +255,9 @@
         call
     }
 
-    fn send(&mut self, program_id: &ProgramId, placement: Placement) -> Result<(Sending, Appended), Refusal> {
-        let sending = match self.table.send(program_id, placement, now()) {
-            Ok(sending) => sending,
+    fn send(&mut self, program_id: &ProgramId, placement: Placement) -> Result<(PreparedCall, Appended), Refusal> {
+        let prepared = match self.table.send(program_id, placement, now()) {
+            Ok(prepared) => prepared,
             Err(refusal) => {
                 self.running.remove(program_id);
                 return Err(refusal);
@@ -268,8 +268,8 @@
             .get(program_id)
             .is_some_and(|running| running.request.idempotent);
         let durability = intent_durability(repeatable);
-        let appended = self.append(vec![sending.record.clone()], durability);
-        Ok((sending, appended))
+        let appended = self.append(vec![prepared.record.clone()], durability);
+        Ok((prepared, appended))
     }
 
     fn settle(&mut self, settlement: Settlement) -> Option<Appended> {
@@ -288,8 +288,8 @@
     }
 
     fn clear(&mut self) {
-        for hold in self.table.clear() {
-            self.release_once(hold);
+        for prefix in self.table.clear() {
+            self.release_once(prefix);
         }
         for (_, running) in self.running.drain() {
             running.stop.send_replace(true);
@@ -307,22 +307,22 @@
             match action {
                 Action::Append(record) => records.push(record),
                 Action::Cancel(cancelled) => self.cancel(&cancelled),
-                Action::Release(hold) => self.release(myself.clone(), hold),
+                Action::Release(prefix) => self.release(myself.clone(), prefix),
             }
         }
         self.append(records, Durability::Replicated)
     }
 
-    fn cancel(&self, cancelled: &Cancelled) {
+    fn cancel(&self, cancelled: &CancelledCall) {
         if let Some(running) = self.running.get(&cancelled.program_id) {
             running.stop.send_replace(true);
         }
     }
 
-    fn release(&self, myself: ActorRef<ProgramsMessage>, hold: Hold) {
+    fn release(&self, myself: ActorRef<ProgramsMessage>, prefix: CachedPrefix) {
         let releaser = Arc::clone(&self.parts.releaser);
         tokio::spawn(async move {
-            if releaser.release(&hold).await && myself.cast(ProgramsMessage::Released(hold)).is_err() {
+            if releaser.release(&prefix).await && myself.cast(ProgramsMessage::Released(prefix)).is_err() {
                 log::debug!("event=programs_stopped");
             }
         });
@@ -330,14 +330,14 @@
 
     /// Frees what calls of a fenced table may have caused to be held; its programs' new owner does
     /// not know of calls that left after it had replayed the journal.
-    fn release_once(&self, hold: Hold) {
+    fn release_once(&self, prefix: CachedPrefix) {
         let releaser = Arc::clone(&self.parts.releaser);
         tokio::spawn(async move {
-            if !releaser.release(&hold).await {
+            if !releaser.release(&prefix).await {
                 log::warn!(
                     "event=hold_left program={} endpoint={}",
-                    hold.program_id,
-                    hold.endpoint_id
+                    prefix.program_id,
+                    prefix.endpoint_id
                 );
             }
         });
--- a/crates/burdockroad-daemon/src/quota/asking.rs
+++ b/crates/burdockroad-daemon/src/quota/asking.rs
@@ -4,7 +4,7 @@
 
 use burdockroad::{
     AccountId,
-    quota::{Ask, Grant},
+    quota::{TokenRequest, Grant},
 };
 use burdockroad_proto::peer::{GrantRequest, GrantResponse, HostRef};
 
@@ -47,7 +47,7 @@
     from: &Process,
     account_id: &AccountId,
     ownership_version: u64,
-    ask: &Ask,
+    token_request: &TokenRequest,
 ) -> GrantRequest {
     GrantRequest {
         from: Some(HostRef {
@@ -55,18 +55,18 @@
             incarnation: from.incarnation,
         }),
         account_id: account_id.clone(),
-        wanted: ask.wanted,
+        wanted: token_request.wanted,
         ownership_version,
-        sequence: ask.sequence,
-        spent_total: ask.spent_total,
-        unspent: ask.unspent,
-        ahead: ask.ahead,
+        sequence: token_request.sequence,
+        spent_total: token_request.spent_total,
+        unspent: token_request.unspent,
+        ahead: token_request.ahead,
     }
 }
 
 /// Reads a holder's request from a message.
-pub(super) fn to_ask(request: &GrantRequest) -> Ask {
-    Ask {
+pub(super) fn to_ask(request: &GrantRequest) -> TokenRequest {
+    TokenRequest {
         sequence: request.sequence,
         wanted: request.wanted,
         ahead: request.ahead,
--- a/crates/burdockroad-daemon/src/quota/table.rs
+++ b/crates/burdockroad-daemon/src/quota/table.rs
@@ -8,7 +8,7 @@
 
 use burdockroad::{
     AccountId, Epoch, PartitionId, partition_of,
-    quota::{Admission, Ask, Bucket, GRANT_LIFE, Grant, Holder, HolderId, Limits, Settled, WaiterId},
+    quota::{Admission, TokenRequest, Bucket, GRANT_LIFE, Grant, Holder, HolderId, Limits, Settled, WaiterId},
 };
 use burdockroad_proto::peer::{GrantRequest, GrantResponse, HostRef};
 use ractor::{ActorRef, RpcReplyPort};
@@ -118,9 +118,9 @@
         let holder_id = holder_id(request.from.as_ref());
         // A holder that knows a newer map may know of a newer owner.
         let outdated = request.ownership_version > self.view.version;
-        let ask = asking::to_ask(request);
+        let token_request = asking::to_ask(request);
         match (!outdated)
-            .then(|| self.grant_from_bucket(&request.account_id, &holder_id, &ask))
+            .then(|| self.grant_from_bucket(&request.account_id, &holder_id, &token_request))
             .flatten()
         {
             Some((grant, epoch)) => asking::to_response(grant, epoch),
@@ -162,29 +162,29 @@
             return;
         };
         let settled = holder.tick(now());
-        let ask = holder.ask(now());
+        let token_request = holder.token_request(now());
         self.settle(settled);
-        if let Some(ask) = ask {
-            self.ask(account_id, &ask);
+        if let Some(token_request) = token_request {
+            self.token_request(account_id, &token_request);
         }
         self.schedule(account_id);
     }
 
-    fn ask(&mut self, account_id: &AccountId, ask: &Ask) {
+    fn token_request(&mut self, account_id: &AccountId, token_request: &TokenRequest) {
         let partition = partition_of(account_id);
         if self.view.owns(partition) {
             let own_id = self.own_id();
             let grant = self
-                .grant_from_bucket(account_id, &own_id, ask)
+                .grant_from_bucket(account_id, &own_id, token_request)
                 .map(|(grant, _)| grant);
-            self.take_answer(account_id, ask.sequence, grant);
+            self.take_answer(account_id, token_request.sequence, grant);
             return;
         }
         let Some(address) = self.owner_address(partition) else {
-            self.take_answer(account_id, ask.sequence, None);
+            self.take_answer(account_id, token_request.sequence, None);
             return;
         };
-        let request = asking::to_request(&self.view.me, account_id, self.view.version, ask);
+        let request = asking::to_request(&self.view.me, account_id, self.view.version, token_request);
         let asked = asking::ask_peer(Arc::clone(&self.parts.clients), address, request);
         let myself = self.myself.clone();
         tokio::spawn(async move {
@@ -213,7 +213,7 @@
         &mut self,
         account_id: &AccountId,
         holder_id: &HolderId,
-        ask: &Ask,
+        token_request: &TokenRequest,
     ) -> Option<(Grant, Epoch)> {
         let owned_since = *self.owned.get(&partition_of(account_id))?;
         let limits = self.parts.limits.limits(account_id)?;
@@ -231,7 +231,7 @@
             row.limits = limits;
             row.bucket.set_limits(limits, now());
         }
-        Some((row.bucket.grant(holder_id, ask, now()), owned_since.epoch))
+        Some((row.bucket.grant(holder_id, token_request, now()), owned_since.epoch))
     }
 
     fn settle(&mut self, settled: Vec<Settled>) {
--- a/crates/burdockroad-daemon/tests/fleet/trees.rs
+++ b/crates/burdockroad-daemon/tests/fleet/trees.rs
@@ -48,7 +48,7 @@
             if !self.serves(&table, root_id) || table.trees.contains_key(root_id) {
                 return false;
             }
-            let tree = Tree::begin(&event).unwrap();
+            let tree = Tree::from_created(&event).unwrap();
             table.trees.insert(root_id.to_owned(), tree);
             self.append(root_id, 1, event)
         };
