--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -336,10 +336,10 @@
         self.ask(|port| ProgramsMessage::Adopt(trees, port)).await;
     }
 
-    async fn release(&self, partitions: Vec<PartitionId>, patience: Duration) -> Option<Vec<Tree>> {
+    async fn release(&self, partitions: Vec<PartitionId>, timeout: Duration) -> Option<Vec<Tree>> {
         let frozen = partitions.clone();
         self.ask(|port| ProgramsMessage::Freeze(frozen, port)).await?;
-        let latest = Instant::now() + patience;
+        let latest = Instant::now() + timeout;
         loop {
             let asked = partitions.clone();
             let exported = self
@@ -361,7 +361,7 @@
         self.tell(ProgramsMessage::Thaw(partitions));
     }
 
-    async fn forget(&self, partitions: Vec<PartitionId>) {
+    async fn drop_partitions(&self, partitions: Vec<PartitionId>) {
         self.ask(|port| ProgramsMessage::Forget(partitions, port)).await;
     }
 
