--- a/crates/burdockroad-daemon/src/answer.rs
+++ b/crates/burdockroad-daemon/src/answer.rs
@@ -18,7 +18,7 @@
     /// The whole answer was sent; an answer without this was cut short.
     End,
     /// The answer was cut short.
-    Cut(Problem),
+    Truncated(Problem),
 }
 
 /// Status and headers of an answer.
@@ -43,12 +43,12 @@
 
 /// The frames of one answer so far; a late reader starts from the first.
 #[derive(Debug)]
-pub struct AnswerLog {
+pub struct ResponseLog {
     frames: Mutex<Vec<Frame>>,
     length: watch::Sender<usize>,
 }
 
-impl AnswerLog {
+impl ResponseLog {
     /// Starts an empty answer.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
@@ -58,7 +58,7 @@
     }
 
     /// Makes a whole answer with one piece of body.
-    pub fn whole(head: Head, body: Bytes) -> Arc<Self> {
+    pub fn complete(head: Head, body: Bytes) -> Arc<Self> {
         let log = Self::new();
         log.push(Frame::Head(head));
         log.push(Frame::Data(body));
@@ -84,19 +84,19 @@
     }
 
     /// Whether anything was passed on yet.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         !self.lock().is_empty()
     }
 
     /// Waits until nobody reads the answer any more.
-    pub async fn unread(&self) {
+    pub async fn wait_for_no_readers(&self) {
         self.length.closed().await;
     }
 
     /// Ends the answer with a problem: as an answer of its own, or by cutting what was begun.
     pub fn fail(&self, problem: &Problem) {
-        if self.has_begun() {
-            self.push(Frame::Cut(problem.clone()));
+        if self.has_started() {
+            self.push(Frame::Truncated(problem.clone()));
             return;
         }
         let mut head = Head::new(problem.kind.status(), PROBLEM_CONTENT_TYPE);
@@ -109,8 +109,8 @@
     }
 
     /// Reads the answer from its first frame.
-    pub fn reader(self: &Arc<Self>) -> AnswerReader {
-        AnswerReader {
+    pub fn reader(self: &Arc<Self>) -> ResponseReader {
+        ResponseReader {
             log: Arc::clone(self),
             length: self.length.subscribe(),
             next: 0,
@@ -124,16 +124,16 @@
 
 /// One reader of an answer.
 #[derive(Debug)]
-pub struct AnswerReader {
-    log: Arc<AnswerLog>,
+pub struct ResponseReader {
+    log: Arc<ResponseLog>,
     length: watch::Receiver<usize>,
     next: usize,
 }
 
-impl AnswerReader {
+impl ResponseReader {
     /// Waits for the next frame.
     ///
-    /// After [`Frame::End`] or [`Frame::Cut`] there is none, and this waits for ever.
+    /// After [`Frame::End`] or [`Frame::Truncated`] there is none, and this waits for ever.
     pub async fn next(&mut self) -> Frame {
         loop {
             self.length.mark_unchanged();
@@ -153,7 +153,7 @@
         futures_util::stream::unfold(Some(self), |reader| async {
             let mut reader = reader?;
             let frame = reader.next().await;
-            let last = matches!(frame, Frame::End | Frame::Cut(_));
+            let last = matches!(frame, Frame::End | Frame::Truncated(_));
             Some((frame, (!last).then_some(reader)))
         })
     }
--- a/crates/burdockroad-daemon/src/calls.rs
+++ b/crates/burdockroad-daemon/src/calls.rs
@@ -1,8 +1,9 @@
-//! Calls from their admission to the end of their answer, at the host that runs them.
+//! Execution of calls at the host that runs them, from admission to the end of the response.
 //!
-//! A call passes its account's rate, waits for a slot, is recorded, is sent, and its result is recorded
-//! before the end of the answer is passed on. It runs to its end even if its caller has gone, since the
-//! caller may ask again under the same number.
+//! A call is admitted by its account's rate limit, waits for a slot, and has its intent journaled before
+//! it is sent. Its result is journaled before the end of the response is forwarded to the caller. A call
+//! of a program runs to completion even if the caller disconnects, because the caller may retry it under
+//! the same call number.
 
 mod attempt;
 mod completion;
@@ -25,10 +26,10 @@
 use rand::RngExt;
 use tokio::time::Instant;
 
-pub(crate) use self::program_call::recorded;
+pub(crate) use self::program_call::wait_durable;
 pub use self::{
-    completion::{CompletionRequest, EVENT_STREAM_CONTENT_TYPE, JSON_CONTENT_TYPE, stream_body, whole_body},
-    program_call::ProgramPosition,
+    completion::{CompletionRequest, EVENT_STREAM_CONTENT_TYPE, JSON_CONTENT_TYPE, json_body, stream_body},
+    program_call::CallPosition,
     service::{ServiceRequest, headers_without_key, service_headers, target_without_key},
 };
 use crate::{
@@ -41,49 +42,50 @@
     telemetry::{Measure, RefusedBecause, Telemetry},
 };
 
-/// On whose behalf a call runs.
+/// The account and key that a call is made with.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Caller {
-    /// The account; empty on an open route without a key.
+    /// Account; empty for a call without a key on an open route.
     pub account_id: AccountId,
-    /// The key that came with the call.
+    /// Key that authenticated the call.
     pub key_id: Option<KeyId>,
 }
 
-/// A call, ready to run.
+/// Everything needed to run a call.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// On whose behalf it runs.
+pub struct CallPlan {
+    /// Account and key of the caller.
     pub caller: Caller,
-    /// Route that it takes.
+    /// Route of the call.
     pub route_id: RouteId,
-    /// Pools that serve the route, the preferred ones first.
+    /// Pools that serve the route, in order of preference.
     pub pool_ids: Vec<PoolId>,
-    /// Whether a repeated run does no harm.
+    /// Whether the call can be executed more than once without side effects.
     pub idempotent: bool,
     /// Digest of the request.
     pub digest: RequestDigest,
-    /// Whether a later call of the same program will begin with this one's conversation.
+    /// Whether later calls of the same program extend this call's conversation, so that the engine
+    /// should cache its prefix.
     pub keeps_prefix: bool,
-    /// What is asked of the endpoint.
-    pub work: Work,
-    /// When the call must have ended.
+    /// Request to send to the endpoint.
+    pub payload: CallPayload,
+    /// Time by which the call must have completed.
     pub deadline: Instant,
     /// Value of the caller's `traceparent` header.
     pub traceparent: Option<http::HeaderValue>,
 }
 
-/// What is asked of an endpoint.
+/// A request to an endpoint.
 #[derive(Clone, Debug)]
-pub enum Work {
+pub enum CallPayload {
     /// A chat completion.
     Completion(CompletionRequest),
     /// A request to a plain service.
     Service(ServiceRequest),
 }
 
-impl Work {
-    /// Kind of the call.
+impl CallPayload {
+    /// Returns the kind of the call.
     pub fn kind(&self) -> CallKind {
         match self {
             Self::Completion(_) => CallKind::Completion,
@@ -92,83 +94,87 @@
     }
 }
 
-/// Limits of calls.
+/// Limits that apply to each call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallLimits {
-    /// Longest wait for the account's rate and for a slot together.
+    /// Maximum total wait for admission by the rate limit and for a slot.
     pub queue_timeout: Duration,
-    /// Largest answer of a plain service, in bytes.
+    /// Maximum response body size of a plain service, in bytes.
     pub answer_max_bytes: usize,
 }
 
-/// Runs calls at this host.
+/// The executor of calls at this host.
 #[derive(Clone, Debug)]
 pub struct CallRunner {
-    /// The programs of this host.
+    /// Table of the programs that this host owns.
     pub programs: ProgramsHandle,
-    /// Rates and bursts.
+    /// Rate limits of the accounts.
     pub quota: Arc<dyn Quota>,
-    /// Slots at endpoints.
+    /// Source of slots at endpoints.
     pub dispatcher: Arc<dyn Dispatcher>,
-    /// Requests to endpoints.
+    /// Client for requests to endpoints.
     pub endpoints: Arc<dyn Endpoints>,
-    /// The document in force.
+    /// Document in force.
     pub in_force: InForceReceiver,
-    /// Budgets of retries.
+    /// Retry budgets by account and route.
     pub retries: Arc<Mutex<RetryBudgets>>,
-    /// Durations and refusals of each account.
+    /// Per-account durations and refusals.
     pub telemetry: Telemetry,
-    /// Limits of calls.
+    /// Limits that apply to each call.
     pub limits: CallLimits,
 }
 
 impl CallRunner {
-    /// When a call that arrived now must have its slot.
-    fn latest_start(&self, plan: &Plan) -> Instant {
+    /// Returns the time by which a call that arrives now must have a slot.
+    fn slot_deadline(&self, plan: &CallPlan) -> Instant {
         plan.deadline.min(Instant::now() + self.limits.queue_timeout)
     }
 
-    /// Tokens that a completion may have generated at most; 0 for a service.
-    fn wanted_tokens(&self, work: &Work) -> u64 {
-        match work {
-            Work::Completion(request) => request.max_tokens.unwrap_or_else(|| self.default_max_tokens()),
-            Work::Service(_) => 0,
+    /// Returns the upper bound of tokens that a completion may generate; 0 for a service call.
+    fn max_output_tokens(&self, payload: &CallPayload) -> u64 {
+        match payload {
+            CallPayload::Completion(request) => {
+                request.max_tokens.unwrap_or_else(|| self.default_max_tokens())
+            }
+            CallPayload::Service(_) => 0,
         }
     }
 
-    /// Takes note of a call that was refused for want of rate or of a slot.
-    fn note_refusal(&self, plan: &Plan, problem: &Problem) {
-        let because = match problem.kind {
+    /// Counts a call that the rate limit refused, or that got no slot or no journal append.
+    fn record_refusal(&self, plan: &CallPlan, problem: &Problem) {
+        let reason = match problem.kind {
             ProblemKind::OverRate => RefusedBecause::OverRate,
             ProblemKind::Overloaded | ProblemKind::NotRecordable => RefusedBecause::InsideRate,
             _ => return,
         };
-        self.telemetry.refused(&plan.caller.account_id, because);
+        self.telemetry.refused(&plan.caller.account_id, reason);
     }
 
-    /// Takes note of how long a call waited for its slot.
-    fn note_queue(&self, plan: &Plan, since: StdInstant) {
+    /// Records how long a call waited for admission and a slot.
+    fn record_queue_wait(&self, plan: &CallPlan, since: StdInstant) {
         self.telemetry
             .record(&plan.caller.account_id, Measure::Queue, since.elapsed());
     }
 
-    /// Takes note of what was seen of an engine's answer.
-    fn note_answer(&self, plan: &Plan, report: &SlotReport) {
-        if let (Work::Completion(_), Some(first)) = (&plan.work, report.first_token) {
+    /// Records the time to first token of a completion, if a token arrived.
+    fn record_first_token(&self, plan: &CallPlan, report: &SlotReport) {
+        if let (CallPayload::Completion(_), Some(first)) = (&plan.payload, report.first_token) {
             self.telemetry
                 .record(&plan.caller.account_id, Measure::FirstToken, first);
         }
     }
 
-    /// Pays a call into its account's budget of retries.
-    fn note_call(&self, plan: &Plan) {
+    /// Credits a call to the retry budget of its account and route.
+    fn record_call(&self, plan: &CallPlan) {
         let mut retries = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
         retries.note_call(&plan.caller.account_id, &plan.route_id);
     }
 
-    /// Draws a retry for a call that was tried some times, and returns how long to wait before it.
-    fn draw_retry(&self, plan: &Plan, tried: &[EndpointId]) -> Option<Duration> {
-        let attempts = u32::try_from(tried.len()).unwrap_or(u32::MAX);
+    /// Takes a retry from the budget of the call's account and route, and returns the backoff before it.
+    ///
+    /// Returns `None` when the budget does not allow another retry.
+    fn acquire_retry(&self, plan: &CallPlan, attempted_endpoints: &[EndpointId]) -> Option<Duration> {
+        let attempts = u32::try_from(attempted_endpoints.len()).unwrap_or(u32::MAX);
         let mut retries = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
         if !retries.draw(&plan.caller.account_id, &plan.route_id, attempts) {
             return None;
@@ -177,8 +183,11 @@
         Some(retries.back_off(attempts, &mut rand::rng()))
     }
 
-    /// Endpoints that another try should leave out: those tried before, as long as others are left.
-    fn excluded(&self, plan: &Plan, tried: &[EndpointId]) -> Vec<EndpointId> {
+    /// Returns the endpoints that the next attempt should avoid.
+    ///
+    /// These are the endpoints that were already attempted, or none if that would exclude every endpoint
+    /// of the call's pools.
+    fn excluded_endpoints(&self, plan: &CallPlan, attempted_endpoints: &[EndpointId]) -> Vec<EndpointId> {
         let in_force = self.in_force.borrow();
         let sets = in_force
             .document
@@ -186,14 +195,14 @@
             .iter()
             .filter(|set| plan.pool_ids.contains(&set.id));
         let mut endpoints = sets.flat_map(|set| &set.endpoints);
-        if endpoints.any(|endpoint| !tried.contains(&endpoint.id)) {
-            tried.to_vec()
+        if endpoints.any(|endpoint| !attempted_endpoints.contains(&endpoint.id)) {
+            attempted_endpoints.to_vec()
         } else {
             Vec::new()
         }
     }
 
-    /// Tokens set aside for a completion whose caller states no limit.
+    /// Returns the token limit of a completion whose caller sets none.
     fn default_max_tokens(&self) -> u64 {
         self.in_force
             .borrow()
@@ -202,19 +211,19 @@
             .completion_max_tokens
     }
 
-    /// Whether the key that a call came with still works.
-    fn key_works(&self, caller: &Caller) -> bool {
-        key_works(&self.in_force, caller)
+    /// Returns whether the caller's key is still valid.
+    fn is_key_valid(&self, caller: &Caller) -> bool {
+        is_key_valid(&self.in_force, caller)
     }
 
-    /// Waits until the key that a call came with no longer works.
-    async fn key_withdrawn(&self, caller: &Caller) {
-        key_withdrawn(&self.in_force, caller).await;
+    /// Waits until the caller's key is withdrawn.
+    async fn wait_until_key_withdrawn(&self, caller: &Caller) {
+        wait_until_key_withdrawn(&self.in_force, caller).await;
     }
 }
 
-/// Whether the key that a call came with still works.
-fn key_works(in_force: &InForceReceiver, caller: &Caller) -> bool {
+/// Returns whether the caller's key is still valid; a caller without a key always passes.
+fn is_key_valid(in_force: &InForceReceiver, caller: &Caller) -> bool {
     let Some(key_id) = caller.key_id.clone() else {
         return true;
     };
@@ -222,12 +231,12 @@
     in_force.borrow().keys.contains(&KeyMatch { account_id, key_id })
 }
 
-/// Waits until the key that a call came with no longer works; for ever when it came with none.
-pub(crate) async fn key_withdrawn(in_force: &InForceReceiver, caller: &Caller) {
+/// Waits until the caller's key is withdrawn; never resolves for a caller without a key.
+pub(crate) async fn wait_until_key_withdrawn(in_force: &InForceReceiver, caller: &Caller) {
     let mut in_force = in_force.clone();
     loop {
         in_force.mark_unchanged();
-        if !key_works(&in_force, caller) {
+        if !is_key_valid(&in_force, caller) {
             return;
         }
         if in_force.changed().await.is_err() {
@@ -236,17 +245,17 @@
     }
 }
 
-/// The problem of a call whose key was withdrawn while it ran or waited.
-fn withdrawn() -> Problem {
+/// Returns the problem of a call whose key was withdrawn while the call waited or ran.
+fn key_withdrawn_problem() -> Problem {
     Problem::new(ProblemKind::InvalidKey, "the key was withdrawn")
 }
 
-/// Random name of one attempt, by which an engine's stream is cancelled or resumed.
+/// Returns a random id for one attempt; the engine's stream is cancelled or resumed by this id.
 fn request_id() -> String {
     format!("{:032x}", rand::rng().random::<u128>())
 }
 
-/// Starts a clock for a figure in the log or a metric.
-fn clock() -> StdInstant {
+/// Returns the start time of a duration that is logged or recorded in a metric.
+fn start_timer() -> StdInstant {
     StdInstant::now()
 }
--- a/crates/burdockroad-daemon/src/calls/attempt.rs
+++ b/crates/burdockroad-daemon/src/calls/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a call at one endpoint.
+//! One attempt of a call at one endpoint.
 
 use std::time::{Duration, Instant};
 
@@ -9,98 +9,99 @@
 use http::{HeaderMap, HeaderValue, Method, header};
 
 use crate::{
-    answer::{AnswerLog, Frame, Head},
+    answer::{Frame, Head, ResponseLog},
     calls::{
-        CallRunner, Plan, Work, clock,
+        CallPayload, CallPlan, CallRunner,
         completion::{
-            Assembly, CompletionRequest, EVENT_STREAM_CONTENT_TYPE, EventKind, JSON_CONTENT_TYPE, event,
-            whole_body,
+            CompletionRequest, EVENT_STREAM_CONTENT_TYPE, EventKind, JSON_CONTENT_TYPE, ResponseAssembler,
+            json_body, sse_event,
         },
         engine_stream::EngineStream,
         request_id,
-        service::{ServiceRequest, answer_headers},
+        service::{ServiceRequest, response_headers},
+        start_timer,
     },
     dispatch::{Slot, SlotReport},
-    endpoint::{EndpointAnswer, EndpointRequest, SendError},
+    endpoint::{EndpointRequest, EndpointResponse, SendError},
     problem::{Problem, ProblemKind, Ran},
 };
 
-/// Path at which engines take completions.
+/// Path of an engine's completion API.
 const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 
-/// Header that names the program whose prefix an engine may keep.
+/// Header with the program whose prefix the engine may cache.
 const PROGRAM_HEADER: &str = "x-program-id";
 
-/// Header that names one attempt.
+/// Header with the id of the attempt.
 const REQUEST_HEADER: &str = "x-request-id";
 
-/// Header that orders an engine's waiting calls; a lower number goes first.
+/// Header by which an engine orders its waiting calls; lower values are served first.
 const PRIORITY_HEADER: &str = "x-priority";
 
-/// Times that one stream is resumed after its connection broke.
+/// Maximum number of times that a stream is resumed after its connection broke.
 const RESUMES_MAX: u32 = 3;
 
-/// Largest error text of an engine that is read, in bytes.
+/// Maximum size of an engine's error response, in bytes.
 const ERROR_MAX_BYTES: usize = 64 * 1024;
 
-/// What an attempt is made of.
+/// The inputs of an attempt.
 #[derive(Debug)]
 pub(super) struct Attempt<'a> {
-    pub(super) plan: &'a Plan,
+    pub(super) plan: &'a CallPlan,
     pub(super) slot: &'a Slot,
     pub(super) program_id: Option<&'a ProgramId>,
-    /// The whole conversation of a completion, as JSON texts.
+    /// Whole conversation of a completion, one JSON text per message.
     pub(super) prompt: &'a [String],
-    /// Most tokens that may be generated.
+    /// Upper bound of tokens to generate.
     pub(super) max_tokens: u64,
-    /// Tokens that the program's calls have had generated so far.
+    /// Tokens generated so far for the program's calls.
     pub(super) attained_tokens: u64,
-    pub(super) log: &'a AnswerLog,
+    pub(super) log: &'a ResponseLog,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub(super) struct AttemptEnd {
-    pub(super) result: Result<Whole, Failure>,
-    /// Tokens that count as spent.
+    pub(super) result: Result<CompleteResponse, Failure>,
+    /// Tokens to charge to the program's budget.
     pub(super) spent_tokens: u64,
     pub(super) report: SlotReport,
 }
 
-/// A whole answer, of which the end has not been passed on yet.
+/// A complete response whose last frames have not been forwarded yet.
 #[derive(Debug)]
-pub(super) struct Whole {
+pub(super) struct CompleteResponse {
     pub(super) answer: Answer,
-    /// What is still to be passed on, before the end.
-    pub(super) rest: Vec<Frame>,
+    /// Frames to forward before [`Frame::End`].
+    pub(super) remaining_frames: Vec<Frame>,
 }
 
-/// An attempt that brought no whole answer.
+/// The failure of an attempt that got no complete response.
 #[derive(Clone, Debug)]
 pub(super) struct Failure {
     pub(super) problem: Problem,
-    /// Whether another endpoint may do better.
-    pub(super) elsewhere: bool,
+    /// Whether the call may succeed at another endpoint.
+    pub(super) retryable: bool,
 }
 
 impl CallRunner {
-    /// Sends a call once and passes its answer on, but for the end.
+    /// Sends a call once and forwards its response, except for the remaining frames of a complete one.
     pub(super) async fn attempt(&self, attempt: &Attempt<'_>) -> AttemptEnd {
-        match &attempt.plan.work {
-            Work::Completion(request) => self.attempt_completion(attempt, request).await,
-            Work::Service(request) => self.attempt_service(attempt, request).await,
+        match &attempt.plan.payload {
+            CallPayload::Completion(request) => self.attempt_completion(attempt, request).await,
+            CallPayload::Service(request) => self.attempt_service(attempt, request).await,
         }
     }
 
     async fn attempt_service(&self, attempt: &Attempt<'_>, request: &ServiceRequest) -> AttemptEnd {
-        let started = clock();
+        let started = start_timer();
         let sent = self.endpoints.send(service_request(attempt, request)).await;
         let mut report = SlotReport {
             first_token: Some(started.elapsed()),
             ..SlotReport::default()
         };
         let result = match sent {
-            Ok(answer) => self.read_service(answer).await,
+            Ok(response) => self.read_service_response(response).await,
             Err(error) => Err(error),
         };
         report.failed = result.is_err();
@@ -112,12 +113,12 @@
         }
     }
 
-    async fn read_service(&self, answer: EndpointAnswer) -> Result<Whole, SendError> {
+    async fn read_service_response(&self, response: EndpointResponse) -> Result<CompleteResponse, SendError> {
         let head = Head {
-            status: answer.status,
-            headers: answer_headers(&answer.headers),
+            status: response.status,
+            headers: response_headers(&response.headers),
         };
-        let body = answer.read(self.limits.answer_max_bytes).await?;
+        let body = response.read(self.limits.answer_max_bytes).await?;
         let content_type = head
             .headers
             .get(header::CONTENT_TYPE)
@@ -128,24 +129,24 @@
             body: body.to_vec(),
             message: None,
         };
-        Ok(Whole {
+        Ok(CompleteResponse {
             answer: recorded,
-            rest: vec![Frame::Head(head), Frame::Data(body)],
+            remaining_frames: vec![Frame::Head(head), Frame::Data(body)],
         })
     }
 
     async fn attempt_completion(&self, attempt: &Attempt<'_>, request: &CompletionRequest) -> AttemptEnd {
-        let started = clock();
+        let started = start_timer();
         let stream = EngineStream::new(&self.endpoints, &attempt.slot.address);
         let sent = self
             .endpoints
             .send(completion_request(attempt, request, &stream))
             .await;
-        let answer = match sent {
-            Ok(answer) if answer.status == 200 => answer,
-            Ok(answer) => {
-                stream.close();
-                return refused(answer).await;
+        let response = match sent {
+            Ok(response) if response.status == 200 => response,
+            Ok(response) => {
+                stream.disarm();
+                return rejected_attempt(response).await;
             }
             Err(error) => {
                 let spent_tokens = if error.ran == Ran::No {
@@ -153,91 +154,97 @@
                 } else {
                     attempt.max_tokens
                 };
-                return failed(endpoint_failed(&error), spent_tokens, true);
+                return failed_attempt(endpoint_failed(&error), spent_tokens, true);
             }
         };
-        let mut relay = Relay {
+        let mut relay = StreamRelay {
             request,
             log: attempt.log,
-            assembly: Assembly::default(),
+            assembler: ResponseAssembler::default(),
             started,
             first: None,
         };
-        let outcome = follow(&mut relay, &stream, answer).await;
+        let outcome = relay_with_resume(&mut relay, &stream, response).await;
         if outcome.is_ok() {
-            stream.close();
+            stream.disarm();
         }
-        finish(attempt, &relay, outcome)
+        completion_end(attempt, &relay, outcome)
     }
 }
 
-/// Passes a stream on to its end, and resumes it where its connection breaks.
-async fn follow(
-    relay: &mut Relay<'_>,
+/// Relays a stream to its end, and resumes it up to [`RESUMES_MAX`] times when its connection breaks.
+async fn relay_with_resume(
+    relay: &mut StreamRelay<'_>,
     stream: &EngineStream,
-    answer: EndpointAnswer,
+    response: EndpointResponse,
 ) -> Result<(), SendError> {
-    let mut outcome = relay.run(body_stream(answer)).await;
+    let mut outcome = relay.run(body_stream(response)).await;
     for _ in 0..RESUMES_MAX {
         if outcome.is_ok() {
             break;
         }
-        let Some(answer) = stream.resume(relay.assembly.tokens()).await else {
+        let Some(response) = stream.resume(relay.assembler.content_deltas()).await else {
             break;
         };
-        outcome = relay.run(body_stream(answer)).await;
+        outcome = relay.run(body_stream(response)).await;
     }
     outcome
 }
 
-/// Passes a stream on to the callers while putting the answer together.
+/// Forwards a stream to the callers and assembles the complete response from it.
 #[derive(Debug)]
-struct Relay<'a> {
+struct StreamRelay<'a> {
     request: &'a CompletionRequest,
-    log: &'a AnswerLog,
-    assembly: Assembly,
+    log: &'a ResponseLog,
+    assembler: ResponseAssembler,
     started: Instant,
     first: Option<Duration>,
 }
 
-impl Relay<'_> {
+impl StreamRelay<'_> {
     async fn run(&mut self, body: impl Stream<Item = Result<Bytes, SendError>>) -> Result<(), SendError> {
         let events = body.eventsource();
         pin_mut!(events);
         while let Some(event) = events.next().await {
-            let event = event.map_err(|error| cut(&error.to_string()))?;
+            let event = event.map_err(|error| truncated_stream(&error.to_string()))?;
             self.first.get_or_insert_with(|| self.started.elapsed());
             let kind = self
-                .assembly
+                .assembler
                 .add(&event.data)
-                .map_err(|error| cut(&error.to_string()))?;
+                .map_err(|error| truncated_stream(&error.to_string()))?;
             if kind == EventKind::End {
                 break;
             }
-            self.pass_on(kind, &event.data);
+            self.forward_event(kind, &event.data);
         }
-        if self.assembly.is_whole() {
+        if self.assembler.is_complete() {
             Ok(())
         } else {
-            Err(cut("the stream ended early"))
+            Err(truncated_stream(
+                "the stream ended before the completion was finished",
+            ))
         }
     }
 
-    fn pass_on(&self, kind: EventKind, data: &str) {
-        let wanted = kind == EventKind::Part || self.request.include_usage;
-        if !self.request.stream || !wanted {
+    fn forward_event(&self, kind: EventKind, data: &str) {
+        let included = kind == EventKind::Chunk || self.request.include_usage;
+        if !self.request.stream || !included {
             return;
         }
-        if !self.log.has_begun() {
+        if !self.log.has_started() {
             self.log
                 .push(Frame::Head(Head::new(200, EVENT_STREAM_CONTENT_TYPE)));
         }
-        self.log.push(Frame::Data(event(data)));
+        self.log.push(Frame::Data(sse_event(data)));
     }
 }
 
-fn finish(attempt: &Attempt<'_>, relay: &Relay<'_>, outcome: Result<(), SendError>) -> AttemptEnd {
-    let usage = relay.assembly.usage();
+fn completion_end(
+    attempt: &Attempt<'_>,
+    relay: &StreamRelay<'_>,
+    outcome: Result<(), SendError>,
+) -> AttemptEnd {
+    let usage = relay.assembler.usage();
     let report = SlotReport {
         prompt_tokens: usage.map_or(0, |usage| usage.prompt_tokens),
         cached_tokens: usage.map_or(0, |usage| usage.cached_tokens),
@@ -245,10 +252,10 @@
         first_token: relay.first,
         failed: outcome.is_err(),
     };
-    // Without the engine's own count, all that was set aside may have been generated.
+    // Without usage from the engine, up to all reserved tokens may have been generated.
     let spent_tokens = usage.map_or(attempt.max_tokens, |usage| usage.completion_tokens);
     let result = match outcome {
-        Ok(()) => Ok(whole_completion(relay)),
+        Ok(()) => Ok(complete_response(relay)),
         Err(error) => Err(endpoint_failed(&error)),
     };
     AttemptEnd {
@@ -258,41 +265,47 @@
     }
 }
 
-fn whole_completion(relay: &Relay<'_>) -> Whole {
-    let answer = relay.assembly.answer();
-    let rest = if relay.request.stream {
-        vec![Frame::Data(event(super::completion::STREAM_END))]
+fn complete_response(relay: &StreamRelay<'_>) -> CompleteResponse {
+    let answer = relay.assembler.answer();
+    let remaining_frames = if relay.request.stream {
+        vec![Frame::Data(sse_event(super::completion::STREAM_END))]
     } else {
         vec![
             Frame::Head(Head::new(200, JSON_CONTENT_TYPE)),
-            Frame::Data(whole_body(&answer)),
+            Frame::Data(json_body(&answer)),
         ]
     };
-    Whole { answer, rest }
+    CompleteResponse {
+        answer,
+        remaining_frames,
+    }
 }
 
-/// An engine's answer that is not a completion; nothing was generated.
-async fn refused(answer: EndpointAnswer) -> AttemptEnd {
-    let status = answer.status;
-    let text = answer.read(ERROR_MAX_BYTES).await.unwrap_or_default();
-    let detail = format!("the engine answered {status}: {}", String::from_utf8_lossy(&text));
-    let busy = status == 429 || status >= 500;
-    let kind = if busy {
+/// Converts an engine's error response into a failed attempt; nothing was generated.
+async fn rejected_attempt(response: EndpointResponse) -> AttemptEnd {
+    let status = response.status;
+    let text = response.read(ERROR_MAX_BYTES).await.unwrap_or_default();
+    let detail = format!(
+        "the engine responded with status {status}: {}",
+        String::from_utf8_lossy(&text)
+    );
+    let endpoint_fault = status == 429 || status >= 500;
+    let kind = if endpoint_fault {
         ProblemKind::EndpointFailed
     } else {
         ProblemKind::InvalidRequest
     };
-    failed(
+    failed_attempt(
         Failure {
             problem: Problem::new(kind, detail),
-            elsewhere: busy,
+            retryable: endpoint_fault,
         },
         0,
-        busy,
+        endpoint_fault,
     )
 }
 
-fn failed(failure: Failure, spent_tokens: u64, endpoint_failed: bool) -> AttemptEnd {
+fn failed_attempt(failure: Failure, spent_tokens: u64, endpoint_failed: bool) -> AttemptEnd {
     let report = SlotReport {
         failed: endpoint_failed,
         ..SlotReport::default()
@@ -305,26 +318,26 @@
 }
 
 fn endpoint_failed(error: &SendError) -> Failure {
-    let detail = format!("the endpoint did not answer: {error}");
+    let detail = format!("the request to the endpoint failed: {error}");
     let problem = Problem::new(ProblemKind::EndpointFailed, detail).ran(error.ran);
     Failure {
         problem,
-        elsewhere: true,
+        retryable: true,
     }
 }
 
-fn cut(reason: &str) -> SendError {
+fn truncated_stream(reason: &str) -> SendError {
     SendError {
         reason: reason.to_owned(),
         ran: Ran::Unknown,
     }
 }
 
-fn body_stream(answer: EndpointAnswer) -> impl Stream<Item = Result<Bytes, SendError>> {
-    futures_util::stream::unfold(Some(answer), |answer| async {
-        let mut answer = answer?;
-        match answer.next().await {
-            Ok(Some(data)) => Some((Ok(data), Some(answer))),
+fn body_stream(response: EndpointResponse) -> impl Stream<Item = Result<Bytes, SendError>> {
+    futures_util::stream::unfold(Some(response), |response| async {
+        let mut response = response?;
+        match response.next().await {
+            Ok(Some(data)) => Some((Ok(data), Some(response))),
             Ok(None) => None,
             Err(error) => Some((Err(error), None)),
         }
@@ -333,7 +346,7 @@
 
 fn service_request(attempt: &Attempt<'_>, request: &ServiceRequest) -> EndpointRequest {
     let mut headers = request.headers.clone();
-    name_attempt(&mut headers, attempt, &request_id());
+    insert_attempt_headers(&mut headers, attempt, &request_id());
     EndpointRequest {
         address: attempt.slot.address.clone(),
         method: request.method.clone(),
@@ -352,7 +365,7 @@
     let mut headers = HeaderMap::new();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(JSON_CONTENT_TYPE));
     headers.insert(PRIORITY_HEADER, HeaderValue::from(attempt.attained_tokens));
-    name_attempt(&mut headers, attempt, stream.request_id());
+    insert_attempt_headers(&mut headers, attempt, stream.request_id());
     EndpointRequest {
         address: attempt.slot.address.clone(),
         method: Method::POST,
@@ -363,7 +376,7 @@
     }
 }
 
-fn name_attempt(headers: &mut HeaderMap, attempt: &Attempt<'_>, request_id: &str) {
+fn insert_attempt_headers(headers: &mut HeaderMap, attempt: &Attempt<'_>, request_id: &str) {
     if let Ok(value) = HeaderValue::from_str(request_id) {
         headers.insert(REQUEST_HEADER, value);
     }
--- a/crates/burdockroad-daemon/src/calls/completion.rs
+++ b/crates/burdockroad-daemon/src/calls/completion.rs
@@ -1,4 +1,4 @@
-//! Chat completions: what a caller asks, what an engine is sent, and the answer put together.
+//! Chat completions: parsing of callers' requests, request bodies for engines, and assembly of responses.
 
 use std::collections::BTreeMap;
 
@@ -9,35 +9,35 @@
 
 use crate::problem::{Problem, ProblemKind};
 
-/// Media type of a whole completion.
+/// Media type of a completion that is not streamed.
 pub const JSON_CONTENT_TYPE: &str = "application/json";
 
 /// Media type of a streamed completion.
 pub const EVENT_STREAM_CONTENT_TYPE: &str = "text/event-stream";
 
-/// Data of the event that ends a stream.
+/// Data of the last event of a stream.
 pub const STREAM_END: &str = "[DONE]";
 
-/// A chat completion as a caller asks for it.
+/// A caller's chat completion request.
 #[derive(Clone, Debug)]
 pub struct CompletionRequest {
-    /// Model that the caller names.
+    /// Model to use.
     pub model: String,
     /// New messages, each as JSON text.
     pub messages: Vec<String>,
-    /// Whether the answer is streamed.
+    /// Whether to stream the response.
     pub stream: bool,
-    /// Whether a stream ends with the usage.
+    /// Whether to include the usage event in a stream.
     pub include_usage: bool,
-    /// Most tokens that the caller wants.
+    /// Upper bound of tokens to generate.
     pub max_tokens: Option<u64>,
-    /// All other fields, passed on as they are.
+    /// All other fields, forwarded to the engine unchanged.
     pub fields: Map<String, Value>,
 }
 
-/// The fields that are read here.
+/// The fields of a request body that the daemon interprets.
 #[derive(Deserialize)]
-struct Known {
+struct RequestBody {
     model: String,
     messages: Vec<Box<RawValue>>,
     #[serde(default)]
@@ -59,27 +59,29 @@
 }
 
 impl CompletionRequest {
-    /// Reads a request body in the OpenAI format.
+    /// Parses a request body in the OpenAI format.
     ///
     /// # Errors
     ///
-    /// Refuses a body that is not JSON, lacks a field, or asks for several choices.
+    /// Returns an error if the body is not valid JSON, lacks a required field, or requests more than one
+    /// choice.
     pub fn parse(body: &[u8]) -> Result<Self, Problem> {
-        let known: Known = serde_json::from_slice(body).map_err(|error| invalid(&error.to_string()))?;
+        let request_body: RequestBody =
+            serde_json::from_slice(body).map_err(|error| invalid(&error.to_string()))?;
         let mut fields: Map<String, Value> =
             serde_json::from_slice(body).map_err(|error| invalid(&error.to_string()))?;
-        if known.messages.is_empty() {
-            return Err(invalid("messages is empty"));
+        if request_body.messages.is_empty() {
+            return Err(invalid("`messages` must not be empty"));
         }
-        if known.n.is_some_and(|choices| choices != 1) {
-            return Err(invalid("n must be 1: one call has one answer"));
+        if request_body.n.is_some_and(|choices| choices != 1) {
+            return Err(invalid("`n` must be 1: a call has exactly one choice"));
         }
-        if !known
+        if !request_body
             .messages
             .iter()
             .all(|message| message.get().starts_with('{'))
         {
-            return Err(invalid("each of messages must be an object"));
+            return Err(invalid("each element of `messages` must be an object"));
         }
         for replaced in [
             "messages",
@@ -91,37 +93,39 @@
             fields.remove(replaced);
         }
         Ok(Self {
-            model: known.model,
-            messages: known
+            model: request_body.model,
+            messages: request_body
                 .messages
                 .iter()
                 .map(|message| message.get().to_owned())
                 .collect(),
-            stream: known.stream.unwrap_or(false),
-            include_usage: known.stream_options.is_some_and(|options| options.include_usage),
-            max_tokens: known.max_completion_tokens.or(known.max_tokens),
+            stream: request_body.stream.unwrap_or(false),
+            include_usage: request_body
+                .stream_options
+                .is_some_and(|options| options.include_usage),
+            max_tokens: request_body.max_completion_tokens.or(request_body.max_tokens),
             fields,
         })
     }
 
-    /// The body that an engine is sent.
+    /// Returns the request body to send to the engine.
     ///
-    /// The engine always streams and always reports usage, whatever the caller asked for: only so is it
-    /// known how much was generated when an answer is cut short.
+    /// It always requests a stream with usage, whatever the caller requested. Otherwise the number of
+    /// generated tokens would be unknown when a response is truncated.
     pub fn engine_body(&self, prompt: &[String], max_tokens: u64) -> Bytes {
         let mut fields = self.fields.clone();
         fields.insert("stream".to_owned(), Value::Bool(true));
         fields.insert("stream_options".to_owned(), json!({ "include_usage": true }));
         fields.insert("max_tokens".to_owned(), max_tokens.into());
-        let head = Value::Object(fields).to_string();
+        let fields_json = Value::Object(fields).to_string();
         let messages = prompt.join(",");
-        // The messages go in as the texts that they are, so that a caller's number or key order
-        // reaches the engine unchanged and its prefix cache matches.
-        let open = head.strip_suffix('}').unwrap_or(&head);
-        Bytes::from(format!("{open},\"messages\":[{messages}]}}"))
+        // The messages are inserted as raw JSON text. Parsing them could change number formats or the
+        // order of keys, and the engine's prefix cache would no longer match.
+        let unclosed_json = fields_json.strip_suffix('}').unwrap_or(&fields_json);
+        Bytes::from(format!("{unclosed_json},\"messages\":[{messages}]}}"))
     }
 
-    /// Rough number of tokens in a prompt of so many bytes.
+    /// Estimates the number of tokens in a prompt of `bytes` bytes, at four bytes per token.
     pub fn estimated_tokens(bytes: u64) -> u64 {
         bytes.div_ceil(4)
     }
@@ -134,7 +138,7 @@
     )
 }
 
-/// Tokens of one call, as its engine counted them.
+/// Token counts of one call, as reported by its engine.
 #[expect(
     clippy::struct_field_names,
     reason = "the names are those of the OpenAI format"
@@ -143,7 +147,7 @@
 pub struct EngineUsage {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt that were cached.
+    /// Tokens of the prompt that were served from the engine's cache.
     pub cached_tokens: u64,
     /// Tokens generated.
     pub completion_tokens: u64,
@@ -218,9 +222,9 @@
     cached_tokens: u64,
 }
 
-/// Puts a streamed completion together.
+/// An assembler that builds the complete response from the events of a stream.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct ResponseAssembler {
     id: String,
     created: u64,
     model: String,
@@ -229,7 +233,7 @@
     tool_calls: BTreeMap<u64, ToolCall>,
     finish_reason: Option<String>,
     usage: Option<EngineUsage>,
-    tokens: u64,
+    content_deltas: u64,
     ended: bool,
 }
 
@@ -240,23 +244,23 @@
     arguments: String,
 }
 
-/// What one event of a stream is for.
+/// The kind of an event in a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// Part of the answer.
-    Part,
-    /// The usage.
+    /// Chunk with a part of the response.
+    Chunk,
+    /// Usage report.
     Usage,
-    /// The end of the stream.
+    /// End of the stream.
     End,
 }
 
-impl Assembly {
-    /// Takes the data of the next event.
+impl ResponseAssembler {
+    /// Adds the data of the next event.
     ///
     /// # Errors
     ///
-    /// Fails when the data is not a chunk in the OpenAI format.
+    /// Returns an error if the data is not a chunk in the OpenAI format.
     pub fn add(&mut self, data: &str) -> Result<EventKind, serde_json::Error> {
         if data == STREAM_END {
             self.ended = true;
@@ -276,26 +280,28 @@
         Ok(if is_usage {
             EventKind::Usage
         } else {
-            EventKind::Part
+            EventKind::Chunk
         })
     }
 
-    /// Whether the whole answer has arrived: a finish reason, and the end of the stream.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether the response is complete: it has a finish reason, and the stream has ended.
+    pub fn is_complete(&self) -> bool {
         self.ended && self.finish_reason.is_some()
     }
 
-    /// Parts of the content so far; engines send one for each token, and resume by that number.
-    pub fn tokens(&self) -> u64 {
-        self.tokens
+    /// Returns the number of content deltas received so far.
+    ///
+    /// Engines send one delta per token, and a resume request gives this number as its position.
+    pub fn content_deltas(&self) -> u64 {
+        self.content_deltas
     }
 
-    /// Tokens, if the engine reported them.
+    /// Returns the token counts, if the engine has reported them.
     pub fn usage(&self) -> Option<EngineUsage> {
         self.usage
     }
 
-    /// The answer to be recorded: the body without its message, and the message.
+    /// Returns the response to record in the journal: the body without its message, and the message.
     pub fn answer(&self) -> Answer {
         let usage = self.usage.unwrap_or_default();
         let body = json!({
@@ -321,10 +327,10 @@
             .as_ref()
             .is_some_and(|content| !content.is_empty())
         {
-            self.tokens += 1;
+            self.content_deltas += 1;
         }
-        append(&mut self.content, choice.delta.content);
-        append(&mut self.refusal, choice.delta.refusal);
+        append_delta(&mut self.content, choice.delta.content);
+        append_delta(&mut self.refusal, choice.delta.refusal);
         for delta in choice.delta.tool_calls {
             let call = self.tool_calls.entry(delta.index).or_default();
             call.id.push_str(&delta.id.unwrap_or_default());
@@ -362,8 +368,8 @@
     }
 }
 
-/// The whole `chat.completion` object of a recorded answer.
-pub fn whole_body(answer: &Answer) -> Bytes {
+/// Returns the complete `chat.completion` object of a recorded response.
+pub fn json_body(answer: &Answer) -> Bytes {
     let parsed: Result<Value, _> = serde_json::from_slice(&answer.body);
     let message = answer
         .message
@@ -378,7 +384,7 @@
     }
 }
 
-/// The events of a recorded answer, for a caller that asked for a stream.
+/// Returns the events of a recorded response, for a caller that requested a stream.
 pub fn stream_body(answer: &Answer, include_usage: bool) -> Bytes {
     let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let mut delta: Value = answer
@@ -386,7 +392,7 @@
         .as_deref()
         .and_then(|text| serde_json::from_str(text).ok())
         .unwrap_or_default();
-    number_tool_calls(&mut delta);
+    index_tool_calls(&mut delta);
     let finish_reason = body["choices"][0]["finish_reason"].clone();
     let chunk = |choices: Value, usage: Value| {
         json!({
@@ -395,32 +401,32 @@
         })
     };
     let mut text = String::new();
-    let whole = json!([{ "index": 0, "delta": delta, "finish_reason": Value::Null }]);
-    push_event(&mut text, &chunk(whole, Value::Null).to_string());
+    let message = json!([{ "index": 0, "delta": delta, "finish_reason": Value::Null }]);
+    push_sse_event(&mut text, &chunk(message, Value::Null).to_string());
     let finish = json!([{ "index": 0, "delta": {}, "finish_reason": finish_reason }]);
-    push_event(&mut text, &chunk(finish, Value::Null).to_string());
+    push_sse_event(&mut text, &chunk(finish, Value::Null).to_string());
     if include_usage {
-        push_event(&mut text, &chunk(json!([]), body["usage"].clone()).to_string());
+        push_sse_event(&mut text, &chunk(json!([]), body["usage"].clone()).to_string());
     }
-    push_event(&mut text, STREAM_END);
+    push_sse_event(&mut text, STREAM_END);
     Bytes::from(text)
 }
 
-/// One event of a stream.
-pub fn event(data: &str) -> Bytes {
+/// Returns a server-sent event with the given data.
+pub fn sse_event(data: &str) -> Bytes {
     let mut text = String::with_capacity(data.len() + 8);
-    push_event(&mut text, data);
+    push_sse_event(&mut text, data);
     Bytes::from(text)
 }
 
-fn push_event(text: &mut String, data: &str) {
+fn push_sse_event(text: &mut String, data: &str) {
     text.push_str("data: ");
     text.push_str(data);
     text.push_str("\n\n");
 }
 
-/// A delta names the position of each tool call, which a whole message leaves out.
-fn number_tool_calls(delta: &mut Value) {
+/// Sets the index of each tool call, which a delta requires and a complete message omits.
+fn index_tool_calls(delta: &mut Value) {
     let Some(calls) = delta.get_mut("tool_calls").and_then(Value::as_array_mut) else {
         return;
     };
@@ -429,11 +435,11 @@
     }
 }
 
-fn append(whole: &mut Option<String>, part: Option<String>) {
-    let Some(part) = part else {
+fn append_delta(text: &mut Option<String>, delta: Option<String>) {
+    let Some(delta) = delta else {
         return;
     };
-    whole.get_or_insert_default().push_str(&part);
+    text.get_or_insert_default().push_str(&delta);
 }
 
 fn engine_usage(usage: &ChunkUsage) -> EngineUsage {
--- a/crates/burdockroad-daemon/src/calls/engine_stream.rs
+++ b/crates/burdockroad-daemon/src/calls/engine_stream.rs
@@ -1,4 +1,4 @@
-//! One stream at an engine: resumed where its connection breaks, cancelled when it is given up.
+//! A completion stream at an engine, which can be resumed and is cancelled when dropped.
 
 use std::sync::Arc;
 
@@ -7,51 +7,53 @@
 
 use crate::{
     calls::request_id,
-    endpoint::{EndpointAnswer, EndpointRequest, Endpoints},
+    endpoint::{EndpointRequest, EndpointResponse, Endpoints},
 };
 
-/// A stream that an engine generates, by the name it was given.
+/// A handle to a stream that an engine generates, identified by its request id.
 ///
-/// An engine keeps a stream whose connection broke, so that it can be resumed. One that is dropped here
-/// before [`close`](Self::close) is therefore cancelled by an order of its own.
+/// An engine continues a stream whose connection broke, so that it can be resumed. Dropping the handle
+/// without [`disarm`](Self::disarm) therefore sends an explicit cancel request.
 #[derive(Debug)]
 pub(super) struct EngineStream {
     endpoints: Arc<dyn Endpoints>,
     address: String,
     request_id: String,
-    open: bool,
+    cancel_on_drop: bool,
 }
 
 impl EngineStream {
-    /// Names a new stream.
+    /// Creates a handle with a new request id.
     pub(super) fn new(endpoints: &Arc<dyn Endpoints>, address: &str) -> Self {
         Self {
             endpoints: Arc::clone(endpoints),
             address: address.to_owned(),
             request_id: request_id(),
-            open: true,
+            cancel_on_drop: true,
         }
     }
 
-    /// Name of the stream.
+    /// Returns the request id of the stream.
     pub(super) fn request_id(&self) -> &str {
         &self.request_id
     }
 
-    /// Asks for the rest of the stream; none when the engine no longer has it.
-    pub(super) async fn resume(&self, from_token: u64) -> Option<EndpointAnswer> {
+    /// Requests the rest of the stream from a token position.
+    ///
+    /// Returns `None` if the request fails or the engine no longer has the stream.
+    pub(super) async fn resume(&self, from_token: u64) -> Option<EndpointResponse> {
         let target = format!("/streams/{}?from={from_token}", self.request_id);
-        let answer = self
+        let response = self
             .endpoints
             .send(self.request(Method::GET, target))
             .await
             .ok()?;
-        (answer.status == 200).then_some(answer)
+        (response.status == 200).then_some(response)
     }
 
-    /// Ends the stream's use after it has ended by itself.
-    pub(super) fn close(mut self) {
-        self.open = false;
+    /// Drops the handle without a cancel request, for a stream that has ended at the engine.
+    pub(super) fn disarm(mut self) {
+        self.cancel_on_drop = false;
     }
 
     fn request(&self, method: Method, target: String) -> EndpointRequest {
@@ -68,7 +70,7 @@
 
 impl Drop for EngineStream {
     fn drop(&mut self) {
-        if !self.open {
+        if !self.cancel_on_drop {
             return;
         }
         let request = self.request(Method::POST, format!("/streams/{}/cancel", self.request_id));
--- a/crates/burdockroad-daemon/src/calls/program_call.rs
+++ b/crates/burdockroad-daemon/src/calls/program_call.rs
@@ -1,5 +1,7 @@
-//! Calls of a program: in order, within budget, recorded before they are sent and before their answer
-//! ends.
+//! Calls of a program.
+//!
+//! A program's calls run in order and within its budget. The intent of each call is durable before the
+//! call is sent, and its result is durable before the end of the response is forwarded.
 
 use std::sync::Arc;
 
@@ -11,81 +13,85 @@
 use tokio::time::Instant;
 
 use crate::{
-    answer::{AnswerLog, AnswerReader, Frame, Head},
+    answer::{Frame, Head, ResponseLog, ResponseReader},
     calls::{
-        CallRunner, CompletionRequest, EVENT_STREAM_CONTENT_TYPE, JSON_CONTENT_TYPE, Plan, Work,
-        attempt::{Attempt, AttemptEnd, Failure, Whole},
-        clock,
-        completion::{stream_body, whole_body},
-        single_call::{SlotGuard, may_repeat, prompt_tokens, timed_out},
-        withdrawn,
+        CallPayload, CallPlan, CallRunner, CompletionRequest, EVENT_STREAM_CONTENT_TYPE, JSON_CONTENT_TYPE,
+        attempt::{Attempt, AttemptEnd, CompleteResponse, Failure},
+        completion::{json_body, stream_body},
+        key_withdrawn_problem,
+        single_call::{SlotGuard, estimated_prompt_tokens, may_retry, timed_out},
+        start_timer,
     },
     dispatch::{Slot, SlotReport, SlotRequest},
     journal::{Appended, JournalError},
     problem::{Problem, ProblemKind, Ran},
-    programs::{RunningCall, Settlement, Taken},
+    programs::{CallDisposition, RunningCall, Settlement},
 };
 
-/// Where a call stands in its program.
+/// The position of a call in its program.
 #[derive(Clone, Debug)]
-pub struct ProgramPosition {
-    /// The program.
+pub struct CallPosition {
+    /// Program of the call.
     pub program_id: ProgramId,
-    /// The call's number.
+    /// Number of the call.
     pub number: CallNumber,
 }
 
-/// How far a call has come, so that stopping it says truthfully whether it ran.
+/// Whether an attempt ended by itself or was interrupted; an interrupted call is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Progress {
-    Waiting,
-    Sent,
+enum AttemptStatus {
+    Interrupted,
+    Ended,
 }
 
-/// A call of a program while it runs.
+/// The state of a running call of a program.
 #[derive(Debug)]
 struct ProgramCall {
-    plan: Plan,
-    position: ProgramPosition,
-    log: Arc<AnswerLog>,
+    plan: CallPlan,
+    position: CallPosition,
+    log: Arc<ResponseLog>,
     usage: Usage,
     prefix_endpoint_id: Option<String>,
-    latest: Instant,
-    /// Endpoints that the call was sent to, or was about to be.
-    tried: Vec<String>,
+    slot_deadline: Instant,
+    /// Endpoints that granted the call a slot, whether or not it was then sent.
+    attempted_endpoints: Vec<String>,
 }
 
 impl CallRunner {
-    /// Runs a call of a program, or joins or repeats the answer of an earlier try of it.
+    /// Runs a call of a program, or returns the response of an earlier attempt of the same call.
     ///
     /// # Errors
     ///
-    /// Fails when the program does not take the call; it did not run then.
-    pub async fn program_call(&self, plan: Plan, position: ProgramPosition) -> Result<AnswerReader, Problem> {
+    /// Returns an error if the program refuses the call; the call did not run in that case.
+    pub async fn program_call(
+        &self,
+        plan: CallPlan,
+        position: CallPosition,
+    ) -> Result<ResponseReader, Problem> {
         let request = call_request(&plan, &position);
         match self.programs.begin(request).await? {
-            Taken::Attach(log) => Ok(log.reader()),
-            Taken::Answered(answer) => Ok(repeat(&plan, &answer).reader()),
-            Taken::Run {
+            CallDisposition::Attach(log) => Ok(log.reader()),
+            CallDisposition::Answered(answer) => Ok(replay_response(&plan, &answer).reader()),
+            CallDisposition::Run {
                 call,
                 usage,
                 prefix_endpoint_id,
             } => {
                 let reader = call.log.reader();
-                let latest = self.latest_start(&plan);
+                let slot_deadline = self.slot_deadline(&plan);
                 let log = Arc::clone(&call.log);
-                let tried = Vec::new();
+                let attempted_endpoints = Vec::new();
                 let started = ProgramCall {
                     plan,
                     position,
                     log,
                     usage,
                     prefix_endpoint_id,
-                    latest,
-                    tried,
+                    slot_deadline,
+                    attempted_endpoints,
                 };
                 let runner = self.clone();
-                // A task of its own: the call goes on when its caller is gone.
+                // A separate task lets the call complete after its caller has disconnected.
                 tokio::spawn(async move { runner.run_program_call(started, call).await });
                 Ok(reader)
             }
@@ -94,18 +100,20 @@
 
     async fn run_program_call(&self, mut call: ProgramCall, running: RunningCall) {
         let RunningCall { mut stop, .. } = running;
-        let mut quota_paid = false;
-        self.note_call(&call.plan);
+        let mut quota_admitted = false;
+        self.record_call(&call.plan);
         loop {
-            let outcome = self.try_program_call(&mut call, &mut stop, &mut quota_paid).await;
+            let outcome = self
+                .attempt_program_call(&mut call, &mut stop, &mut quota_admitted)
+                .await;
             match outcome {
-                Ok(rest) => return finish(&call.log, rest),
-                Err(Retry::Never(problem)) => return call.log.fail(&problem),
-                Err(Retry::Elsewhere(problem)) => {
-                    let Some(wait) = self.draw_retry(&call.plan, &call.tried) else {
+                Ok(remaining_frames) => return push_final_frames(&call.log, remaining_frames),
+                Err(AttemptError::Final(problem)) => return call.log.fail(&problem),
+                Err(AttemptError::Retryable(problem)) => {
+                    let Some(backoff) = self.acquire_retry(&call.plan, &call.attempted_endpoints) else {
                         return call.log.fail(&problem);
                     };
-                    tokio::time::sleep(wait).await;
+                    tokio::time::sleep(backoff).await;
                     let Some(reopened) = self.reopen(&call).await else {
                         return call.log.fail(&problem);
                     };
@@ -115,40 +123,40 @@
         }
     }
 
-    /// One pass from the queue to the recorded result.
-    async fn try_program_call(
+    /// Performs one attempt, from the wait for a slot to the journaled result.
+    async fn attempt_program_call(
         &self,
         call: &mut ProgramCall,
         stop: &mut tokio::sync::watch::Receiver<bool>,
-        quota_paid: &mut bool,
-    ) -> Result<Vec<Frame>, Retry> {
-        let queued = clock();
-        let slot = match self.wait_for_slot(call, stop, quota_paid).await {
+        quota_admitted: &mut bool,
+    ) -> Result<Vec<Frame>, AttemptError> {
+        let queued = start_timer();
+        let slot = match self.wait_for_slot(call, stop, quota_admitted).await {
             Ok(slot) => slot,
             Err(problem) => {
-                self.note_refusal(&call.plan, &problem);
+                self.record_refusal(&call.plan, &problem);
                 self.programs.withdraw(call.position.program_id.clone());
-                return Err(Retry::Never(problem));
+                return Err(AttemptError::Final(problem));
             }
         };
-        self.note_queue(&call.plan, queued);
-        call.tried.push(slot.endpoint_id.clone());
+        self.record_queue_wait(&call.plan, queued);
+        call.attempted_endpoints.push(slot.endpoint_id.clone());
         let guard = SlotGuard::new(self, slot.clone());
         let placement = Placement {
             pool_id: slot.pool_id.clone(),
             endpoint_id: slot.endpoint_id.clone(),
-            wanted_tokens: self.wanted_tokens(&call.plan.work),
+            wanted_tokens: self.max_output_tokens(&call.plan.payload),
         };
         let sent = self
             .programs
             .send(call.position.program_id.clone(), placement)
             .await;
-        let (sending, appended) = sent.map_err(|refusal| Retry::Never(refusal.into()))?;
-        if let Err(problem) = recorded(appended).await {
-            guard.close(SlotReport::default());
-            return Err(Retry::Never(self.give_up(call, problem).await));
+        let (sending, appended) = sent.map_err(|refusal| AttemptError::Final(refusal.into()))?;
+        if let Err(problem) = wait_durable(appended).await {
+            guard.release(SlotReport::default());
+            return Err(AttemptError::Final(self.settle_not_run(call, problem).await));
         }
-        let mut progress = Progress::Sent;
+        let mut status = AttemptStatus::Ended;
         let attempt = Attempt {
             plan: &call.plan,
             slot: &slot,
@@ -161,25 +169,26 @@
         let deadline = call.plan.deadline.min(Instant::now() + sending.time_left);
         let end = tokio::select! {
             end = self.attempt(&attempt) => end,
-            stopped = self.stopped(call, stop, deadline) => {
-                progress = Progress::Waiting;
-                stopped_end(stopped, sending.reserved_tokens)
+            problem = self.wait_for_stop(call, stop, deadline) => {
+                status = AttemptStatus::Interrupted;
+                interrupted_attempt(problem, sending.reserved_tokens)
             }
         };
-        self.note_answer(&call.plan, &end.report);
-        self.note_waste(call, &end.report);
-        guard.close(end.report);
-        self.settle(call, end, progress).await
+        self.record_first_token(&call.plan, &end.report);
+        self.record_recomputed_prefix(call, &end.report);
+        guard.release(end.report);
+        self.settle(call, end, status).await
     }
 
-    /// Takes note of the history that the engine had to compute again.
-    fn note_waste(&self, call: &ProgramCall, report: &SlotReport) {
-        let known = CompletionRequest::estimated_tokens(call.usage.history_bytes);
-        let wasted = known
+    /// Records how many history tokens the engine had to compute again because they were not cached.
+    fn record_recomputed_prefix(&self, call: &ProgramCall, report: &SlotReport) {
+        let history_tokens = CompletionRequest::estimated_tokens(call.usage.history_bytes);
+        let recomputed_tokens = history_tokens
             .min(report.prompt_tokens)
             .saturating_sub(report.cached_tokens);
-        if wasted > 0 {
-            self.telemetry.cache_wasted(&call.plan.caller.account_id, wasted);
+        if recomputed_tokens > 0 {
+            self.telemetry
+                .cache_wasted(&call.plan.caller.account_id, recomputed_tokens);
         }
     }
 
@@ -187,27 +196,27 @@
         &self,
         call: &ProgramCall,
         stop: &mut tokio::sync::watch::Receiver<bool>,
-        quota_paid: &mut bool,
+        quota_admitted: &mut bool,
     ) -> Result<Slot, Problem> {
         let account_id = &call.plan.caller.account_id;
-        if !*quota_paid && !account_id.is_empty() {
-            self.quota.admit(account_id, call.latest).await?;
-            *quota_paid = true;
+        if !*quota_admitted && !account_id.is_empty() {
+            self.quota.admit(account_id, call.slot_deadline).await?;
+            *quota_admitted = true;
         }
         let request = self.slot_request(call);
         let slot = tokio::select! {
             slot = self.dispatcher.acquire(request) => slot?,
-            problem = self.stopped(call, stop, call.plan.deadline) => return Err(problem.ran(Ran::No)),
+            problem = self.wait_for_stop(call, stop, call.plan.deadline) => return Err(problem.ran(Ran::No)),
         };
-        if self.key_works(&call.plan.caller) {
+        if self.is_key_valid(&call.plan.caller) {
             return Ok(slot);
         }
         self.dispatcher.release(slot, SlotReport::default());
-        Err(withdrawn())
+        Err(key_withdrawn_problem())
     }
 
-    /// Waits until the call has to stop, and says why.
-    async fn stopped(
+    /// Waits until the call must stop, and returns the reason.
+    async fn wait_for_stop(
         &self,
         call: &ProgramCall,
         stop: &mut tokio::sync::watch::Receiver<bool>,
@@ -215,15 +224,15 @@
     ) -> Problem {
         tokio::select! {
             _ = stop.wait_for(|stopped| *stopped) => {
-                Problem::new(ProblemKind::Stopped, "the program ended while the call ran").ran(Ran::Unknown)
+                Problem::new(ProblemKind::Stopped, "the program ended before the call completed").ran(Ran::Unknown)
             }
-            () = self.key_withdrawn(&call.plan.caller) => withdrawn().ran(Ran::Unknown),
+            () = self.wait_until_key_withdrawn(&call.plan.caller) => key_withdrawn_problem().ran(Ran::Unknown),
             () = tokio::time::sleep_until(deadline) => timed_out(),
         }
     }
 
-    /// Records that a call whose intent could not be made durable was not sent.
-    async fn give_up(&self, call: &ProgramCall, problem: Problem) -> Problem {
+    /// Settles a call whose intent could not be made durable as not run, and returns the problem.
+    async fn settle_not_run(&self, call: &ProgramCall, problem: Problem) -> Problem {
         let settlement = Settlement {
             program_id: call.position.program_id.clone(),
             outcome: Outcome::NotRun,
@@ -239,8 +248,8 @@
         &self,
         call: &ProgramCall,
         end: AttemptEnd,
-        progress: Progress,
-    ) -> Result<Vec<Frame>, Retry> {
+        status: AttemptStatus,
+    ) -> Result<Vec<Frame>, AttemptError> {
         let program_id = call.position.program_id.clone();
         let outcome = outcome(&call.plan, &end);
         let settlement = Settlement {
@@ -249,20 +258,22 @@
             spent_tokens: end.spent_tokens,
         };
         let settled = self.programs.settle(settlement).await;
-        let Whole { rest, .. } = match end.result {
-            Ok(whole) => whole,
-            Err(failure) => return Err(retry(call, failure, progress)),
+        let CompleteResponse { remaining_frames, .. } = match end.result {
+            Ok(response) => response,
+            Err(failure) => return Err(attempt_error(call, failure, status)),
         };
         let Some(appended) = settled else {
-            return Err(Retry::Never(moved_after_run()));
+            return Err(AttemptError::Final(moved_after_run()));
         };
-        match recorded(appended).await {
-            Ok(()) => Ok(rest),
-            Err(problem) => Err(Retry::Never(problem.ran(Ran::Yes))),
+        match wait_durable(appended).await {
+            Ok(()) => Ok(remaining_frames),
+            Err(problem) => Err(AttemptError::Final(problem.ran(Ran::Yes))),
         }
     }
 
-    /// Opens the call again for another attempt; none when the program no longer takes it.
+    /// Reopens the call for another attempt.
+    ///
+    /// Returns `None` if the program no longer accepts it.
     async fn reopen(&self, call: &ProgramCall) -> Option<RunningCall> {
         let request = call_request(&call.plan, &call.position);
         self.programs.reopen(request, Arc::clone(&call.log)).await
@@ -274,48 +285,48 @@
             account_id: call.plan.caller.account_id.clone(),
             program_id: Some(call.position.program_id.clone()),
             call_number: call.position.number,
-            prompt_tokens: prompt_tokens(&call.plan.work, call.usage.history_bytes),
-            max_output_tokens: self.wanted_tokens(&call.plan.work),
+            prompt_tokens: estimated_prompt_tokens(&call.plan.payload, call.usage.history_bytes),
+            max_output_tokens: self.max_output_tokens(&call.plan.payload),
             attained_tokens: call.usage.attained_tokens,
             prefix_endpoint_id: call.prefix_endpoint_id.clone(),
-            excluded: self.excluded(&call.plan, &call.tried),
-            latest: call.latest,
+            excluded: self.excluded_endpoints(&call.plan, &call.attempted_endpoints),
+            deadline: call.slot_deadline,
         }
     }
 }
 
-/// Whether a failed pass is followed by another.
+/// The failure of one attempt of a program's call.
 #[derive(Debug)]
-enum Retry {
-    Never(Problem),
-    Elsewhere(Problem),
+enum AttemptError {
+    Final(Problem),
+    Retryable(Problem),
 }
 
-/// Whether a failed pass is followed by another.
-fn retry(call: &ProgramCall, failure: Failure, progress: Progress) -> Retry {
-    let again = progress == Progress::Sent
-        && Instant::now() < call.latest
-        && may_repeat(&call.plan, &failure, &call.log);
-    if again {
-        Retry::Elsewhere(failure.problem)
+/// Classifies a failure as final or retryable.
+fn attempt_error(call: &ProgramCall, failure: Failure, status: AttemptStatus) -> AttemptError {
+    let may_retry_now = status == AttemptStatus::Ended
+        && Instant::now() < call.slot_deadline
+        && may_retry(&call.plan, &failure, &call.log);
+    if may_retry_now {
+        AttemptError::Retryable(failure.problem)
     } else {
-        Retry::Never(failure.problem)
+        AttemptError::Final(failure.problem)
     }
 }
 
 /// Waits until an append is durable.
-pub(crate) async fn recorded(appended: Appended) -> Result<(), Problem> {
+pub(crate) async fn wait_durable(appended: Appended) -> Result<(), Problem> {
     match appended.await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(error)) => Err(error.into()),
-        // The journal is gone without an answer, as when the process stops.
+        // The journal was dropped without a result, which happens when the process stops.
         Err(_) => Err(JournalError::Fenced.into()),
     }
 }
 
-fn outcome(plan: &Plan, end: &AttemptEnd) -> Outcome {
+fn outcome(plan: &CallPlan, end: &AttemptEnd) -> Outcome {
     let failure = match &end.result {
-        Ok(whole) => return Outcome::Answered(whole.answer.clone()),
+        Ok(response) => return Outcome::Answered(response.answer.clone()),
         Err(failure) => failure,
     };
     let reason = failure.problem.detail.clone();
@@ -326,10 +337,10 @@
     }
 }
 
-fn stopped_end(problem: Problem, spent_tokens: u64) -> AttemptEnd {
+fn interrupted_attempt(problem: Problem, spent_tokens: u64) -> AttemptEnd {
     let failure = Failure {
         problem,
-        elsewhere: false,
+        retryable: false,
     };
     AttemptEnd {
         result: Err(failure),
@@ -345,17 +356,17 @@
         .retry_after(std::time::Duration::from_secs(1))
 }
 
-fn finish(log: &AnswerLog, rest: Vec<Frame>) {
-    for frame in rest {
+fn push_final_frames(log: &ResponseLog, remaining_frames: Vec<Frame>) {
+    for frame in remaining_frames {
         log.push(frame);
     }
     log.push(Frame::End);
 }
 
-fn call_request(plan: &Plan, position: &ProgramPosition) -> CallRequest {
-    let messages = match &plan.work {
-        Work::Completion(request) => request.messages.clone(),
-        Work::Service(_) => Vec::new(),
+fn call_request(plan: &CallPlan, position: &CallPosition) -> CallRequest {
+    let messages = match &plan.payload {
+        CallPayload::Completion(request) => request.messages.clone(),
+        CallPayload::Service(_) => Vec::new(),
     };
     CallRequest {
         account_id: plan.caller.account_id.clone(),
@@ -363,22 +374,22 @@
         number: position.number,
         digest: plan.digest,
         route_id: plan.route_id.clone(),
-        kind: plan.work.kind(),
+        kind: plan.payload.kind(),
         idempotent: plan.idempotent,
         messages,
-        keeps_prefix: plan.keeps_prefix && plan.work.kind() == CallKind::Completion,
+        keeps_prefix: plan.keeps_prefix && plan.payload.kind() == CallKind::Completion,
     }
 }
 
-/// A recorded answer in the form that the caller asks for.
-fn repeat(plan: &Plan, answer: &Answer) -> Arc<AnswerLog> {
-    let Work::Completion(request) = &plan.work else {
+/// Returns a recorded response in the format that the caller requested.
+fn replay_response(plan: &CallPlan, answer: &Answer) -> Arc<ResponseLog> {
+    let CallPayload::Completion(request) = &plan.payload else {
         let head = Head::new(answer.status, &answer.content_type);
-        return AnswerLog::whole(head, Bytes::from(answer.body.clone()));
+        return ResponseLog::complete(head, Bytes::from(answer.body.clone()));
     };
     if request.stream {
         let head = Head::new(200, EVENT_STREAM_CONTENT_TYPE);
-        return AnswerLog::whole(head, stream_body(answer, request.include_usage));
+        return ResponseLog::complete(head, stream_body(answer, request.include_usage));
     }
-    AnswerLog::whole(Head::new(200, JSON_CONTENT_TYPE), whole_body(answer))
+    ResponseLog::complete(Head::new(200, JSON_CONTENT_TYPE), json_body(answer))
 }
--- a/crates/burdockroad-daemon/src/calls/service.rs
+++ b/crates/burdockroad-daemon/src/calls/service.rs
@@ -1,10 +1,10 @@
-//! Requests to plain services: what of a caller's request reaches them.
+//! Requests to plain services, and filtering of the headers and targets that reach them.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, Method, header};
 
-/// Headers that concern one connection, or that the system sets itself.
-const DROPPED_HEADERS: [HeaderName; 11] = [
+/// Request headers that apply to one connection, or that burdockroad sets itself.
+const STRIPPED_REQUEST_HEADERS: [HeaderName; 11] = [
     header::AUTHORIZATION,
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -18,8 +18,8 @@
     header::PROXY_AUTHENTICATE,
 ];
 
-/// Headers of the system's own that no endpoint needs.
-const OWN_HEADERS: [&str; 5] = [
+/// Request headers that burdockroad interprets and endpoints do not need.
+const INTERNAL_HEADERS: [&str; 5] = [
     "program-id",
     "call-number",
     "idempotency-key",
@@ -27,8 +27,8 @@
     "x-request-id",
 ];
 
-/// Headers of an answer that concern one connection.
-const DROPPED_ANSWER_HEADERS: [HeaderName; 5] = [
+/// Response headers that apply to one connection.
+const STRIPPED_RESPONSE_HEADERS: [HeaderName; 5] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::TRAILER,
@@ -43,13 +43,13 @@
     pub method: Method,
     /// Path and query below the route.
     pub target: String,
-    /// Headers that the service may see.
+    /// Headers to forward to the service.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// Headers of a caller's request without those that contain the caller's key, whatever their names.
+/// Returns a request's headers without those that contain the caller's key, whatever their names.
 pub fn headers_without_key(headers: &HeaderMap, key: Option<&str>) -> HeaderMap {
     let mut kept = headers.clone();
     kept.remove(header::AUTHORIZATION);
@@ -57,17 +57,17 @@
     let Some(key) = key.filter(|key| !key.is_empty()) else {
         return kept;
     };
-    let tainted = kept
+    let leaking = kept
         .iter()
         .filter(|(_, value)| contains(value.as_bytes(), key.as_bytes()));
-    let tainted: Vec<HeaderName> = tainted.map(|(name, _)| name.clone()).collect();
-    for name in tainted {
+    let leaking: Vec<HeaderName> = leaking.map(|(name, _)| name.clone()).collect();
+    for name in leaking {
         kept.remove(name);
     }
     kept
 }
 
-/// Path and query of a caller's request without the query fields that contain the caller's key.
+/// Returns a request's path and query without the query fields that contain the caller's key.
 pub fn target_without_key(path_and_query: &str, key: Option<&str>) -> String {
     let Some((path, query)) = path_and_query.split_once('?') else {
         return path_and_query.to_owned();
@@ -77,7 +77,7 @@
     };
     let kept: Vec<&str> = query
         .split('&')
-        .filter(|field| !decoded(field).contains(key))
+        .filter(|field| !percent_decoded(field).contains(key))
         .collect();
     if kept.is_empty() {
         path.to_owned()
@@ -86,13 +86,13 @@
     }
 }
 
-/// Headers of a caller's request that a service may see.
+/// Returns the request headers to forward to a service.
 pub fn service_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
-    for name in &DROPPED_HEADERS {
+    for name in &STRIPPED_REQUEST_HEADERS {
         kept.remove(name);
     }
-    for name in OWN_HEADERS {
+    for name in INTERNAL_HEADERS {
         kept.remove(name);
     }
     for name in connection_headers(headers) {
@@ -101,17 +101,17 @@
     kept
 }
 
-/// Headers of a service's answer that a caller may see.
-pub fn answer_headers(headers: &HeaderMap) -> HeaderMap {
+/// Returns the response headers to forward to a caller.
+pub fn response_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
-    for name in &DROPPED_ANSWER_HEADERS {
+    for name in &STRIPPED_RESPONSE_HEADERS {
         kept.remove(name);
     }
     kept.remove("keep-alive");
     kept
 }
 
-/// Headers that the `Connection` header names.
+/// Returns the names of the headers that the `Connection` header lists.
 fn connection_headers(headers: &HeaderMap) -> Vec<String> {
     let values = headers
         .get_all(header::CONNECTION)
@@ -127,8 +127,8 @@
     text.windows(part.len()).any(|window| window == part)
 }
 
-/// A query field with its percent escapes undone, so that an escaped key is found too.
-fn decoded(field: &str) -> String {
+/// Returns a query field percent-decoded, so that an escaped key is found too.
+fn percent_decoded(field: &str) -> String {
     percent_encoding::percent_decode_str(field)
         .decode_utf8_lossy()
         .into_owned()
--- a/crates/burdockroad-daemon/src/calls/single_call.rs
+++ b/crates/burdockroad-daemon/src/calls/single_call.rs
@@ -1,93 +1,106 @@
-//! Calls outside a program, which nobody can ask for again: they are not recorded.
+//! Calls outside a program.
+//!
+//! These calls are not journaled, because a caller cannot retrieve their response later.
 
 use std::sync::Arc;
 
 use crate::{
-    answer::{AnswerLog, AnswerReader, Frame},
+    answer::{Frame, ResponseLog, ResponseReader},
     calls::{
-        CallRunner, Plan, Work,
+        CallPayload, CallPlan, CallRunner,
         attempt::{Attempt, AttemptEnd, Failure},
-        clock, withdrawn,
+        key_withdrawn_problem, start_timer,
     },
     dispatch::{Slot, SlotRequest},
     problem::{Problem, ProblemKind, Ran},
 };
 
 impl CallRunner {
-    /// Runs a call outside a program; it stops when nobody reads its answer any more.
-    pub fn single_call(&self, plan: Plan) -> AnswerReader {
-        let log = AnswerLog::new();
+    /// Starts a call outside a program and returns a reader of its response.
+    ///
+    /// The call is cancelled once all readers are dropped.
+    pub fn single_call(&self, plan: CallPlan) -> ResponseReader {
+        let log = ResponseLog::new();
         let reader = log.reader();
         let runner = self.clone();
         tokio::spawn(async move { runner.run_single(&plan, &log).await });
         reader
     }
 
-    async fn run_single(&self, plan: &Plan, log: &Arc<AnswerLog>) {
+    async fn run_single(&self, plan: &CallPlan, log: &Arc<ResponseLog>) {
         let outcome = tokio::select! {
-            outcome = self.try_single(plan, log) => outcome,
-            () = self.key_withdrawn(&plan.caller) => Err(withdrawn().ran(Ran::Unknown)),
+            outcome = self.run_single_attempts(plan, log) => outcome,
+            () = self.wait_until_key_withdrawn(&plan.caller) => Err(key_withdrawn_problem().ran(Ran::Unknown)),
             () = tokio::time::sleep_until(plan.deadline) => Err(timed_out()),
-            () = log.unread() => return,
+            () = log.wait_for_no_readers() => return,
         };
         match outcome {
             Ok(()) => log.push(Frame::End),
             Err(problem) => {
-                self.note_refusal(plan, &problem);
+                self.record_refusal(plan, &problem);
                 log.fail(&problem);
             }
         }
     }
 
-    async fn try_single(&self, plan: &Plan, log: &Arc<AnswerLog>) -> Result<(), Problem> {
-        let latest = self.latest_start(plan);
-        let queued = clock();
+    async fn run_single_attempts(&self, plan: &CallPlan, log: &Arc<ResponseLog>) -> Result<(), Problem> {
+        let slot_deadline = self.slot_deadline(plan);
+        let queued = start_timer();
         if !plan.caller.account_id.is_empty() {
-            self.quota.admit(&plan.caller.account_id, latest).await?;
+            self.quota.admit(&plan.caller.account_id, slot_deadline).await?;
         }
-        self.note_call(plan);
-        let mut tried = Vec::new();
+        self.record_call(plan);
+        let mut attempted_endpoints = Vec::new();
         loop {
             let slot = self
                 .dispatcher
-                .acquire(self.single_slot(plan, self.excluded(plan, &tried), latest))
+                .acquire(self.single_slot_request(
+                    plan,
+                    self.excluded_endpoints(plan, &attempted_endpoints),
+                    slot_deadline,
+                ))
                 .await?;
-            if !self.key_works(&plan.caller) {
+            if !self.is_key_valid(&plan.caller) {
                 self.dispatcher
                     .release(slot, crate::dispatch::SlotReport::default());
-                return Err(withdrawn());
+                return Err(key_withdrawn_problem());
             }
-            if tried.is_empty() {
-                self.note_queue(plan, queued);
+            if attempted_endpoints.is_empty() {
+                self.record_queue_wait(plan, queued);
             }
-            tried.push(slot.endpoint_id.clone());
-            let failure = match self.single_attempt(plan, &slot, log).await {
+            attempted_endpoints.push(slot.endpoint_id.clone());
+            let failure = match self.attempt_single(plan, &slot, log).await {
                 Ok(()) => return Ok(()),
                 Err(failure) => failure,
             };
-            if !may_repeat(plan, &failure, log) {
+            if !may_retry(plan, &failure, log) {
                 return Err(failure.problem);
             }
-            let Some(wait) = self.draw_retry(plan, &tried) else {
+            let Some(backoff) = self.acquire_retry(plan, &attempted_endpoints) else {
                 return Err(failure.problem);
             };
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(backoff).await;
         }
     }
 
-    async fn single_attempt(&self, plan: &Plan, slot: &Slot, log: &Arc<AnswerLog>) -> Result<(), Failure> {
-        let Work::Completion(request) = &plan.work else {
-            return self.one_attempt(plan, slot, &[], log).await;
+    async fn attempt_single(
+        &self,
+        plan: &CallPlan,
+        slot: &Slot,
+        log: &Arc<ResponseLog>,
+    ) -> Result<(), Failure> {
+        let CallPayload::Completion(request) = &plan.payload else {
+            return self.send_single(plan, slot, &[], log).await;
         };
-        self.one_attempt(plan, slot, &request.messages, log).await
+        self.send_single(plan, slot, &request.messages, log).await
     }
 
-    async fn one_attempt(
+    async fn send_single(
         &self,
-        plan: &Plan,
+        plan: &CallPlan,
         slot: &Slot,
         prompt: &[String],
-        log: &Arc<AnswerLog>,
+        log: &Arc<ResponseLog>,
     ) -> Result<(), Failure> {
         let guard = SlotGuard::new(self, slot.clone());
         let attempt = Attempt {
@@ -95,46 +108,52 @@
             slot,
             program_id: None,
             prompt,
-            max_tokens: self.wanted_tokens(&plan.work),
+            max_tokens: self.max_output_tokens(&plan.payload),
             attained_tokens: 0,
             log,
         };
         let AttemptEnd { result, report, .. } = self.attempt(&attempt).await;
-        self.note_answer(plan, &report);
-        guard.close(report);
-        let whole = result?;
-        for frame in whole.rest {
+        self.record_first_token(plan, &report);
+        guard.release(report);
+        let response = result?;
+        for frame in response.remaining_frames {
             log.push(frame);
         }
         Ok(())
     }
 
-    fn single_slot(&self, plan: &Plan, excluded: Vec<String>, latest: tokio::time::Instant) -> SlotRequest {
+    fn single_slot_request(
+        &self,
+        plan: &CallPlan,
+        excluded: Vec<String>,
+        deadline: tokio::time::Instant,
+    ) -> SlotRequest {
         SlotRequest {
             pool_ids: plan.pool_ids.clone(),
             account_id: plan.caller.account_id.clone(),
             program_id: None,
             call_number: 1,
-            prompt_tokens: prompt_tokens(&plan.work, 0),
-            max_output_tokens: self.wanted_tokens(&plan.work),
+            prompt_tokens: estimated_prompt_tokens(&plan.payload, 0),
+            max_output_tokens: self.max_output_tokens(&plan.payload),
             attained_tokens: 0,
             prefix_endpoint_id: None,
             excluded,
-            latest,
+            deadline,
         }
     }
 }
 
-/// Whether a failed call may be sent again: nothing of its answer was passed on, and it either may
-/// be repeated or certainly did not run.
-pub(super) fn may_repeat(plan: &Plan, failure: &Failure, log: &AnswerLog) -> bool {
-    let harmless = plan.idempotent || failure.problem.ran == Ran::No;
-    failure.elsewhere && harmless && !log.has_begun()
+/// Returns whether a failed call may be retried at another endpoint.
+///
+/// It may if none of its response was forwarded, and if it is idempotent or certainly did not run.
+pub(super) fn may_retry(plan: &CallPlan, failure: &Failure, log: &ResponseLog) -> bool {
+    let safe_to_retry = plan.idempotent || failure.problem.ran == Ran::No;
+    failure.retryable && safe_to_retry && !log.has_started()
 }
 
-/// Estimated tokens of a prompt, with the history before it; 0 for a service.
-pub(super) fn prompt_tokens(work: &Work, history_bytes: u64) -> u64 {
-    let Work::Completion(request) = work else {
+/// Estimates the tokens of a prompt, including the program's history; 0 for a service call.
+pub(super) fn estimated_prompt_tokens(payload: &CallPayload, history_bytes: u64) -> u64 {
+    let CallPayload::Completion(request) = payload else {
         return 0;
     };
     let new_bytes: usize = request.messages.iter().map(String::len).sum();
@@ -142,10 +161,14 @@
 }
 
 pub(super) fn timed_out() -> Problem {
-    Problem::new(ProblemKind::CallTimeout, "the call's time is over").ran(Ran::Unknown)
+    Problem::new(
+        ProblemKind::CallTimeout,
+        "the call did not complete before its deadline",
+    )
+    .ran(Ran::Unknown)
 }
 
-/// Gives a slot back even when the call that held it is dropped.
+/// A guard that releases its slot when dropped, so that a cancelled call does not leak it.
 #[derive(Debug)]
 pub(super) struct SlotGuard<'a> {
     runner: &'a CallRunner,
@@ -160,8 +183,8 @@
         }
     }
 
-    /// Gives the slot back with what was seen on it.
-    pub(super) fn close(mut self, report: crate::dispatch::SlotReport) {
+    /// Releases the slot with a report of its use.
+    pub(super) fn release(mut self, report: crate::dispatch::SlotReport) {
         if let Some(slot) = self.slot.take() {
             self.runner.dispatcher.release(slot, report);
         }
--- a/crates/burdockroad-daemon/src/daemon.rs
+++ b/crates/burdockroad-daemon/src/daemon.rs
@@ -30,7 +30,7 @@
     endpoint::{Endpoints, HttpEndpoints},
     http::{CallerServer, CallerServerParts},
     journal::{StoreRecovery, TailStore, Trees},
-    memory::{EngineMemory, MemoryAudit},
+    memory::{EnginePrefixCache, PrefixCacheAudit},
     peer::{self, PeerClients, PeerHandlers},
     platform::{self, PlatformError, SharedKeyValue},
     programs::{ProgramsHandle, ProgramsParts},
@@ -111,7 +111,7 @@
     peers: PeerServer,
     programs: Arc<ProgramsHandle>,
     config: ConfigWatch,
-    audit: MemoryAudit,
+    audit: PrefixCacheAudit,
     ticker: JoinHandle<()>,
 }
 
@@ -183,7 +183,7 @@
             limits: base.settings.limits.clone(),
         };
         let callers = CallerServer::start(caller_listener, parts);
-        let audit = MemoryAudit::start(
+        let audit = PrefixCacheAudit::start(
             base.engine_memory(),
             base.views.ownership(),
             ProgramsHandle::clone(&programs),
@@ -279,8 +279,8 @@
         Ok(ProgramsHandle::start(parts).await?)
     }
 
-    fn engine_memory(&self) -> EngineMemory {
-        EngineMemory {
+    fn engine_memory(&self) -> EnginePrefixCache {
+        EnginePrefixCache {
             endpoints: Arc::clone(&self.endpoints),
             in_force: self.in_force.clone(),
         }
--- a/crates/burdockroad-daemon/src/daemon/operators.rs
+++ b/crates/burdockroad-daemon/src/daemon/operators.rs
@@ -92,7 +92,7 @@
             ownership: OwnershipStatus {
                 version: view.version,
                 partitions: view.own_partitions().len(),
-                open_programs: self.programs.kept_trees(),
+                open_programs: self.programs.owned_tree_count(),
                 peers_heard: heard.map(|(host_id, _)| host_id.clone()).collect(),
             },
             endpoints: Vec::new(),
--- a/crates/burdockroad-daemon/src/dispatch.rs
+++ b/crates/burdockroad-daemon/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! Slots at endpoints: which call goes next, and where.
+//! Scheduling of calls onto slots at endpoints.
 //!
-//! The owner of a pool's partition gives its slots out. A host that cannot reach the owner gives out
-//! its own share of them: two sources of slots for a moment overload endpoints, and break nothing.
+//! The owner of a pool's partition grants the pool's slots. A host that cannot reach the owner grants its
+//! own share of them. While both grant slots, endpoints may be overloaded, but no guarantee is violated.
 
 mod actor;
 mod dispatcher;
@@ -17,95 +17,96 @@
 
 pub use self::dispatcher::{DispatchParts, PoolDispatcher};
 
-/// Gives out slots at the endpoints of each pool, fairly between accounts.
+/// A scheduler that grants slots at the endpoints of each pool, fairly between accounts.
 #[async_trait]
 pub trait Dispatcher: fmt::Debug + Send + Sync {
     /// Waits for a slot in one of the request's pools.
     ///
     /// # Errors
     ///
-    /// Refuses at once, and finally, when no slot can be had by the request's deadline.
+    /// Returns a refusal as soon as it is certain that no slot becomes free by the request's deadline. A
+    /// refused request is not queued any longer.
     async fn acquire(&self, request: SlotRequest) -> Result<Slot, SlotRefusal>;
 
-    /// Gives a slot back, with what was seen on it.
+    /// Releases a slot with a report of its use.
     fn release(&self, slot: Slot, report: SlotReport);
 }
 
-/// Gives the endpoint sets, as the document and the platform's host list have them.
+/// A source of endpoint sets, backed by the document and the platform's host list.
 pub trait PoolSource: fmt::Debug + Send + Sync {
-    /// Number that changes whenever one of the other answers does.
+    /// Returns a number that changes whenever the result of another method changes.
     fn version(&self) -> u64;
 
-    /// The endpoint sets.
+    /// Returns the endpoint sets.
     fn endpoint_sets(&self) -> Vec<EndpointSet>;
 
-    /// Hosts that are being taken away.
-    fn leaving_hosts(&self) -> BTreeSet<HostId>;
+    /// Returns the hosts that are about to be removed.
+    fn draining_hosts(&self) -> BTreeSet<HostId>;
 
-    /// Whether a pool's endpoints are model engines, which report load and cache events.
+    /// Returns whether a pool's endpoints are model engines, which report load and cache events.
     ///
-    /// A plain service is never asked: to it the question is a request like any other, and runs.
+    /// Plain services must not be polled: a service would execute the poll like any other request.
     fn is_engine_pool(&self, pool_id: &PoolId) -> bool;
 }
 
-/// What a call needs.
+/// A call's request for a slot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlotRequest {
     /// Pools that can serve the call, those of the program's site first.
     pub pool_ids: Vec<PoolId>,
-    /// The account that the call runs for; empty on an open route without a key.
+    /// Account of the call; empty for a call without a key on an open route.
     pub account_id: AccountId,
-    /// The program; none for a call outside a program.
+    /// Program of the call; `None` for a call outside a program.
     pub program_id: Option<ProgramId>,
-    /// The call's position in its program.
+    /// Number of the call in its program.
     pub call_number: CallNumber,
     /// Estimated tokens of the whole prompt; 0 for a service call.
     pub prompt_tokens: u64,
-    /// Tokens that the engine may generate; 0 for a service call.
+    /// Upper bound of tokens that the engine may generate; 0 for a service call.
     pub max_output_tokens: u64,
-    /// Tokens that the program's calls have had generated so far.
+    /// Tokens generated so far for the program's calls.
     pub attained_tokens: u64,
     /// Endpoint that served the program's last completion.
     pub prefix_endpoint_id: Option<EndpointId>,
-    /// Endpoints already tried for this call.
+    /// Endpoints to avoid because the call was already attempted there.
     pub excluded: Vec<EndpointId>,
-    /// When the call must have a slot.
-    pub latest: Instant,
+    /// Time by which the call must have a slot.
+    pub deadline: Instant,
 }
 
 /// A slot at an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slot {
-    /// Tells this slot from all others of its pool.
+    /// Id of the slot, unique in its pool.
     pub slot_id: u64,
-    /// Pool that the slot was taken from.
+    /// Pool of the endpoint.
     pub pool_id: PoolId,
-    /// The endpoint.
+    /// Endpoint at which the slot was granted.
     pub endpoint_id: EndpointId,
-    /// IP number and port of the endpoint.
+    /// IP address and port of the endpoint.
     pub address: String,
 }
 
-/// What was seen on a slot.
+/// A report of how a slot was used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlotReport {
-    /// Tokens of the prompt, as the engine counted them.
+    /// Prompt tokens, as reported by the engine.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt that the engine had cached.
+    /// Prompt tokens that the engine served from its cache.
     pub cached_tokens: u64,
-    /// Tokens that were generated.
+    /// Generated tokens.
     pub output_tokens: u64,
-    /// Time from sending the call to the first byte of its answer.
+    /// Time from sending the call to the first byte of the response.
     pub first_token: Option<Duration>,
     /// Whether the endpoint failed.
     pub failed: bool,
 }
 
-/// Why no slot was given. The call did not run.
+/// The refusal of a slot request. The call did not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRefusal {
-    /// What is short, in a few words for the caller.
+    /// Reason, in words that are shown to the caller.
     pub reason: String,
-    /// When a later try may succeed.
+    /// Delay after which a retry may succeed.
     pub retry_after: Duration,
 }
--- a/crates/burdockroad-daemon/src/dispatch/actor.rs
+++ b/crates/burdockroad-daemon/src/dispatch/actor.rs
@@ -11,75 +11,79 @@
 
 use crate::{
     dispatch::{
-        Slot, SlotRefusal, SlotRequest, dispatcher::DispatchParts, messages::RequestId, polling::Target,
+        Slot, SlotRefusal, SlotRequest, dispatcher::DispatchParts, messages::RequestId, polling::PollTarget,
         pools::PoolTable,
     },
     ownership::Process,
 };
 
-/// Time between two looks at what changes without a message: endpoint sets, peers, gone callers.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the actor checks for changes that no message reports: endpoint sets, peers and
+/// abandoned requests.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the actor is told.
+/// A message to the pool actor.
 #[derive(Debug)]
 pub(super) enum PoolMessage {
-    /// A call needs a slot.
+    /// Requests a slot for a call.
     Acquire {
         pool_id: PoolId,
         request: SlotRequest,
-        holder: Holder,
+        requester: SlotRequester,
         source: SlotSource,
-        reply: RpcReplyPort<Result<OfferedSlot, NoSlot>>,
+        reply: RpcReplyPort<Result<OfferedSlot, AcquireError>>,
     },
-    /// A slot is no longer used; without a report nothing is known of it.
+    /// Releases a slot; the report is absent if the use of the slot is unknown.
     Release {
         pool_id: PoolId,
         slot_id: SlotId,
         report: Option<Report>,
     },
-    /// The host that asked for a slot no longer waits for the answer.
-    GiveUp { pool_id: PoolId, holder: Holder },
-    /// The endpoints to be polled.
-    Targets(RpcReplyPort<Vec<Target>>),
-    /// An endpoint answered a poll, or did not.
-    Observed {
+    /// Cancels a request whose requester no longer waits, or reclaims the slot granted to it.
+    Cancel {
+        pool_id: PoolId,
+        requester: SlotRequester,
+    },
+    /// Requests the list of endpoints to poll.
+    PollTargets(RpcReplyPort<Vec<PollTarget>>),
+    /// Reports the result of a poll; the load is absent if the endpoint did not respond.
+    EndpointPolled {
         pool_id: PoolId,
         endpoint_id: EndpointId,
         load: Option<LoadReport>,
         events: Vec<CacheEvent>,
     },
-    /// A time that was scheduled has come; calls may have to be settled.
+    /// Signals that a scheduled time has been reached, at which requests may be granted or refused.
     Wake(Instant),
-    /// Time has passed; endpoint sets and peers may have changed.
-    Follow,
+    /// Checks endpoint sets, peers and waiting requests for changes, every [`REFRESH_INTERVAL`].
+    Refresh,
 }
 
-/// Who asked for a slot.
+/// The process and request that a slot is granted to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Holder {
+pub(super) struct SlotRequester {
     pub(super) process: Process,
     pub(super) request_id: RequestId,
 }
 
-/// Which slots a call asks for.
+/// The slots that a request is served from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SlotSource {
-    /// The pool's, from its owner.
+    /// All slots of the pool, granted by its owner.
     Owner,
-    /// This host's share of the pool's, while its owner cannot be reached.
+    /// This host's own share of the slots, while the pool's owner is unreachable.
     Share,
 }
 
-/// Why the actor gave no slot.
+/// The reason why the actor granted no slot.
 #[derive(Clone, Debug)]
-pub(super) enum NoSlot {
+pub(super) enum AcquireError {
     /// This host does not own the pool.
     NotOwner,
-    /// No slot can be had in time.
+    /// No slot can be granted.
     Refused(SlotRefusal),
 }
 
-/// A slot on its way to the call that asked for it; it goes back if that call is gone.
+/// A slot on its way to its requester; dropping the offer releases the slot.
 pub(super) struct OfferedSlot {
     slot: Option<Slot>,
     actor: ActorRef<PoolMessage>,
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Takes the slot, to be released later.
+    /// Accepts the slot, which the caller must release later.
     pub(super) fn take(mut self) -> Option<Slot> {
         self.slot.take()
     }
@@ -110,7 +114,7 @@
                 slot_id: slot.slot_id,
                 report: None,
             };
-            // An actor that has stopped keeps no slots.
+            // Once the actor has stopped, there is no slot left to release.
             self.actor.send_message(message).unwrap_or_default();
         }
     }
@@ -134,7 +138,7 @@
         myself: ActorRef<PoolMessage>,
         args: DispatchParts,
     ) -> Result<PoolTable, ActorProcessingErr> {
-        myself.send_interval(FOLLOW_INTERVAL, || PoolMessage::Follow);
+        myself.send_interval(REFRESH_INTERVAL, || PoolMessage::Refresh);
         Ok(PoolTable::new(args, myself))
     }
 
@@ -148,28 +152,28 @@
             PoolMessage::Acquire {
                 pool_id,
                 request,
-                holder,
+                requester,
                 source,
                 reply,
-            } => state.acquire(&pool_id, request, holder, source, reply),
+            } => state.acquire(&pool_id, request, requester, source, reply),
             PoolMessage::Release {
                 pool_id,
                 slot_id,
                 report,
             } => state.release(&pool_id, slot_id, report.as_ref()),
-            PoolMessage::GiveUp { pool_id, holder } => state.give_up(&pool_id, &holder),
-            PoolMessage::Targets(reply) => {
-                // The polling task may have been stopped meanwhile.
-                reply.send(state.targets()).unwrap_or_default();
+            PoolMessage::Cancel { pool_id, requester } => state.cancel_request(&pool_id, &requester),
+            PoolMessage::PollTargets(reply) => {
+                // The send fails if the polling task has been stopped.
+                reply.send(state.poll_targets()).unwrap_or_default();
             }
-            PoolMessage::Observed {
+            PoolMessage::EndpointPolled {
                 pool_id,
                 endpoint_id,
                 load,
                 events,
-            } => state.observed(&pool_id, &endpoint_id, load, &events),
+            } => state.record_poll(&pool_id, &endpoint_id, load, &events),
             PoolMessage::Wake(scheduled) => state.wake(scheduled),
-            PoolMessage::Follow => state.follow(),
+            PoolMessage::Refresh => state.refresh(),
         }
         Ok(())
     }
--- a/crates/burdockroad-daemon/src/dispatch/dispatcher.rs
+++ b/crates/burdockroad-daemon/src/dispatch/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher of this host: asks the owners of pools, and answers for the pools of its own.
+//! The dispatcher of this host, which requests slots from pool owners and grants slots of its own pools.
 
 use std::{
     collections::HashMap,
@@ -18,8 +18,8 @@
 use crate::{
     dispatch::{
         Dispatcher, PoolSource, Slot, SlotRefusal, SlotReport, SlotRequest,
-        actor::{Holder, NoSlot, OfferedSlot, PoolActor, PoolMessage, SlotSource},
-        messages::{self, Acquired, RequestId},
+        actor::{AcquireError, OfferedSlot, PoolActor, PoolMessage, SlotRequester, SlotSource},
+        messages::{self, AcquireOutcome, RequestId},
         polling,
     },
     ownership::{OwnershipReceiver, PeersReceiver, Process},
@@ -27,66 +27,69 @@
     quota::AccountLimits,
 };
 
-/// Time beyond a call's deadline that its owner's answer may take.
-const ANSWER_GRACE: Duration = Duration::from_millis(250);
+/// Time after a call's slot deadline within which the owner's response is still accepted.
+const RESPONSE_GRACE: Duration = Duration::from_millis(250);
 
-/// Tries to give a slot back to the owner of its pool, and the pause between two of them.
-const RELEASE_TRIES: u32 = 3;
-const RELEASE_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum number of attempts to return a slot to the owner of its pool.
+const RELEASE_ATTEMPTS: u32 = 3;
 
-/// Time within which an owner must take a slot back.
+/// Pause between two attempts to return a slot.
+const RELEASE_BACKOFF: Duration = Duration::from_millis(200);
+
+/// Timeout of one attempt to return a slot.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When to try again after this host's dispatcher has stopped.
+/// Retry delay that a caller is given when this host cannot grant slots.
 const STOPPED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What [`PoolDispatcher`] works with.
+/// The dependencies of [`PoolDispatcher`].
 #[derive(Clone, Debug)]
 pub struct DispatchParts {
-    /// Which host owns which pool.
+    /// Ownership map, which determines the owner of each pool.
     pub ownership: OwnershipReceiver,
-    /// Where the owners are reached, and which hosts are gone.
+    /// Addresses and liveness of the other hosts.
     pub peers: PeersReceiver,
     /// Connections to the owners.
     pub clients: Arc<PeerClients>,
-    /// The endpoint sets.
+    /// Source of the endpoint sets.
     pub source: Arc<dyn PoolSource>,
-    /// Weights of the accounts.
+    /// Scheduling weights of the accounts.
     pub limits: Arc<dyn AccountLimits>,
 }
 
-/// Gives out slots of the pools that this host owns, and gets slots of the others from their owners.
+/// A dispatcher that grants slots of the pools that this host owns and requests others from their owners.
 pub struct PoolDispatcher {
     parts: DispatchParts,
     actor: ActorRef<PoolMessage>,
     polling: JoinHandle<()>,
-    /// Where slots that other hosts gave have to be returned.
-    remote: Mutex<HashMap<(PoolId, SlotId), String>>,
+    /// Address of the host that granted each remote slot, to which the slot is returned.
+    remote_slots: Mutex<HashMap<(PoolId, SlotId), String>>,
 }
 
-/// Where a pool's slots are to be had.
+/// The owner of a pool, from which slots are acquired.
 enum Owner {
-    This,
+    Local,
     Peer { process: Process, address: String },
     Unknown,
 }
 
-/// Tells an owner, unless disarmed, that nobody waits for its answer any more.
+/// A guard that cancels a slot request at the pool's owner when dropped without being disarmed.
 ///
-/// The end of the connection does not suffice: the answer may have left the owner by then.
-struct GivenUp {
+/// Closing the connection is not enough: the owner may have sent a slot in its response by then, and
+/// would keep that slot granted until its lease expires.
+struct CancelOnDrop {
     clients: Arc<PeerClients>,
     address: String,
     request: Option<ReleaseSlotRequest>,
 }
 
-impl GivenUp {
+impl CancelOnDrop {
     fn disarm(mut self) {
         self.request = None;
     }
 }
 
-impl Drop for GivenUp {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         if let Some(request) = self.request.take()
             && let Ok(runtime) = tokio::runtime::Handle::try_current()
@@ -98,11 +101,11 @@
 }
 
 impl PoolDispatcher {
-    /// Starts the actor and the polling of endpoints.
+    /// Starts the actor and the task that polls endpoints.
     ///
     /// # Errors
     ///
-    /// Fails when the runtime takes no further actor.
+    /// Returns an error if the actor cannot be started.
     pub async fn start(parts: DispatchParts) -> Result<Self, SpawnErr> {
         let (actor, _) = Actor::spawn(None, PoolActor, parts.clone()).await?;
         let polling = tokio::spawn(polling::poll_all(actor.clone()));
@@ -110,121 +113,129 @@
             parts,
             actor,
             polling,
-            remote: Mutex::default(),
+            remote_slots: Mutex::default(),
         })
     }
 
-    /// Stops the actor and the polling; calls that wait are refused.
+    /// Stops the actor and the polling task; waiting calls are refused.
     pub fn close(self) {
         self.polling.abort();
         self.actor.stop(None);
     }
 
-    async fn acquire_in(&self, pool_id: &PoolId, request: &SlotRequest) -> Result<Slot, SlotRefusal> {
-        let acquired = match self.owner(pool_id) {
-            Owner::This => {
-                self.acquire_here(pool_id, request, self.own(), SlotSource::Owner)
+    async fn acquire_from_pool(&self, pool_id: &PoolId, request: &SlotRequest) -> Result<Slot, SlotRefusal> {
+        let outcome = match self.owner(pool_id) {
+            Owner::Local => {
+                self.acquire_local(pool_id, request, self.own_requester(), SlotSource::Owner)
                     .await
             }
             Owner::Peer { process, address } => {
                 self.acquire_remote(pool_id, request, &process, &address).await
             }
-            Owner::Unknown => Acquired::NotOwner,
+            Owner::Unknown => AcquireOutcome::NotOwner,
         };
-        let acquired = match acquired {
-            // Nobody who owns the pool can be reached.
-            Acquired::NotOwner => {
-                self.acquire_here(pool_id, request, self.own(), SlotSource::Share)
+        let outcome = match outcome {
+            // The pool's owner is unknown or unreachable.
+            AcquireOutcome::NotOwner => {
+                self.acquire_local(pool_id, request, self.own_requester(), SlotSource::Share)
                     .await
             }
-            acquired => acquired,
+            outcome => outcome,
         };
-        match acquired {
-            Acquired::Slot(slot) => Ok(slot),
-            Acquired::Refused(refusal) => Err(refusal),
-            Acquired::NotOwner => Err(stopped()),
+        match outcome {
+            AcquireOutcome::Slot(slot) => Ok(slot),
+            AcquireOutcome::Refused(refusal) => Err(refusal),
+            AcquireOutcome::NotOwner => Err(unavailable()),
         }
     }
 
-    async fn acquire_here(
+    async fn acquire_local(
         &self,
         pool_id: &PoolId,
         request: &SlotRequest,
-        holder: Holder,
+        requester: SlotRequester,
         source: SlotSource,
-    ) -> Acquired {
-        match self.offered(pool_id, request.clone(), holder, source).await {
-            Ok(offered) => offered.take().map_or(Acquired::NotOwner, Acquired::Slot),
-            Err(NoSlot::Refused(refusal)) => Acquired::Refused(refusal),
-            Err(NoSlot::NotOwner) => Acquired::NotOwner,
+    ) -> AcquireOutcome {
+        match self
+            .request_offer(pool_id, request.clone(), requester, source)
+            .await
+        {
+            Ok(offer) => offer
+                .take()
+                .map_or(AcquireOutcome::NotOwner, AcquireOutcome::Slot),
+            Err(AcquireError::Refused(refusal)) => AcquireOutcome::Refused(refusal),
+            Err(AcquireError::NotOwner) => AcquireOutcome::NotOwner,
         }
     }
 
-    async fn offered(
+    async fn request_offer(
         &self,
         pool_id: &PoolId,
         request: SlotRequest,
-        holder: Holder,
+        requester: SlotRequester,
         source: SlotSource,
-    ) -> Result<OfferedSlot, NoSlot> {
+    ) -> Result<OfferedSlot, AcquireError> {
         let (sender, receiver) = oneshot::channel();
         let message = PoolMessage::Acquire {
             pool_id: pool_id.clone(),
             request,
-            holder,
+            requester,
             source,
             reply: sender.into(),
         };
-        let stopped = || NoSlot::Refused(stopped());
+        let actor_stopped = || AcquireError::Refused(unavailable());
         match self.actor.send_message(message) {
-            Ok(()) => receiver.await.unwrap_or_else(|_| Err(stopped())),
-            Err(_) => Err(stopped()),
+            Ok(()) => receiver.await.unwrap_or_else(|_| Err(actor_stopped())),
+            Err(_) => Err(actor_stopped()),
         }
     }
 
-    /// Asks the owner, until it answers, the deadline has passed or the owner is gone.
+    /// Requests a slot from the pool's owner at another host.
+    ///
+    /// The request ends when the owner responds, when it becomes unreachable, or at the request's deadline
+    /// plus [`RESPONSE_GRACE`].
     async fn acquire_remote(
         &self,
         pool_id: &PoolId,
         request: &SlotRequest,
         owner: &Process,
         address: &str,
-    ) -> Acquired {
+    ) -> AcquireOutcome {
         let Ok(mut client) = self.parts.clients.get(address) else {
-            return Acquired::NotOwner;
+            return AcquireOutcome::NotOwner;
         };
         let request_id = rand::random::<RequestId>().max(1);
-        let message = messages::to_acquire(&self.me(), pool_id, request, request_id);
-        let given_up = GivenUp {
+        let message = messages::to_acquire(&self.own_process(), pool_id, request, request_id);
+        let cancel_on_drop = CancelOnDrop {
             clients: Arc::clone(&self.parts.clients),
             address: address.to_owned(),
-            request: Some(messages::to_give_up(&self.me(), pool_id, request_id)),
+            request: Some(messages::to_cancel(&self.own_process(), pool_id, request_id)),
         };
-        let answer = tokio::select! {
-            answer = client.acquire_slot(message) => answer,
-            () = self.gone(owner) => return Acquired::NotOwner,
-            () = tokio::time::sleep_until(request.latest + ANSWER_GRACE) => return Acquired::NotOwner,
+        let response = tokio::select! {
+            response = client.acquire_slot(message) => response,
+            () = self.wait_until_unreachable(owner) => return AcquireOutcome::NotOwner,
+            () = tokio::time::sleep_until(request.deadline + RESPONSE_GRACE) => return AcquireOutcome::NotOwner,
         };
-        let Ok(answer) = answer else {
-            return Acquired::NotOwner;
+        let Ok(response) = response else {
+            return AcquireOutcome::NotOwner;
         };
-        given_up.disarm();
-        let acquired = messages::from_response(pool_id, answer.into_inner());
-        if let Acquired::Slot(slot) = &acquired {
-            self.remote()
+        cancel_on_drop.disarm();
+        let outcome = messages::from_response(pool_id, response.into_inner());
+        if let AcquireOutcome::Slot(slot) = &outcome {
+            self.remote_slots()
                 .insert((pool_id.clone(), slot.slot_id), address.to_owned());
         }
-        acquired
+        outcome
     }
 
-    /// Resolves when a process is no longer heard.
-    async fn gone(&self, process: &Process) {
+    /// Waits until a peer process is no longer live.
+    async fn wait_until_unreachable(&self, process: &Process) {
         let mut peers = self.parts.peers.clone();
-        let is_gone = |peers: &Arc<crate::ownership::PeersView>| {
+        let is_unreachable = |peers: &Arc<crate::ownership::PeersView>| {
             let peer = peers.peers.get(&process.host_id);
             !peer.is_some_and(|peer| peer.alive && peer.process == *process)
         };
-        if peers.wait_for(is_gone).await.is_err() {
+        if peers.wait_for(is_unreachable).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
@@ -233,7 +244,7 @@
         let view = self.parts.ownership.borrow();
         let partition = partition_of(pool_id);
         if view.owns(partition) {
-            return Owner::This;
+            return Owner::Local;
         }
         let Some(owner) = view.owner(partition) else {
             return Owner::Unknown;
@@ -248,19 +259,19 @@
         }
     }
 
-    fn me(&self) -> Process {
+    fn own_process(&self) -> Process {
         self.parts.ownership.borrow().me.clone()
     }
 
-    fn own(&self) -> Holder {
-        Holder {
-            process: self.me(),
+    fn own_requester(&self) -> SlotRequester {
+        SlotRequester {
+            process: self.own_process(),
             request_id: 0,
         }
     }
 
-    fn remote(&self) -> std::sync::MutexGuard<'_, HashMap<(PoolId, SlotId), String>> {
-        self.remote.lock().unwrap_or_else(PoisonError::into_inner)
+    fn remote_slots(&self) -> std::sync::MutexGuard<'_, HashMap<(PoolId, SlotId), String>> {
+        self.remote_slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -268,17 +279,17 @@
 impl Dispatcher for PoolDispatcher {
     async fn acquire(&self, request: SlotRequest) -> Result<Slot, SlotRefusal> {
         let started_at = Instant::now();
-        let mut refused = None;
+        let mut first_refusal = None;
         for pool_id in &request.pool_ids {
-            match self.acquire_in(pool_id, &request).await {
+            match self.acquire_from_pool(pool_id, &request).await {
                 Ok(slot) => {
-                    record(pool_id, &request, started_at.elapsed());
+                    record_slot_wait(pool_id, &request, started_at.elapsed());
                     return Ok(slot);
                 }
-                Err(refusal) => refused = refused.or(Some(refusal)),
+                Err(refusal) => first_refusal = first_refusal.or(Some(refusal)),
             }
         }
-        Err(refused.unwrap_or_else(|| SlotRefusal {
+        Err(first_refusal.unwrap_or_else(|| SlotRefusal {
             reason: "the route has no endpoint set".to_owned(),
             retry_after: STOPPED_RETRY_AFTER,
         }))
@@ -286,17 +297,17 @@
 
     fn release(&self, slot: Slot, report: SlotReport) {
         let key = (slot.pool_id.clone(), slot.slot_id);
-        let Some(address) = self.remote().remove(&key) else {
+        let Some(address) = self.remote_slots().remove(&key) else {
             let message = PoolMessage::Release {
                 pool_id: slot.pool_id,
                 slot_id: slot.slot_id,
                 report: Some(report.into()),
             };
-            // An actor that has stopped keeps no slots.
+            // Once the actor has stopped, there is no slot left to release.
             self.actor.send_message(message).unwrap_or_default();
             return;
         };
-        let request = messages::to_release(&self.me(), &slot, &report);
+        let request = messages::to_release(&self.own_process(), &slot, &report);
         tokio::spawn(release_remote(Arc::clone(&self.parts.clients), address, request));
     }
 }
@@ -304,25 +315,25 @@
 #[async_trait]
 impl SlotHandler for PoolDispatcher {
     async fn acquire(&self, request: AcquireSlotRequest) -> AcquireSlotResponse {
-        let holder = Holder {
+        let requester = SlotRequester {
             process: messages::process(request.from.as_ref()),
             request_id: request.request_id,
         };
         let pool_id = request.pool.clone();
         let request = messages::from_acquire(request);
         match self
-            .acquire_here(&pool_id, &request, holder, SlotSource::Owner)
+            .acquire_local(&pool_id, &request, requester, SlotSource::Owner)
             .await
         {
-            Acquired::Slot(slot) => messages::slot_response(slot),
-            Acquired::Refused(refusal) => messages::refused_response(refusal, false),
-            Acquired::NotOwner => messages::refused_response(stopped(), true),
+            AcquireOutcome::Slot(slot) => messages::slot_response(slot),
+            AcquireOutcome::Refused(refusal) => messages::refused_response(refusal, false),
+            AcquireOutcome::NotOwner => messages::refused_response(unavailable(), true),
         }
     }
 
     async fn release(&self, request: ReleaseSlotRequest) -> ReleaseSlotResponse {
-        let message = to_message(&request);
-        // An actor that has stopped keeps no slots.
+        let message = release_message(&request);
+        // Once the actor has stopped, there is no slot left to release.
         self.actor.send_message(message).unwrap_or_default();
         ReleaseSlotResponse {}
     }
@@ -334,14 +345,14 @@
     }
 }
 
-fn to_message(request: &ReleaseSlotRequest) -> PoolMessage {
+fn release_message(request: &ReleaseSlotRequest) -> PoolMessage {
     let pool_id = request.pool.clone();
     if request.given_up_request_id != 0 {
-        let holder = Holder {
+        let requester = SlotRequester {
             process: messages::process(request.from.as_ref()),
             request_id: request.given_up_request_id,
         };
-        return PoolMessage::GiveUp { pool_id, holder };
+        return PoolMessage::Cancel { pool_id, requester };
     }
     PoolMessage::Release {
         pool_id,
@@ -350,16 +361,18 @@
     }
 }
 
-/// Gives a slot back; one that cannot be returned is free when its lease ends.
+/// Returns a slot to the owner of its pool.
+///
+/// A slot that cannot be returned becomes free when its lease expires.
 async fn release_remote(clients: Arc<PeerClients>, address: String, request: ReleaseSlotRequest) {
-    for _ in 0..RELEASE_TRIES {
+    for _ in 0..RELEASE_ATTEMPTS {
         if let Ok(mut client) = clients.get(&address)
             && let Ok(Ok(_)) =
                 tokio::time::timeout(RELEASE_TIMEOUT, client.release_slot(request.clone())).await
         {
             return;
         }
-        tokio::time::sleep(RELEASE_PAUSE).await;
+        tokio::time::sleep(RELEASE_BACKOFF).await;
     }
     log::warn!(
         "event=slot_not_returned pool={} slot={}",
@@ -368,14 +381,14 @@
     );
 }
 
-fn stopped() -> SlotRefusal {
+fn unavailable() -> SlotRefusal {
     SlotRefusal {
-        reason: "no slots are given out here now".to_owned(),
+        reason: "this host cannot grant slots at present".to_owned(),
         retry_after: STOPPED_RETRY_AFTER,
     }
 }
 
-fn record(pool_id: &PoolId, request: &SlotRequest, waited: Duration) {
+fn record_slot_wait(pool_id: &PoolId, request: &SlotRequest, waited: Duration) {
     let labels = [("pool", pool_id.clone()), ("account", request.account_id.clone())];
     metrics::histogram!("burdockroad_slot_wait_seconds", &labels).record(waited.as_secs_f64());
 }
--- a/crates/burdockroad-daemon/src/dispatch/messages.rs
+++ b/crates/burdockroad-daemon/src/dispatch/messages.rs
@@ -1,4 +1,4 @@
-//! Slots in the messages between daemons.
+//! Conversion of slot requests, responses and releases to and from messages between daemons.
 
 use std::time::Duration;
 
@@ -14,15 +14,15 @@
     ownership::Process,
 };
 
-/// When to try again with an owner that answered nothing.
+/// Retry delay after an owner's response without a result.
 const EMPTY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Names a request for a slot among all of the host that sent it; 0 for the owner's own.
+/// The id of a slot request, unique at the host that sent it; 0 for requests at the owner itself.
 pub(super) type RequestId = u64;
 
-/// An owner's answer, read from a message.
+/// The outcome of a slot request.
 #[derive(Clone, Debug)]
-pub(super) enum Acquired {
+pub(super) enum AcquireOutcome {
     Slot(Slot),
     Refused(SlotRefusal),
     /// The host does not own the pool.
@@ -35,7 +35,7 @@
     request: &SlotRequest,
     request_id: RequestId,
 ) -> AcquireSlotRequest {
-    let timeout = request.latest.saturating_duration_since(Instant::now());
+    let timeout = request.deadline.saturating_duration_since(Instant::now());
     AcquireSlotRequest {
         from: Some(host_ref(from)),
         pool: pool_id.to_owned(),
@@ -57,14 +57,14 @@
     SlotRequest {
         pool_ids: vec![request.pool],
         account_id: request.account_id,
-        program_id: some(request.program_id),
+        program_id: non_empty(request.program_id),
         call_number: request.call_number,
         prompt_tokens: request.prompt_tokens,
         max_output_tokens: request.max_output_tokens,
         attained_tokens: request.attained_tokens,
-        prefix_endpoint_id: some(request.prefix_endpoint),
+        prefix_endpoint_id: non_empty(request.prefix_endpoint),
         excluded: request.excluded,
-        latest: Instant::now() + Duration::from_millis(request.timeout_ms),
+        deadline: Instant::now() + Duration::from_millis(request.timeout_ms),
     }
 }
 
@@ -90,21 +90,23 @@
     }
 }
 
-pub(super) fn from_response(pool_id: &str, response: AcquireSlotResponse) -> Acquired {
+pub(super) fn from_response(pool_id: &str, response: AcquireSlotResponse) -> AcquireOutcome {
     match response.result {
-        Some(acquire_slot_response::Result::Slot(slot)) => Acquired::Slot(Slot {
+        Some(acquire_slot_response::Result::Slot(slot)) => AcquireOutcome::Slot(Slot {
             slot_id: slot.slot_id,
             pool_id: pool_id.to_owned(),
             endpoint_id: slot.endpoint_id,
             address: slot.address,
         }),
-        Some(acquire_slot_response::Result::Refused(refused)) if refused.not_owner => Acquired::NotOwner,
-        Some(acquire_slot_response::Result::Refused(refused)) => Acquired::Refused(SlotRefusal {
+        Some(acquire_slot_response::Result::Refused(refused)) if refused.not_owner => {
+            AcquireOutcome::NotOwner
+        }
+        Some(acquire_slot_response::Result::Refused(refused)) => AcquireOutcome::Refused(SlotRefusal {
             reason: refused.reason,
             retry_after: Duration::from_millis(refused.retry_after_ms),
         }),
-        None => Acquired::Refused(SlotRefusal {
-            reason: "the pool's owner gave no answer".to_owned(),
+        None => AcquireOutcome::Refused(SlotRefusal {
+            reason: "the pool's owner sent a response without a result".to_owned(),
             retry_after: EMPTY_RETRY_AFTER,
         }),
     }
@@ -124,8 +126,8 @@
     }
 }
 
-/// Tells an owner that nobody waits for the answer to a request any more.
-pub(super) fn to_give_up(from: &Process, pool_id: &str, request_id: RequestId) -> ReleaseSlotRequest {
+/// Returns the message that cancels a request at a pool's owner.
+pub(super) fn to_cancel(from: &Process, pool_id: &str, request_id: RequestId) -> ReleaseSlotRequest {
     ReleaseSlotRequest {
         from: Some(host_ref(from)),
         pool: pool_id.to_owned(),
@@ -171,7 +173,7 @@
     }
 }
 
-fn some(text: String) -> Option<String> {
+fn non_empty(text: String) -> Option<String> {
     (!text.is_empty()).then_some(text)
 }
 
--- a/crates/burdockroad-daemon/src/dispatch/polling.rs
+++ b/crates/burdockroad-daemon/src/dispatch/polling.rs
@@ -1,4 +1,4 @@
-//! Polls of the endpoints' load and cache events.
+//! Polling of the load and cache events of model engines.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -19,40 +19,40 @@
 
 use crate::dispatch::actor::PoolMessage;
 
-/// Time between two polls of an endpoint.
+/// Interval between two polls of an endpoint.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time within which an endpoint must answer a poll.
+/// Timeout of a poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer to a poll, in bytes.
-const ANSWER_MAX_BYTES: usize = 1024 * 1024;
+/// Maximum size of a poll response, in bytes.
+const RESPONSE_MAX_BYTES: usize = 1024 * 1024;
 
 type HttpClient = Client<HttpConnector, Empty<Bytes>>;
 
-/// An endpoint to be polled.
+/// An endpoint to poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Target {
+pub(super) struct PollTarget {
     pub(super) pool_id: PoolId,
     pub(super) endpoint_id: EndpointId,
     pub(super) address: String,
 }
 
-/// What an endpoint answers at `/load`.
+/// The response body of an endpoint's `/load` API.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-struct LoadAnswer {
+struct LoadResponse {
     running: u32,
     waiting: u32,
     cache_tokens_max: u64,
     age_ms: u64,
 }
 
-/// One event that an endpoint answers at `/cache/events`.
+/// One event in the response body of an endpoint's `/cache/events` API.
 #[derive(Debug)]
 #[derive(Deserialize)]
-struct EventAnswer {
+struct CacheEventEntry {
     sequence: u64,
     kind: EventKind,
     program_id: String,
@@ -69,14 +69,14 @@
     Evicted,
 }
 
-/// What a poll found.
-struct Polled {
+/// The result of a poll.
+struct PollResult {
     load: Option<LoadReport>,
     events: Vec<CacheEvent>,
     last_sequence: u64,
 }
 
-/// Polls the endpoints that the actor names, until the actor stops.
+/// Polls the endpoints that the actor lists, until the actor stops.
 pub(super) async fn poll_all(actor: ActorRef<PoolMessage>) {
     let client: HttpClient = Client::builder(TokioExecutor::new()).build_http();
     let mut sequences: HashMap<(PoolId, EndpointId), u64> = HashMap::new();
@@ -85,13 +85,16 @@
     loop {
         interval.tick().await;
         let (sender, receiver) = oneshot::channel();
-        if actor.send_message(PoolMessage::Targets(sender.into())).is_err() {
+        if actor
+            .send_message(PoolMessage::PollTargets(sender.into()))
+            .is_err()
+        {
             return;
         }
-        let Ok(targets) = receiver.await else {
+        let Ok(poll_targets) = receiver.await else {
             return;
         };
-        let polls = targets.iter().map(|target| {
+        let polls = poll_targets.iter().map(|target| {
             let key = (target.pool_id.clone(), target.endpoint_id.clone());
             poll(
                 &client,
@@ -99,15 +102,15 @@
                 sequences.get(&key).copied().unwrap_or(0),
             )
         });
-        let polled = join_all(polls).await;
-        for (target, polled) in targets.into_iter().zip(polled) {
+        let results = join_all(polls).await;
+        for (target, result) in poll_targets.into_iter().zip(results) {
             let key = (target.pool_id.clone(), target.endpoint_id.clone());
-            sequences.insert(key, polled.last_sequence);
-            let message = PoolMessage::Observed {
+            sequences.insert(key, result.last_sequence);
+            let message = PoolMessage::EndpointPolled {
                 pool_id: target.pool_id,
                 endpoint_id: target.endpoint_id,
-                load: polled.load,
-                events: polled.events,
+                load: result.load,
+                events: result.events,
             };
             if actor.send_message(message).is_err() {
                 return;
@@ -116,42 +119,44 @@
     }
 }
 
-async fn poll(client: &HttpClient, address: &str, since: u64) -> Polled {
+async fn poll(client: &HttpClient, address: &str, since: u64) -> PollResult {
     let load_url = format!("http://{address}/load");
     let events_url = format!("http://{address}/cache/events?since={since}");
     let (load, events) = tokio::join!(get(client, load_url), get(client, events_url));
     let Some(load) = load else {
-        // It may come back as another process, with an empty cache and a count of events of its own.
-        return Polled {
+        // The endpoint may return as a new process with an empty cache and a new event sequence.
+        return PollResult {
             load: None,
             events: vec![CacheEvent::Cleared],
             last_sequence: 0,
         };
     };
-    // Endpoints without these reports still answer, which tells that they are there.
-    let load: LoadAnswer = serde_json::from_slice(&load).unwrap_or_default();
-    let events: Vec<EventAnswer> = events
+    // An endpoint without these APIs still responds, which shows that it is up.
+    let load: LoadResponse = serde_json::from_slice(&load).unwrap_or_default();
+    let events: Vec<CacheEventEntry> = events
         .and_then(|body| serde_json::from_slice(&body).ok())
         .unwrap_or_default();
-    Polled {
-        load: Some(to_report(&load)),
+    PollResult {
+        load: Some(to_load_report(&load)),
         last_sequence: events.iter().map(|event| event.sequence).max().unwrap_or(since),
-        events: events.into_iter().map(to_event).collect(),
+        events: events.into_iter().map(to_cache_event).collect(),
     }
 }
 
-/// Returns the body of an answer with any status; none when there is no answer in time.
+/// Returns the body of a response with any status.
+///
+/// Returns `None` if there is no response within [`POLL_TIMEOUT`].
 async fn get(client: &HttpClient, url: String) -> Option<Bytes> {
     let request = http::Request::get(url).body(Empty::new()).ok()?;
-    let answer = async {
+    let response_body = async {
         let response = client.request(request).await.ok()?;
-        let body = Limited::new(response.into_body(), ANSWER_MAX_BYTES);
+        let body = Limited::new(response.into_body(), RESPONSE_MAX_BYTES);
         Some(body.collect().await.ok()?.to_bytes())
     };
-    tokio::time::timeout(POLL_TIMEOUT, answer).await.ok()?
+    tokio::time::timeout(POLL_TIMEOUT, response_body).await.ok()?
 }
 
-fn to_report(load: &LoadAnswer) -> LoadReport {
+fn to_load_report(load: &LoadResponse) -> LoadReport {
     LoadReport {
         running: load.running,
         waiting: load.waiting,
@@ -160,7 +165,7 @@
     }
 }
 
-fn to_event(event: EventAnswer) -> CacheEvent {
+fn to_cache_event(event: CacheEventEntry) -> CacheEvent {
     let program_id = event.program_id;
     match event.kind {
         EventKind::Held => CacheEvent::Stored {
--- a/crates/burdockroad-daemon/src/dispatch/pools.rs
+++ b/crates/burdockroad-daemon/src/dispatch/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of this host, with the calls that wait in them and the slots that hosts hold.
+//! The pools of this host, with their waiting requests and granted slots.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -20,22 +20,22 @@
 use crate::{
     dispatch::{
         Slot, SlotRefusal, SlotRequest,
-        actor::{Holder, NoSlot, OfferedSlot, PoolMessage, SlotSource},
+        actor::{AcquireError, OfferedSlot, PoolMessage, SlotRequester, SlotSource},
         dispatcher::DispatchParts,
-        polling::Target,
+        polling::PollTarget,
     },
     ownership::{OwnershipView, PeersView, Process},
 };
 
-/// Time after which a slot that was never released counts as free.
+/// Time after which a slot that was not released is reclaimed.
 const SLOT_LEASE: Duration = Duration::from_mins(15);
 
-/// When to try again with a pool that the document does not name.
+/// Retry delay for a request that names a pool which the document does not contain.
 const UNKNOWN_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-type SlotReply = RpcReplyPort<Result<OfferedSlot, NoSlot>>;
+type SlotReply = RpcReplyPort<Result<OfferedSlot, AcquireError>>;
 
-/// The tables of the pool actor.
+/// The state of the pool actor.
 #[derive(Debug)]
 pub(super) struct PoolTable {
     parts: DispatchParts,
@@ -51,23 +51,23 @@
 #[derive(Debug)]
 struct PoolRow {
     pool: Pool,
-    /// Whether this host gives out all slots, or its share.
-    owner: bool,
+    /// Whether this host grants all slots of the pool, as its owner, or only its own share.
+    is_owner: bool,
     addresses: BTreeMap<EndpointId, String>,
-    waiting: HashMap<CallId, Waiting>,
-    held: HashMap<SlotId, HeldSlot>,
+    waiting: HashMap<CallId, WaitingRequest>,
+    granted_slots: HashMap<SlotId, GrantedSlot>,
 }
 
 #[derive(Debug)]
-struct Waiting {
-    holder: Holder,
+struct WaitingRequest {
+    requester: SlotRequester,
     reply: SlotReply,
 }
 
 #[derive(Debug)]
-struct HeldSlot {
-    holder: Holder,
-    given_at: Instant,
+struct GrantedSlot {
+    requester: SlotRequester,
+    granted_at: Instant,
 }
 
 impl PoolTable {
@@ -82,16 +82,17 @@
             pools: BTreeMap::new(),
             wake_at: None,
         };
-        table.follow();
+        table.refresh();
         table
     }
 
-    /// Takes note of changes of endpoint sets, owners and peers, and of callers that are gone.
-    pub(super) fn follow(&mut self) {
+    /// Applies changes of endpoint sets, owners and peers, and cleans up after hosts and callers that are gone.
+    pub(super) fn refresh(&mut self) {
         let ownership = Arc::clone(&self.parts.ownership.borrow());
         let peers = Arc::clone(&self.parts.peers.borrow());
         let version = self.parts.source.version();
-        let moved = !Arc::ptr_eq(&ownership, &self.ownership) || !Arc::ptr_eq(&peers, &self.peers);
+        let owners_or_peers_changed =
+            !Arc::ptr_eq(&ownership, &self.ownership) || !Arc::ptr_eq(&peers, &self.peers);
         self.ownership = ownership;
         self.peers = peers;
         if self.source_version != Some(version) {
@@ -103,12 +104,12 @@
                 .into_iter()
                 .map(|set| (set.id.clone(), set))
                 .collect();
-            self.set_all();
-        } else if moved {
-            self.set_all();
+            self.update_pools();
+        } else if owners_or_peers_changed {
+            self.update_pools();
         }
-        self.reclaim_lost();
-        self.forget_gone();
+        self.reclaim_lost_slots();
+        self.remove_abandoned_requests();
         self.tick_all();
     }
 
@@ -116,24 +117,28 @@
         &mut self,
         pool_id: &PoolId,
         request: SlotRequest,
-        holder: Holder,
+        requester: SlotRequester,
         source: SlotSource,
         reply: SlotReply,
     ) {
         let Some(row) = self.pools.get_mut(pool_id) else {
-            refuse(reply, "no such endpoint set".to_owned(), UNKNOWN_RETRY_AFTER);
+            refuse(
+                reply,
+                "the endpoint set does not exist".to_owned(),
+                UNKNOWN_RETRY_AFTER,
+            );
             return;
         };
-        if source == SlotSource::Owner && !row.owner {
-            // A caller that has gone away needs no answer.
-            reply.send(Err(NoSlot::NotOwner)).unwrap_or_default();
+        if source == SlotSource::Owner && !row.is_owner {
+            // The send fails if the requester no longer waits, which needs no handling.
+            reply.send(Err(AcquireError::NotOwner)).unwrap_or_default();
             return;
         }
         let weight = self.parts.limits.weight(&request.account_id);
         row.pool.set_weight(&request.account_id, weight);
         match row.pool.submit(to_call(request), now()) {
             Submitted::Waiting(call_id) => {
-                row.waiting.insert(call_id, Waiting { holder, reply });
+                row.waiting.insert(call_id, WaitingRequest { requester, reply });
             }
             Submitted::Refused { reason, retry_after } => {
                 refuse(reply, reason.reason().to_owned(), retry_after);
@@ -146,7 +151,7 @@
         let Some(row) = self.pools.get_mut(pool_id) else {
             return;
         };
-        row.held.remove(&slot_id);
+        row.granted_slots.remove(&slot_id);
         match report {
             Some(report) => row.pool.complete(slot_id, report, now()),
             None => row.pool.reclaim(slot_id, now()),
@@ -154,33 +159,39 @@
         self.tick(pool_id);
     }
 
-    /// Forgets a request whose answer nobody waits for, or takes back the slot that it was given.
-    pub(super) fn give_up(&mut self, pool_id: &PoolId, holder: &Holder) {
+    /// Cancels a waiting request, or reclaims the slot that was granted to it.
+    pub(super) fn cancel_request(&mut self, pool_id: &PoolId, requester: &SlotRequester) {
         let Some(row) = self.pools.get_mut(pool_id) else {
             return;
         };
-        let waiting = row.waiting.iter().find(|(_, waiting)| waiting.holder == *holder);
+        let waiting = row
+            .waiting
+            .iter()
+            .find(|(_, waiting)| waiting.requester == *requester);
         if let Some(call_id) = waiting.map(|(call_id, _)| *call_id) {
             row.waiting.remove(&call_id);
             row.pool.cancel(call_id);
             return;
         }
-        let held = row.held.iter().find(|(_, held)| held.holder == *holder);
-        if let Some(slot_id) = held.map(|(slot_id, _)| *slot_id) {
+        let granted = row
+            .granted_slots
+            .iter()
+            .find(|(_, granted)| granted.requester == *requester);
+        if let Some(slot_id) = granted.map(|(slot_id, _)| *slot_id) {
             self.release(pool_id, slot_id, None);
         }
     }
 
-    /// Endpoints of the pools whose slots this host gives out.
-    pub(super) fn targets(&self) -> Vec<Target> {
-        let active = self
+    /// Returns the engine endpoints of the pools that this host owns or has granted slots of.
+    pub(super) fn poll_targets(&self) -> Vec<PollTarget> {
+        let polled_pools = self
             .pools
             .iter()
-            .filter(|(_, row)| row.owner || !row.held.is_empty())
+            .filter(|(_, row)| row.is_owner || !row.granted_slots.is_empty())
             .filter(|(pool_id, _)| self.parts.source.is_engine_pool(pool_id));
-        active
+        polled_pools
             .flat_map(|(pool_id, row)| {
-                row.addresses.iter().map(|(endpoint_id, address)| Target {
+                row.addresses.iter().map(|(endpoint_id, address)| PollTarget {
                     pool_id: pool_id.clone(),
                     endpoint_id: endpoint_id.clone(),
                     address: address.clone(),
@@ -189,7 +200,7 @@
             .collect()
     }
 
-    pub(super) fn observed(
+    pub(super) fn record_poll(
         &mut self,
         pool_id: &PoolId,
         endpoint_id: &EndpointId,
@@ -209,7 +220,7 @@
         self.tick(pool_id);
     }
 
-    /// Ticks at the time that was scheduled last; what was scheduled before is out of date.
+    /// Ticks all pools, unless a later `schedule` call has replaced this wake-up.
     pub(super) fn wake(&mut self, scheduled: Instant) {
         if self.wake_at == Some(scheduled) {
             self.tick_all();
@@ -228,20 +239,20 @@
         let Some(row) = self.pools.get_mut(pool_id) else {
             return;
         };
-        let ticked = row.pool.tick(now());
-        for assignment in ticked.assignments {
+        let outcome = row.pool.tick(now());
+        for assignment in outcome.assignments {
             row.offer(pool_id, assignment, &self.myself);
         }
-        for refused in ticked.refused {
+        for refused in outcome.refused {
             if let Some(waiting) = row.waiting.remove(&refused.call_id) {
                 refuse(
                     waiting.reply,
-                    "no slot became free in time".to_owned(),
+                    "no slot became free before the call's slot deadline".to_owned(),
                     refused.retry_after,
                 );
             }
         }
-        gauge(pool_id, &row.pool);
+        update_gauges(pool_id, &row.pool);
         let wake_at = row.pool.wake_at();
         self.schedule(wake_at.map(Instant::from_std));
     }
@@ -254,40 +265,40 @@
             return;
         }
         self.wake_at = Some(wake_at);
-        let pause = wake_at.saturating_duration_since(Instant::now());
-        self.myself.send_after(pause, move || PoolMessage::Wake(wake_at));
+        let delay = wake_at.saturating_duration_since(Instant::now());
+        self.myself.send_after(delay, move || PoolMessage::Wake(wake_at));
     }
 
-    /// Gives each pool its endpoints, with all their slots at its owner and a share elsewhere.
-    fn set_all(&mut self) {
-        let leaving = self.parts.source.leaving_hosts();
+    /// Updates the endpoints of each pool, with all slots at the pool's owner and a share at other hosts.
+    fn update_pools(&mut self) {
+        let draining_hosts = self.parts.source.draining_hosts();
         let sets = &self.sets;
         self.pools.retain(|pool_id, row| {
-            let known = sets.contains_key(pool_id);
-            if !known {
-                row.refuse_all(&NoSlot::Refused(SlotRefusal {
-                    reason: "no such endpoint set".to_owned(),
+            let is_configured = sets.contains_key(pool_id);
+            if !is_configured {
+                row.refuse_all(&AcquireError::Refused(SlotRefusal {
+                    reason: "the endpoint set does not exist".to_owned(),
                     retry_after: UNKNOWN_RETRY_AFTER,
                 }));
             }
-            known
+            is_configured
         });
-        let hosts = 1 + self.peers.peers.values().filter(|peer| peer.alive).count();
-        let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
+        let host_count = 1 + self.peers.peers.values().filter(|peer| peer.alive).count();
+        let host_count = u32::try_from(host_count).unwrap_or(u32::MAX);
         for (pool_id, set) in &self.sets {
-            let owner = self.ownership.owns(partition_of(pool_id));
+            let is_owner = self.ownership.owns(partition_of(pool_id));
             let row = self.pools.entry(pool_id.clone()).or_insert_with(PoolRow::new);
-            row.set_owner(owner);
-            let infos = set.endpoints.iter().map(|endpoint| EndpointInfo {
+            row.set_owner(is_owner);
+            let endpoint_infos = set.endpoints.iter().map(|endpoint| EndpointInfo {
                 endpoint_id: endpoint.id.clone(),
-                slots: if owner {
+                slots: if is_owner {
                     endpoint.slots
                 } else {
-                    endpoint.slots.div_ceil(hosts)
+                    endpoint.slots.div_ceil(host_count)
                 },
-                leaving: endpoint.draining || leaving.contains(&endpoint.host_id),
+                leaving: endpoint.draining || draining_hosts.contains(&endpoint.host_id),
             });
-            row.pool.set_endpoints(infos.collect(), now());
+            row.pool.set_endpoints(endpoint_infos.collect(), now());
             let addresses = set.endpoints.iter();
             row.addresses = addresses
                 .map(|endpoint| (endpoint.id.clone(), endpoint.address.clone()))
@@ -295,36 +306,36 @@
         }
     }
 
-    /// Takes back slots of hosts that are gone, and slots that were held for too long.
-    fn reclaim_lost(&mut self) {
+    /// Reclaims slots of processes that are no longer live, and slots granted longer than [`SLOT_LEASE`] ago.
+    fn reclaim_lost_slots(&mut self) {
         let now = Instant::now();
         let (me, peers) = (&self.ownership.me, &self.peers);
         for (pool_id, row) in &mut self.pools {
             let lost: Vec<SlotId> = row
-                .held
+                .granted_slots
                 .iter()
-                .filter(|(_, held)| {
-                    now > held.given_at + SLOT_LEASE || !is_alive(&held.holder.process, me, peers)
+                .filter(|(_, granted)| {
+                    now > granted.granted_at + SLOT_LEASE || !is_live(&granted.requester.process, me, peers)
                 })
                 .map(|(slot_id, _)| *slot_id)
                 .collect();
             for slot_id in lost {
                 log::info!("event=slot_reclaimed pool={pool_id} slot={slot_id}");
-                row.held.remove(&slot_id);
+                row.granted_slots.remove(&slot_id);
                 row.pool.reclaim(slot_id, now.into_std());
             }
         }
     }
 
-    fn forget_gone(&mut self) {
+    fn remove_abandoned_requests(&mut self) {
         for row in self.pools.values_mut() {
             let pool = &mut row.pool;
             row.waiting.retain(|call_id, waiting| {
-                let gone = waiting.reply.is_closed();
-                if gone {
+                let is_abandoned = waiting.reply.is_closed();
+                if is_abandoned {
                     pool.cancel(*call_id);
                 }
-                !gone
+                !is_abandoned
             });
         }
     }
@@ -332,29 +343,32 @@
 
 impl PoolRow {
     fn new() -> Self {
-        // Slots of different owners of a pool must not be taken for one another.
+        // Different owners of a pool must not use the same slot ids, so each starts at a random one.
         let first_slot_id = u64::from(rand::random::<u32>()) << 31 | 1;
         Self {
             pool: Pool::new(now()).with_first_slot_id(first_slot_id),
-            owner: false,
+            is_owner: false,
             addresses: BTreeMap::new(),
             waiting: HashMap::new(),
-            held: HashMap::new(),
+            granted_slots: HashMap::new(),
         }
     }
 
-    /// Takes the role of owner or gives it up; then calls that wait are told to ask the new owner.
-    fn set_owner(&mut self, owner: bool) {
-        if self.owner && !owner {
-            self.refuse_all(&NoSlot::NotOwner);
+    /// Sets whether this host owns the pool.
+    ///
+    /// When it stops being the owner, waiting requests are refused with [`AcquireError::NotOwner`], and
+    /// their requesters fall back to their own share of the slots.
+    fn set_owner(&mut self, is_owner: bool) {
+        if self.is_owner && !is_owner {
+            self.refuse_all(&AcquireError::NotOwner);
         }
-        self.owner = owner;
+        self.is_owner = is_owner;
     }
 
-    fn refuse_all(&mut self, why: &NoSlot) {
+    fn refuse_all(&mut self, error: &AcquireError) {
         for (call_id, waiting) in self.waiting.drain() {
             self.pool.cancel(call_id);
-            waiting.reply.send(Err(why.clone())).unwrap_or_default();
+            waiting.reply.send(Err(error.clone())).unwrap_or_default();
         }
     }
 
@@ -370,12 +384,12 @@
         let Some(waiting) = self.waiting.remove(&assignment.call_id) else {
             return;
         };
-        let held = HeldSlot {
-            holder: waiting.holder,
-            given_at: Instant::now(),
+        let granted = GrantedSlot {
+            requester: waiting.requester,
+            granted_at: Instant::now(),
         };
-        self.held.insert(assignment.slot_id, held);
-        // The offer goes back by itself when nobody takes it.
+        self.granted_slots.insert(assignment.slot_id, granted);
+        // An offer that cannot be delivered is dropped, which releases the slot.
         waiting.reply.send(Ok(slot)).unwrap_or_default();
     }
 }
@@ -390,30 +404,32 @@
         attained_tokens: request.attained_tokens,
         prefix_endpoint_id: request.prefix_endpoint_id,
         excluded: request.excluded,
-        latest: request.latest.into_std(),
+        latest: request.deadline.into_std(),
     }
 }
 
-fn is_alive(holder: &Process, me: &Process, peers: &PeersView) -> bool {
-    if holder == me {
+fn is_live(process: &Process, me: &Process, peers: &PeersView) -> bool {
+    if process == me {
         return true;
     }
-    let peer = peers.peers.get(&holder.host_id);
-    peer.is_some_and(|peer| peer.alive && peer.process == *holder)
+    let peer = peers.peers.get(&process.host_id);
+    peer.is_some_and(|peer| peer.alive && peer.process == *process)
 }
 
 fn refuse(reply: SlotReply, reason: String, retry_after: Duration) {
     let refusal = SlotRefusal { reason, retry_after };
-    // A caller that has gone away needs no answer.
-    reply.send(Err(NoSlot::Refused(refusal))).unwrap_or_default();
+    // The send fails if the requester no longer waits, which needs no handling.
+    reply
+        .send(Err(AcquireError::Refused(refusal)))
+        .unwrap_or_default();
 }
 
 fn now() -> std::time::Instant {
     Instant::now().into_std()
 }
 
-#[expect(clippy::cast_precision_loss, reason = "counts of calls stay far below 2^52")]
-fn gauge(pool_id: &PoolId, pool: &Pool) {
+#[expect(clippy::cast_precision_loss, reason = "call counts stay far below 2^52")]
+fn update_gauges(pool_id: &PoolId, pool: &Pool) {
     metrics::gauge!("burdockroad_pool_waiting", "pool" => pool_id.clone()).set(pool.waiting() as f64);
     metrics::gauge!("burdockroad_pool_taken", "pool" => pool_id.clone()).set(pool.taken() as f64);
 }
--- a/crates/burdockroad-daemon/src/document_source.rs
+++ b/crates/burdockroad-daemon/src/document_source.rs
@@ -85,7 +85,7 @@
         self.in_force.borrow().document.endpoint_sets.clone()
     }
 
-    fn leaving_hosts(&self) -> BTreeSet<HostId> {
+    fn draining_hosts(&self) -> BTreeSet<HostId> {
         self.leaving.borrow().as_ref().clone()
     }
 
--- a/crates/burdockroad-daemon/src/edge.rs
+++ b/crates/burdockroad-daemon/src/edge.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    answer::{AnswerReader, Frame},
+    answer::{Frame, ResponseReader},
     calls::{CallRunner, Caller},
     config_watch::InForceReceiver,
     http::{Operation, Target},
@@ -198,7 +198,7 @@
     partition.ok_or_else(|| burdockroad::program::Refusal::UnknownProgram.into())
 }
 
-fn frames(reader: AnswerReader) -> Frames {
+fn frames(reader: ResponseReader) -> Frames {
     reader.into_stream().boxed()
 }
 
--- a/crates/burdockroad-daemon/src/edge/forward.rs
+++ b/crates/burdockroad-daemon/src/edge/forward.rs
@@ -15,7 +15,7 @@
 use tonic::{Status, Streaming};
 
 use crate::{
-    answer::{AnswerLog, Frame, Head},
+    answer::{Frame, Head, ResponseLog},
     calls::Caller,
     edge::{Edge, EdgeRequest, Frames, Missed},
     http::Operation,
@@ -146,7 +146,7 @@
             Ok(Some(ForwardFrame {
                 frame: Some(WireFrame::End(_)),
             })) => Some((Frame::End, None)),
-            Ok(_) | Err(_) => Some((Frame::Cut(cut_short()), None)),
+            Ok(_) | Err(_) => Some((Frame::Truncated(cut_short()), None)),
         }
     });
     stream::iter([first]).chain(rest).boxed()
@@ -172,7 +172,7 @@
         match reader {
             Ok(reader) => reader.into_stream().map(wire_frame).boxed(),
             Err(problem) if problem.kind == ProblemKind::Moving => not_owner(view.version),
-            Err(problem) => AnswerLog::problem(&problem)
+            Err(problem) => ResponseLog::problem(&problem)
                 .reader()
                 .into_stream()
                 .map(wire_frame)
@@ -220,7 +220,7 @@
         }),
         Frame::Data(data) => WireFrame::Data(data.to_vec()),
         Frame::End => WireFrame::End(ForwardEnd {}),
-        Frame::Cut(problem) => return Err(Status::aborted(problem.detail)),
+        Frame::Truncated(problem) => return Err(Status::aborted(problem.detail)),
     };
     Ok(ForwardFrame { frame: Some(frame) })
 }
--- a/crates/burdockroad-daemon/src/edge/serve.rs
+++ b/crates/burdockroad-daemon/src/edge/serve.rs
@@ -11,15 +11,15 @@
 use serde_json::json;
 
 use crate::{
-    answer::{AnswerLog, AnswerReader, Head},
+    answer::{Head, ResponseLog, ResponseReader},
     calls::{
-        CompletionRequest, JSON_CONTENT_TYPE, Plan, ProgramPosition, ServiceRequest, Work, recorded,
-        service_headers,
+        CallPayload, CallPlan, CallPosition, CompletionRequest, JSON_CONTENT_TYPE, ServiceRequest,
+        service_headers, wait_durable,
     },
     edge::{Edge, EdgeRequest, program_json},
     http::{NewProgramRequest, Target, digest},
     problem::{Problem, ProblemKind},
-    programs::NotTaken,
+    programs::Rejection,
     telemetry::Measure,
 };
 
@@ -28,24 +28,24 @@
 
 impl Edge {
     /// Serves a request whose program this host owns, or that has none.
-    pub(super) async fn serve_here(&self, request: &EdgeRequest) -> Result<AnswerReader, Problem> {
+    pub(super) async fn serve_here(&self, request: &EdgeRequest) -> Result<ResponseReader, Problem> {
         match &request.operation.target {
             Target::Models => Ok(self.models()),
             Target::CreateProgram => self.create_program(request).await,
             Target::ShowProgram(id) => self.show_program(request, id).await,
             Target::EndProgram(id) => self.end_program(request, id).await,
             Target::Completion => {
-                let work = Work::Completion(CompletionRequest::parse(&request.body)?);
-                self.call(request, work).await
+                let payload = CallPayload::Completion(CompletionRequest::parse(&request.body)?);
+                self.call(request, payload).await
             }
             Target::Service { rest, .. } => {
-                let work = Work::Service(service_request(request, rest));
-                self.call(request, work).await
+                let payload = CallPayload::Service(service_request(request, rest));
+                self.call(request, payload).await
             }
         }
     }
 
-    fn models(&self) -> AnswerReader {
+    fn models(&self) -> ResponseReader {
         let in_force = self.in_force.borrow();
         let models = in_force
             .document
@@ -60,7 +60,7 @@
         json_answer(200, &json!({ "object": "list", "data": data }))
     }
 
-    async fn create_program(&self, request: &EdgeRequest) -> Result<AnswerReader, Problem> {
+    async fn create_program(&self, request: &EdgeRequest) -> Result<ResponseReader, Problem> {
         let asked = NewProgramRequest::parse(&request.body)?;
         let budget = asked.budget(&self.in_force.borrow().document.budget_defaults)?;
         let Some(program_id) = request.new_program_id.clone() else {
@@ -81,7 +81,7 @@
         Ok(json_answer(201, &program_json::program(&view)))
     }
 
-    async fn show_program(&self, request: &EdgeRequest, id: &ProgramId) -> Result<AnswerReader, Problem> {
+    async fn show_program(&self, request: &EdgeRequest, id: &ProgramId) -> Result<ResponseReader, Problem> {
         let view = self
             .runner
             .programs
@@ -90,10 +90,10 @@
         Ok(json_answer(200, &program_json::program(&view)))
     }
 
-    async fn end_program(&self, request: &EdgeRequest, id: &ProgramId) -> Result<AnswerReader, Problem> {
+    async fn end_program(&self, request: &EdgeRequest, id: &ProgramId) -> Result<ResponseReader, Problem> {
         let account_id = request.caller.account_id.clone();
         let ended = self.runner.programs.end(account_id.clone(), id.clone()).await?;
-        recorded(ended).await?;
+        wait_durable(ended).await?;
         let view = self.runner.programs.get(account_id.clone(), id.clone()).await?;
         let age = SystemTime::now()
             .duration_since(view.tree.ledger.created_at)
@@ -102,14 +102,14 @@
         Ok(json_answer(200, &program_json::program(&view)))
     }
 
-    async fn call(&self, request: &EdgeRequest, work: Work) -> Result<AnswerReader, Problem> {
-        let route = self.route(request, &work)?;
-        let mut plan = self.plan(request, route, work);
+    async fn call(&self, request: &EdgeRequest, payload: CallPayload) -> Result<ResponseReader, Problem> {
+        let route = self.route(request, &payload)?;
+        let mut plan = self.plan(request, route, payload);
         let call = &request.operation.call;
         if let Some((program_id, number)) = call.position.clone() {
             return self
                 .runner
-                .program_call(plan, ProgramPosition { program_id, number })
+                .program_call(plan, CallPosition { program_id, number })
                 .await;
         }
         let Some(program_id) = request.new_program_id.clone() else {
@@ -121,7 +121,7 @@
         self.runner
             .program_call(
                 plan,
-                ProgramPosition {
+                CallPosition {
                     program_id,
                     number: 1,
                 },
@@ -153,9 +153,9 @@
             return Ok(());
         }
         match programs.create(new.clone()).await {
-            Ok(created) => recorded(created).await,
+            Ok(created) => wait_durable(created).await,
             // Another try of the same request was quicker.
-            Err(NotTaken::Refused(Refusal::DifferentRequest)) => {
+            Err(Rejection::Refused(Refusal::DifferentRequest)) => {
                 programs.get(new.account_id, new.program_id).await?;
                 Ok(())
             }
@@ -163,27 +163,29 @@
         }
     }
 
-    fn route(&self, request: &EdgeRequest, work: &Work) -> Result<Route, Problem> {
+    fn route(&self, request: &EdgeRequest, payload: &CallPayload) -> Result<Route, Problem> {
         let in_force = self.in_force.borrow();
-        let wanted = match (work, &request.operation.target) {
-            (Work::Completion(completion), _) => (completion.model.as_str(), RouteKind::Model),
-            (Work::Service(_), Target::Service { route_id, .. }) => (route_id.as_str(), RouteKind::Service),
-            (Work::Service(_), _) => return Err(unknown_route("")),
+        let wanted = match (payload, &request.operation.target) {
+            (CallPayload::Completion(completion), _) => (completion.model.as_str(), RouteKind::Model),
+            (CallPayload::Service(_), Target::Service { route_id, .. }) => {
+                (route_id.as_str(), RouteKind::Service)
+            }
+            (CallPayload::Service(_), _) => return Err(unknown_route("")),
         };
         find_route(&in_force.document, wanted.0, wanted.1).cloned()
     }
 
-    fn plan(&self, request: &EdgeRequest, route: Route, work: Work) -> Plan {
+    fn plan(&self, request: &EdgeRequest, route: Route, payload: CallPayload) -> CallPlan {
         let in_force = self.in_force.borrow();
         let pool_ids = preferred_pools(&in_force.document, &route, request.partition_seed());
-        Plan {
+        CallPlan {
             caller: request.caller.clone(),
             idempotent: route.idempotent || route.kind == RouteKind::Model,
             route_id: route.id,
             pool_ids,
             digest: digest(&request.method, &request.target, &request.body),
             keeps_prefix: true,
-            work,
+            payload,
             deadline: request.deadline,
             traceparent: request.headers.get("traceparent").cloned(),
         }
@@ -273,8 +275,8 @@
     }
 }
 
-fn json_answer(status: u16, body: &serde_json::Value) -> AnswerReader {
-    AnswerLog::whole(
+fn json_answer(status: u16, body: &serde_json::Value) -> ResponseReader {
+    ResponseLog::complete(
         Head::new(status, JSON_CONTENT_TYPE),
         Bytes::from(body.to_string()),
     )
--- a/crates/burdockroad-daemon/src/endpoint.rs
+++ b/crates/burdockroad-daemon/src/endpoint.rs
@@ -28,7 +28,7 @@
     /// # Errors
     ///
     /// Says whether the endpoint may have seen any of the request.
-    async fn send(&self, request: EndpointRequest) -> Result<EndpointAnswer, SendError>;
+    async fn send(&self, request: EndpointRequest) -> Result<EndpointResponse, SendError>;
 }
 
 /// One request to an endpoint.
@@ -52,7 +52,7 @@
 
 /// The head of an endpoint's answer, and its body as it arrives.
 #[derive(Debug)]
-pub struct EndpointAnswer {
+pub struct EndpointResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers.
@@ -77,7 +77,7 @@
 
 impl std::error::Error for SendError {}
 
-impl EndpointAnswer {
+impl EndpointResponse {
     /// Waits for the next part of the body; none at its end.
     ///
     /// # Errors
@@ -161,7 +161,7 @@
 
 #[async_trait]
 impl Endpoints for HttpEndpoints {
-    async fn send(&self, request: EndpointRequest) -> Result<EndpointAnswer, SendError> {
+    async fn send(&self, request: EndpointRequest) -> Result<EndpointResponse, SendError> {
         let uri = format!("http://{}{}", request.address, request.target);
         let mut outgoing = Request::builder()
             .method(request.method)
@@ -182,7 +182,7 @@
             .await
             .map_err(|error| not_answered(&error))?;
         let (head, body) = Response::into_parts(response);
-        Ok(EndpointAnswer {
+        Ok(EndpointResponse {
             status: head.status.as_u16(),
             headers: head.headers,
             body,
--- a/crates/burdockroad-daemon/src/http/server.rs
+++ b/crates/burdockroad-daemon/src/http/server.rs
@@ -165,11 +165,11 @@
 ) -> Response<ResponseBody> {
     let first = tokio::select! {
         first = frames.next() => first,
-        () = crate::calls::key_withdrawn(&parts.in_force, &caller) => return problem_response(&key_withdrawn()),
+        () = crate::calls::wait_until_key_withdrawn(&parts.in_force, &caller) => return problem_response(&key_withdrawn_problem()),
     };
     let head = match first {
         Some(Frame::Head(head)) => head,
-        Some(Frame::Cut(problem)) => return problem_response(&problem),
+        Some(Frame::Truncated(problem)) => return problem_response(&problem),
         Some(Frame::Data(_) | Frame::End) | None => {
             let problem = Problem::new(ProblemKind::Internal, "the answer has no head");
             return problem_response(&problem.ran(Ran::Unknown));
@@ -186,7 +186,7 @@
     response(head, BodyExt::boxed_unsync(body))
 }
 
-fn key_withdrawn() -> Problem {
+fn key_withdrawn_problem() -> Problem {
     Problem::new(ProblemKind::InvalidKey, "the key was withdrawn").ran(Ran::Unknown)
 }
 
@@ -197,8 +197,8 @@
     in_force: InForceReceiver,
 ) -> impl Stream<Item = Frame> + Send {
     let withdrawn = stream::once(async move {
-        crate::calls::key_withdrawn(&in_force, &caller).await;
-        Frame::Cut(key_withdrawn())
+        crate::calls::wait_until_key_withdrawn(&in_force, &caller).await;
+        Frame::Truncated(key_withdrawn_problem())
     });
     let end = stream::once(async { None });
     let frames = frames.map(Some).chain(end);
@@ -206,7 +206,7 @@
     stream::select(frames, withdrawn.map(Some))
         .take_while(move |frame| {
             let go_on = !ended && frame.is_some();
-            ended = ended || matches!(frame, Some(Frame::Cut(_) | Frame::End) | None);
+            ended = ended || matches!(frame, Some(Frame::Truncated(_) | Frame::End) | None);
             std::future::ready(go_on)
         })
         .filter_map(std::future::ready)
@@ -220,7 +220,7 @@
     frames.flat_map(move |frame| match frame {
         Frame::Data(data) => stream::iter(vec![Ok(BodyFrame::data(data))]).left_stream(),
         Frame::Head(_) | Frame::End => stream::iter(Vec::new()).left_stream(),
-        Frame::Cut(problem) => cut(&problem, is_event_stream).right_stream(),
+        Frame::Truncated(problem) => cut(&problem, is_event_stream).right_stream(),
     })
 }
 
--- a/crates/burdockroad-daemon/src/memory.rs
+++ b/crates/burdockroad-daemon/src/memory.rs
@@ -22,7 +22,7 @@
     config_watch::InForceReceiver,
     endpoint::{EndpointRequest, Endpoints},
     ownership::OwnershipReceiver,
-    programs::{MemoryReleaser, ProgramsHandle},
+    programs::{PrefixReleaser, ProgramsHandle},
 };
 
 /// Path at which engines list and free what they hold.
@@ -39,7 +39,7 @@
 
 /// Frees engine memory by the engines' own interface.
 #[derive(Clone, Debug)]
-pub struct EngineMemory {
+pub struct EnginePrefixCache {
     /// Requests to endpoints.
     pub endpoints: Arc<dyn Endpoints>,
     /// The document in force, which says where endpoints are.
@@ -47,7 +47,7 @@
 }
 
 #[async_trait]
-impl MemoryReleaser for EngineMemory {
+impl PrefixReleaser for EnginePrefixCache {
     async fn release(&self, hold: &Hold) -> bool {
         let Some(endpoint) = self.endpoint(&hold.endpoint_id) else {
             // Operators have taken the endpoint away, and its memory with it.
@@ -57,7 +57,7 @@
     }
 }
 
-impl EngineMemory {
+impl EnginePrefixCache {
     fn endpoint(&self, endpoint_id: &str) -> Option<Endpoint> {
         let in_force = self.in_force.borrow();
         let mut endpoints = in_force
@@ -124,13 +124,13 @@
 
 /// Looks at what engines hold, again and again, and frees what no program of this host accounts for.
 #[derive(Debug)]
-pub struct MemoryAudit {
+pub struct PrefixCacheAudit {
     task: JoinHandle<()>,
 }
 
-impl MemoryAudit {
+impl PrefixCacheAudit {
     /// Starts the audit.
-    pub fn start(memory: EngineMemory, ownership: OwnershipReceiver, programs: ProgramsHandle) -> Self {
+    pub fn start(memory: EnginePrefixCache, ownership: OwnershipReceiver, programs: ProgramsHandle) -> Self {
         let task = tokio::spawn(async move {
             loop {
                 tokio::time::sleep(AUDIT_INTERVAL).await;
@@ -149,7 +149,7 @@
 }
 
 async fn audit(
-    memory: &EngineMemory,
+    memory: &EnginePrefixCache,
     engine: &Endpoint,
     ownership: &OwnershipReceiver,
     programs: &ProgramsHandle,
--- a/crates/burdockroad-daemon/src/problem.rs
+++ b/crates/burdockroad-daemon/src/problem.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde_json::json;
 
-use crate::{dispatch::SlotRefusal, journal::JournalError, programs::NotTaken, quota::QuotaRefusal};
+use crate::{dispatch::SlotRefusal, journal::JournalError, programs::Rejection, quota::QuotaRefusal};
 
 /// Media type of a problem.
 pub const PROBLEM_CONTENT_TYPE: &str = "application/problem+json";
@@ -218,11 +218,11 @@
     }
 }
 
-impl From<NotTaken> for Problem {
-    fn from(cause: NotTaken) -> Self {
+impl From<Rejection> for Problem {
+    fn from(cause: Rejection) -> Self {
         match cause {
-            NotTaken::Refused(cause) => cause.into(),
-            NotTaken::NotRecordable(cause) => cause.into(),
+            Rejection::Refused(cause) => cause.into(),
+            Rejection::NotRecordable(cause) => cause.into(),
         }
     }
 }
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -26,7 +26,7 @@
 use tokio::{sync::watch, time::Instant};
 
 use crate::{
-    answer::AnswerLog,
+    answer::ResponseLog,
     journal::{Appended, Journal, JournalError, Trees},
     ownership::OwnershipReceiver,
     programs::actor::{ProgramsActor, ProgramsArguments},
@@ -37,7 +37,7 @@
 
 /// Frees what endpoints hold for programs that are gone.
 #[async_trait]
-pub trait MemoryReleaser: fmt::Debug + Send + Sync {
+pub trait PrefixReleaser: fmt::Debug + Send + Sync {
     /// Asks an endpoint to free what it holds; true once it has, or is itself gone.
     async fn release(&self, hold: &Hold) -> bool;
 }
@@ -46,14 +46,14 @@
 #[derive(Clone, Debug)]
 pub struct RunningCall {
     /// Where its answer is written.
-    pub log: Arc<AnswerLog>,
+    pub log: Arc<ResponseLog>,
     /// Becomes true when the call has to stop.
     pub stop: watch::Receiver<bool>,
 }
 
 /// What to do with a call.
 #[derive(Debug)]
-pub enum Taken {
+pub enum CallDisposition {
     /// Run it, and write its answer to the log.
     Run {
         /// The running call.
@@ -64,27 +64,27 @@
         prefix_endpoint_id: Option<String>,
     },
     /// It runs already: read its answer.
-    Attach(Arc<AnswerLog>),
+    Attach(Arc<ResponseLog>),
     /// It was answered before.
     Answered(Answer),
 }
 
 /// Why a program or call was not taken. Nothing ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum Rejection {
     /// The table refused it.
     Refused(Refusal),
     /// What must be recorded first cannot be recorded now.
     NotRecordable(JournalError),
 }
 
-impl From<Refusal> for NotTaken {
+impl From<Refusal> for Rejection {
     fn from(cause: Refusal) -> Self {
         Self::Refused(cause)
     }
 }
 
-impl From<JournalError> for NotTaken {
+impl From<JournalError> for Rejection {
     fn from(cause: JournalError) -> Self {
         Self::NotRecordable(cause)
     }
@@ -103,15 +103,15 @@
 #[derive(Debug)]
 pub enum ProgramsMessage {
     /// Add a program.
-    Create(NewProgram, RpcReplyPort<Result<Appended, NotTaken>>),
+    Create(NewProgram, RpcReplyPort<Result<Appended, Rejection>>),
     /// Show a program.
     Get(AccountId, ProgramId, RpcReplyPort<Result<ProgramView, Refusal>>),
     /// Whether a program exists here.
     Contains(ProgramId, RpcReplyPort<bool>),
     /// Take a call.
-    Begin(CallRequest, RpcReplyPort<Result<Taken, NotTaken>>),
+    Begin(CallRequest, RpcReplyPort<Result<CallDisposition, Rejection>>),
     /// Take a call again for another attempt, with the answer that was begun.
-    Reopen(CallRequest, Arc<AnswerLog>, RpcReplyPort<Option<RunningCall>>),
+    Reopen(CallRequest, Arc<ResponseLog>, RpcReplyPort<Option<RunningCall>>),
     /// Record where a call is sent.
     Send(
         ProgramId,
@@ -165,7 +165,7 @@
     /// Where changes are recorded.
     pub journal: Arc<dyn Journal>,
     /// Frees engine memory.
-    pub releaser: Arc<dyn MemoryReleaser>,
+    pub releaser: Arc<dyn PrefixReleaser>,
     /// The partitions that this process owns.
     ///
     /// Whoever asks has looked at it before; it is looked at again when a change is made, since a
@@ -210,7 +210,7 @@
     /// # Errors
     ///
     /// As [`Programs::create`], or when it cannot be recorded now.
-    pub async fn create(&self, new: NewProgram) -> Result<Appended, NotTaken> {
+    pub async fn create(&self, new: NewProgram) -> Result<Appended, Rejection> {
         self.ask(|port| ProgramsMessage::Create(new, port))
             .await
             .unwrap_or(Err(Refusal::NotOwner.into()))
@@ -240,14 +240,14 @@
     /// # Errors
     ///
     /// As [`Programs::begin`], or when it cannot be recorded now.
-    pub async fn begin(&self, request: CallRequest) -> Result<Taken, NotTaken> {
+    pub async fn begin(&self, request: CallRequest) -> Result<CallDisposition, Rejection> {
         self.ask(|port| ProgramsMessage::Begin(request, port))
             .await
             .unwrap_or(Err(Refusal::NotOwner.into()))
     }
 
     /// Takes a call again for another attempt; none when its program no longer takes it.
-    pub async fn reopen(&self, request: CallRequest, log: Arc<AnswerLog>) -> Option<RunningCall> {
+    pub async fn reopen(&self, request: CallRequest, log: Arc<ResponseLog>) -> Option<RunningCall> {
         self.ask(|port| ProgramsMessage::Reopen(request, log, port))
             .await
             .flatten()
@@ -304,7 +304,7 @@
     }
 
     /// Number of trees that this host keeps, as of the last tick.
-    pub fn kept_trees(&self) -> usize {
+    pub fn owned_tree_count(&self) -> usize {
         self.kept.load(Ordering::Relaxed)
     }
 
--- a/crates/burdockroad-daemon/src/programs/actor.rs
+++ b/crates/burdockroad-daemon/src/programs/actor.rs
@@ -20,11 +20,12 @@
 use tokio::sync::watch;
 
 use crate::{
-    answer::AnswerLog,
+    answer::ResponseLog,
     journal::{Appended, Durability},
     problem::{Problem, ProblemKind, Ran},
     programs::{
-        NotTaken, ProgramView, ProgramsMessage, ProgramsParts, Records, RunningCall, Settlement, Taken, now,
+        CallDisposition, ProgramView, ProgramsMessage, ProgramsParts, Records, Rejection, RunningCall,
+        Settlement, now,
     },
 };
 
@@ -60,7 +61,7 @@
 #[derive(Debug)]
 struct Running {
     request: CallRequest,
-    log: Arc<AnswerLog>,
+    log: Arc<ResponseLog>,
     stop: watch::Sender<bool>,
 }
 
@@ -205,19 +206,19 @@
         idle.then(|| self.table.export(partitions))
     }
 
-    fn create(&mut self, new: NewProgram) -> Result<Appended, NotTaken> {
+    fn create(&mut self, new: NewProgram) -> Result<Appended, Rejection> {
         self.check_owned(&new.program_id)?;
         self.parts.journal.admit(Durability::Replicated)?;
         let record = self.table.create(new, now())?;
         Ok(self.append(vec![record], Durability::Replicated))
     }
 
-    fn begin(&mut self, request: CallRequest) -> Result<Taken, NotTaken> {
+    fn begin(&mut self, request: CallRequest) -> Result<CallDisposition, Rejection> {
         self.check_owned(&request.program_id)?;
         if let Some(running) = self.running.get(&request.program_id)
             && running.request == request
         {
-            return Ok(Taken::Attach(Arc::clone(&running.log)));
+            return Ok(CallDisposition::Attach(Arc::clone(&running.log)));
         }
         match self.table.begin(request.clone(), now())? {
             Begun::Run(usage, prefix_endpoint_id) => {
@@ -225,26 +226,26 @@
                     self.table.withdraw(&request.program_id);
                     return Err(error.into());
                 }
-                let call = self.open(request, AnswerLog::new());
-                Ok(Taken::Run {
+                let call = self.open(request, ResponseLog::new());
+                Ok(CallDisposition::Run {
                     call,
                     usage,
                     prefix_endpoint_id,
                 })
             }
             Begun::Attach => Err(Refusal::NotOwner.into()),
-            Begun::Answered(answer) => Ok(Taken::Answered(answer)),
+            Begun::Answered(answer) => Ok(CallDisposition::Answered(answer)),
         }
     }
 
-    fn reopen(&mut self, request: CallRequest, log: Arc<AnswerLog>) -> Option<RunningCall> {
+    fn reopen(&mut self, request: CallRequest, log: Arc<ResponseLog>) -> Option<RunningCall> {
         match self.table.begin(request.clone(), now()) {
             Ok(Begun::Run(..)) => Some(self.open(request, log)),
             Ok(Begun::Attach | Begun::Answered(_)) | Err(_) => None,
         }
     }
 
-    fn open(&mut self, request: CallRequest, log: Arc<AnswerLog>) -> RunningCall {
+    fn open(&mut self, request: CallRequest, log: Arc<ResponseLog>) -> RunningCall {
         let (stop, stopped) = watch::channel(false);
         let call = RunningCall {
             log: Arc::clone(&log),
--- a/crates/burdockroad-daemon/tests/call_order.rs
+++ b/crates/burdockroad-daemon/tests/call_order.rs
@@ -16,14 +16,17 @@
     retry::{RetryBudgets, RetryOptions},
 };
 use burdockroad_daemon::{
-    answer::{AnswerReader, Frame},
-    calls::{CallLimits, CallRunner, Caller, CompletionRequest, Plan, ProgramPosition, ServiceRequest, Work},
+    answer::{Frame, ResponseReader},
+    calls::{
+        CallLimits, CallPayload, CallPlan, CallPosition, CallRunner, Caller, CompletionRequest,
+        ServiceRequest,
+    },
     config_watch::InForce,
     dispatch::{Dispatcher, Slot, SlotRefusal, SlotReport, SlotRequest},
     endpoint::HttpEndpoints,
     journal::{Appended, Durability, Journal, JournalError},
     ownership::OwnershipView,
-    programs::{MemoryReleaser, ProgramsHandle, ProgramsParts},
+    programs::{PrefixReleaser, ProgramsHandle, ProgramsParts},
     quota::{Quota, QuotaRefusal},
     telemetry::Telemetry,
 };
@@ -107,7 +110,7 @@
 struct NoMemory;
 
 #[async_trait]
-impl MemoryReleaser for NoMemory {
+impl PrefixReleaser for NoMemory {
     async fn release(&self, _hold: &Hold) -> bool {
         true
     }
@@ -171,8 +174,8 @@
         }
     }
 
-    async fn call(&self, work: Work, idempotent: bool) -> AnswerReader {
-        let plan = Plan {
+    async fn call(&self, payload: CallPayload, idempotent: bool) -> ResponseReader {
+        let plan = CallPlan {
             caller: Caller {
                 account_id: "trust".to_owned(),
                 key_id: None,
@@ -182,11 +185,11 @@
             idempotent,
             digest: [1; 32],
             keeps_prefix: true,
-            work,
+            payload,
             deadline: Instant::now() + Duration::from_secs(20),
             traceparent: None,
         };
-        let position = ProgramPosition {
+        let position = CallPosition {
             program_id: self.program.clone(),
             number: 1,
         };
@@ -208,8 +211,8 @@
     }
 }
 
-fn order() -> Work {
-    Work::Service(ServiceRequest {
+fn order() -> CallPayload {
+    CallPayload::Service(ServiceRequest {
         method: Method::POST,
         target: "/orders".to_owned(),
         headers: HeaderMap::new(),
@@ -217,16 +220,16 @@
     })
 }
 
-fn question() -> Work {
+fn question() -> CallPayload {
     let body = br#"{"model":"m","messages":[{"role":"user","content":"x"}],"stream":true,"max_tokens":3}"#;
-    Work::Completion(CompletionRequest::parse(body).unwrap())
+    CallPayload::Completion(CompletionRequest::parse(body).unwrap())
 }
 
 /// All frames that come in a while; the last is the end only if the answer ended.
-async fn frames(reader: &mut AnswerReader, lasts: Duration) -> Vec<Frame> {
+async fn frames(reader: &mut ResponseReader, lasts: Duration) -> Vec<Frame> {
     let mut frames = Vec::new();
     while let Ok(frame) = tokio::time::timeout(lasts, reader.next()).await {
-        let last = matches!(frame, Frame::End | Frame::Cut(_));
+        let last = matches!(frame, Frame::End | Frame::Truncated(_));
         frames.push(frame);
         if last {
             break;
@@ -290,7 +293,7 @@
         frames.iter().any(|frame| match frame {
             Frame::End => true,
             Frame::Data(data) => data.ends_with(b"[DONE]\n\n"),
-            Frame::Head(_) | Frame::Cut(_) => false,
+            Frame::Head(_) | Frame::Truncated(_) => false,
         })
     };
     assert!(
@@ -310,7 +313,7 @@
     bench.journal.answer(Err(JournalError::Fenced)).await;
     let frames = frames(&mut reader, Duration::from_secs(5)).await;
     assert!(
-        matches!(frames.last(), Some(Frame::Cut(_))),
+        matches!(frames.last(), Some(Frame::Truncated(_))),
         "not recorded, so not whole: {frames:?}"
     );
 }
--- a/crates/burdockroad-daemon/tests/dispatch.rs
+++ b/crates/burdockroad-daemon/tests/dispatch.rs
@@ -64,7 +64,7 @@
         true
     }
 
-    fn leaving_hosts(&self) -> BTreeSet<HostId> {
+    fn draining_hosts(&self) -> BTreeSet<HostId> {
         BTreeSet::new()
     }
 }
@@ -166,7 +166,7 @@
         attained_tokens: 0,
         prefix_endpoint_id: None,
         excluded: Vec::new(),
-        latest: Instant::now() + patience,
+        deadline: Instant::now() + patience,
     }
 }
 
--- a/crates/burdockroad-daemon/tests/document_source.rs
+++ b/crates/burdockroad-daemon/tests/document_source.rs
@@ -47,5 +47,5 @@
 
     leaving.send_replace(Arc::new(BTreeSet::from(["engine-host-1".to_owned()])));
     assert_ne!(source.version(), second);
-    assert!(source.leaving_hosts().contains("engine-host-1"));
+    assert!(source.draining_hosts().contains("engine-host-1"));
 }
--- a/crates/burdockroad-daemon/tests/fleet/programs.rs
+++ b/crates/burdockroad-daemon/tests/fleet/programs.rs
@@ -11,7 +11,7 @@
 use burdockroad_daemon::{
     coordinator::JournalFactory,
     ownership::OwnershipView,
-    programs::{MemoryReleaser, NotTaken, ProgramsHandle, ProgramsParts},
+    programs::{PrefixReleaser, ProgramsHandle, ProgramsParts, Rejection},
 };
 use tokio::sync::watch;
 
@@ -21,7 +21,7 @@
 struct NoMemory;
 
 #[async_trait]
-impl MemoryReleaser for NoMemory {
+impl PrefixReleaser for NoMemory {
     async fn release(&self, _: &Hold) -> bool {
         true
     }
@@ -80,7 +80,7 @@
     let moved = OwnershipView::new(me, &map_of(&process("b")), true);
     sender.send_replace(Arc::new(moved));
     let refused = programs.create(new_program("y")).await.unwrap_err();
-    assert!(matches!(refused, NotTaken::Refused(Refusal::NotOwner)));
+    assert!(matches!(refused, Rejection::Refused(Refusal::NotOwner)));
     let program_id = program_id(7, "x");
     let refused = programs
         .get("account".to_owned(), program_id.clone())
