--- a/crates/burdockroad-daemon/src/membership/lease.rs
+++ b/crates/burdockroad-daemon/src/membership/lease.rs
@@ -31,7 +31,7 @@
 }
 
 impl OwnerLease for Lease {
-    fn holds(&self, now: Instant) -> bool {
+    fn is_valid(&self, now: Instant) -> bool {
         let until = *self.until.lock().unwrap_or_else(PoisonError::into_inner);
         until.is_ok_and(|until| until.is_none_or(|until| now < until))
     }
--- a/crates/burdockroad-daemon/src/quota.rs
+++ b/crates/burdockroad-daemon/src/quota.rs
@@ -1,7 +1,7 @@
-//! Rates and bursts of client accounts, over all hosts together.
+//! Rate limits of client accounts, enforced across all hosts.
 
-mod asking;
 mod escrow;
+mod grant_client;
 mod table;
 
 use std::{fmt, time::Duration};
@@ -12,40 +12,41 @@
 
 pub use self::escrow::{EscrowQuota, QuotaParts};
 
-/// Admits calls within each account's rate and burst.
+/// A rate limiter that admits calls within each account's rate and burst.
 #[async_trait]
 pub trait Quota: fmt::Debug + Send + Sync {
-    /// Takes one call's worth from an account's bucket, waiting no longer than `latest`.
+    /// Takes the tokens of one call from an account's bucket, waiting until `deadline` if necessary.
     ///
     /// # Errors
     ///
-    /// Refuses at once, and finally, when the call cannot be admitted by `latest`.
-    async fn admit(&self, account_id: &AccountId, latest: Instant) -> Result<(), QuotaRefusal>;
+    /// Returns a refusal as soon as it is certain that the call cannot be admitted by `deadline`. A refused
+    /// call is not queued any longer.
+    async fn admit(&self, account_id: &AccountId, deadline: Instant) -> Result<(), QuotaRefusal>;
 }
 
-/// Tells whether this process may still act as the owner that the ownership map names.
+/// A lease under which this process may act as the owner that the ownership map specifies.
 ///
-/// It may while it has heard lately from most hosts, so that an owner that was paused or cut off stops
-/// before another host can take its place.
+/// The lease is valid while a majority of hosts has reported to this process recently enough. An owner that
+/// was paused or partitioned therefore stops before another host can replace it.
 pub trait OwnerLease: fmt::Debug + Send + Sync {
-    /// Whether this process may act as an owner at `now`.
-    fn holds(&self, now: std::time::Instant) -> bool;
+    /// Returns whether the lease is valid at `now`.
+    fn is_valid(&self, now: std::time::Instant) -> bool;
 }
 
-/// Gives the limits of accounts, as the document in force has them.
+/// A source of the accounts' limits in the document in force.
 pub trait AccountLimits: fmt::Debug + Send + Sync {
-    /// The limits of an account; none for one that the document does not name.
+    /// Returns the limits of an account, or `None` if the document does not contain the account.
     fn limits(&self, account_id: &AccountId) -> Option<Limits>;
 
-    /// The account's share of the endpoints under contention.
+    /// Returns the weight that determines the account's share of contended endpoints.
     fn weight(&self, account_id: &AccountId) -> f64;
 }
 
-/// Why a call was not admitted. It did not run.
+/// The refusal of a call by the rate limiter. The call did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaRefusal {
-    /// Whether the account is over its rate; if not, the bucket's owner could not be asked.
+    /// Whether the account exceeds its rate; if not, its rate could not be checked.
     pub over_rate: bool,
-    /// When a later try may succeed.
+    /// Delay after which a retry may succeed.
     pub retry_after: Duration,
 }
--- a/crates/burdockroad-daemon/src/quota/escrow.rs
+++ b/crates/burdockroad-daemon/src/quota/escrow.rs
@@ -1,4 +1,4 @@
-//! Admission by tokens that the owners of accounts grant.
+//! Admission of calls with tokens granted by the owners of the accounts' buckets.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -11,53 +11,54 @@
 use crate::{
     ownership::{OwnershipReceiver, PeersReceiver},
     peer::{GrantHandler, PeerClients},
-    quota::{AccountLimits, OwnerLease, Quota, QuotaRefusal, asking::Answered, table::QuotaTable},
+    quota::{AccountLimits, OwnerLease, Quota, QuotaRefusal, grant_client::GrantOutcome, table::QuotaTable},
 };
 
-/// When to try again after this host's quota has stopped.
+/// Retry delay for a call that arrives after the quota actor has stopped.
 const STOPPED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What [`EscrowQuota`] works with.
+/// The dependencies of [`EscrowQuota`].
 #[derive(Clone, Debug)]
 pub struct QuotaParts {
-    /// Which host owns which account's bucket.
+    /// Ownership map, which determines the owner of each account's bucket.
     pub ownership: OwnershipReceiver,
-    /// Where the owners are reached.
+    /// Addresses of the other hosts.
     pub peers: PeersReceiver,
     /// Connections to the owners.
     pub clients: Arc<PeerClients>,
-    /// Whether this host may act as an owner.
+    /// Lease that this process needs to act as an owner.
     pub lease: Arc<dyn OwnerLease>,
-    /// Limits of the accounts.
+    /// Rate limits of the accounts.
     pub limits: Arc<dyn AccountLimits>,
 }
 
-/// Keeps each account within its rate and burst, over all hosts together.
+/// A rate limiter that enforces each account's rate and burst across all hosts.
 ///
-/// One actor owns the buckets of the accounts that this host owns and the tokens that it holds of all.
+/// One actor contains the buckets of the accounts that this host owns, and the tokens of any account that
+/// were granted to this host.
 pub struct EscrowQuota {
     actor: ActorRef<QuotaMessage>,
 }
 
-/// What the actor is told.
+/// A message to the quota actor.
 #[derive(Debug)]
 pub(super) enum QuotaMessage {
-    /// A call asks for admission.
+    /// Requests the admission of a call.
     Admit {
         account_id: AccountId,
-        latest: Instant,
+        deadline: Instant,
         reply: RpcReplyPort<Result<(), QuotaRefusal>>,
     },
-    /// Another host asks for tokens.
+    /// Requests tokens for another host.
     Grant {
         request: GrantRequest,
         reply: RpcReplyPort<GrantResponse>,
     },
-    /// The owner of an account has answered, or has not.
-    Answered(Answered),
-    /// A time that was scheduled has come.
+    /// Reports the outcome of a token request to the owner of an account.
+    GrantOutcome(GrantOutcome),
+    /// Signals that a scheduled time has been reached.
     Wake(Instant),
-    /// Time has passed.
+    /// Settles waiting calls and requests tokens, four times per [`GRANT_LIFE`].
     Tick,
 }
 
@@ -69,13 +70,13 @@
     ///
     /// # Errors
     ///
-    /// Fails when the runtime takes no further actor.
+    /// Returns an error if the actor cannot be started.
     pub async fn start(parts: QuotaParts) -> Result<Self, SpawnErr> {
         let (actor, _) = Actor::spawn(None, QuotaActor, parts).await?;
         Ok(Self { actor })
     }
 
-    /// Stops the actor; calls that wait are refused.
+    /// Stops the actor; waiting calls are refused.
     pub fn close(self) {
         self.actor.stop(None);
     }
@@ -83,7 +84,7 @@
 
 #[async_trait]
 impl Quota for EscrowQuota {
-    async fn admit(&self, account_id: &AccountId, latest: Instant) -> Result<(), QuotaRefusal> {
+    async fn admit(&self, account_id: &AccountId, deadline: Instant) -> Result<(), QuotaRefusal> {
         let stopped = QuotaRefusal {
             over_rate: false,
             retry_after: STOPPED_RETRY_AFTER,
@@ -91,7 +92,7 @@
         let (sender, receiver) = oneshot::channel();
         let message = QuotaMessage::Admit {
             account_id: account_id.clone(),
-            latest,
+            deadline,
             reply: sender.into(),
         };
         let started_at = Instant::now();
@@ -149,18 +150,18 @@
         message: QuotaMessage,
         state: &mut QuotaTable,
     ) -> Result<(), ActorProcessingErr> {
-        state.follow_ownership();
+        state.refresh_ownership();
         match message {
             QuotaMessage::Admit {
                 account_id,
-                latest,
+                deadline,
                 reply,
-            } => state.admit(&account_id, latest, reply),
+            } => state.admit(&account_id, deadline, reply),
             QuotaMessage::Grant { request, reply } => {
-                // A holder that has gone away counts its request as lost.
+                // If the send fails, the requesting host treats its request as failed.
                 reply.send(state.grant(&request)).unwrap_or_default();
             }
-            QuotaMessage::Answered(answered) => state.answered(&answered),
+            QuotaMessage::GrantOutcome(outcome) => state.on_grant_outcome(&outcome),
             QuotaMessage::Wake(scheduled) => state.wake(scheduled),
             QuotaMessage::Tick => state.tick(),
         }
--- a/crates/burdockroad-daemon/src/quota/asking.rs
+++ b/crates/burdockroad-daemon/src/quota/grant_client.rs
@@ -1,4 +1,4 @@
-//! Requests for tokens to the owners of accounts.
+//! Client for token grants from the owners of accounts, and conversion of the messages.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,26 +10,30 @@
 
 use crate::{ownership::Process, peer::PeerClients};
 
-/// Time within which an owner must answer.
+/// Timeout of a token request to an owner.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Outcome of one request for tokens.
+/// The outcome of a token request.
 #[derive(Clone, Debug)]
-pub(super) struct Answered {
+pub(super) struct GrantOutcome {
     pub(super) account_id: AccountId,
     pub(super) sequence: u64,
-    /// None when the owner did not answer in time, or may not grant.
+    /// Grant, or `None` if the owner did not respond in time or may not act as the owner.
     pub(super) grant: Option<Grant>,
 }
 
-/// Asks an owner at another host.
-pub(super) async fn ask_peer(clients: Arc<PeerClients>, address: String, request: GrantRequest) -> Answered {
+/// Requests tokens from an owner at another host.
+pub(super) async fn request_from_peer(
+    clients: Arc<PeerClients>,
+    address: String,
+    request: GrantRequest,
+) -> GrantOutcome {
     let account_id = request.account_id.clone();
     let sequence = request.sequence;
     let grant = send(&clients, &address, request)
         .await
         .and_then(|response| to_grant(&response));
-    Answered {
+    GrantOutcome {
         account_id,
         sequence,
         grant,
@@ -42,7 +46,7 @@
     Some(answer.ok()?.ok()?.into_inner())
 }
 
-/// Writes a holder's request as a message.
+/// Converts a token request to a message.
 pub(super) fn to_request(
     from: &Process,
     account_id: &AccountId,
@@ -64,8 +68,8 @@
     }
 }
 
-/// Reads a holder's request from a message.
-pub(super) fn to_ask(request: &GrantRequest) -> Ask {
+/// Converts a message to a token request.
+pub(super) fn from_request(request: &GrantRequest) -> Ask {
     Ask {
         sequence: request.sequence,
         wanted: request.wanted,
@@ -75,7 +79,7 @@
     }
 }
 
-/// Writes an owner's answer as a message.
+/// Converts an owner's grant to a message.
 pub(super) fn to_response(grant: Grant, epoch: u64) -> GrantResponse {
     GrantResponse {
         granted: grant.granted,
--- a/crates/burdockroad-daemon/src/quota/table.rs
+++ b/crates/burdockroad-daemon/src/quota/table.rs
@@ -1,4 +1,4 @@
-//! Buckets that this host owns, and tokens that it holds.
+//! The state of the quota actor: buckets that this host owns, and tokens that were granted to it.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,24 +18,24 @@
     ownership::{OwnershipView, Process},
     quota::{
         QuotaParts, QuotaRefusal,
-        asking::{self, Answered},
         escrow::QuotaMessage,
+        grant_client::{self, GrantOutcome},
     },
 };
 
-/// When to try again with an account that the document does not name.
+/// Retry delay for a call of an account that the document does not contain.
 const UNKNOWN_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 type AdmitReply = RpcReplyPort<Result<(), QuotaRefusal>>;
 
-/// The tables of the quota actor.
+/// The state of the quota actor.
 #[derive(Debug)]
 pub(super) struct QuotaTable {
     parts: QuotaParts,
     myself: ActorRef<QuotaMessage>,
     view: Arc<OwnershipView>,
-    /// Since when this process owns each of its partitions.
-    owned: HashMap<PartitionId, OwnedSince>,
+    /// Epoch and time since which this process owns each of its partitions.
+    owned_partitions: HashMap<PartitionId, OwnedSince>,
     buckets: HashMap<AccountId, BucketRow>,
     holders: BTreeMap<AccountId, Holder>,
     waiting: HashMap<WaiterId, AdmitReply>,
@@ -62,68 +62,71 @@
             parts,
             myself,
             view: Arc::default(),
-            owned: HashMap::new(),
+            owned_partitions: HashMap::new(),
             buckets: HashMap::new(),
             holders: BTreeMap::new(),
             waiting: HashMap::new(),
             next_waiter_id: 1,
             wake_at: None,
         };
-        table.follow_ownership();
+        table.refresh_ownership();
         table
     }
 
-    /// Takes note of changes of the ownership map.
-    pub(super) fn follow_ownership(&mut self) {
+    /// Updates the owned partitions if the ownership map has changed.
+    pub(super) fn refresh_ownership(&mut self) {
         let view = Arc::clone(&self.parts.ownership.borrow());
         if Arc::ptr_eq(&view, &self.view) {
             return;
         }
         self.view = view;
         let now = Instant::now();
-        let mut owned = HashMap::new();
+        let mut owned_partitions = HashMap::new();
         for partition in self.view.own_partitions() {
             let epoch = self.view.owner(partition).map_or(0, |owner| owner.epoch);
-            let before = self.owned.get(&partition).filter(|since| since.epoch == epoch);
-            let since = before.copied().unwrap_or(OwnedSince { epoch, at: now });
-            owned.insert(partition, since);
+            let previous = self
+                .owned_partitions
+                .get(&partition)
+                .filter(|owned| owned.epoch == epoch);
+            let owned_since = previous.copied().unwrap_or(OwnedSince { epoch, at: now });
+            owned_partitions.insert(partition, owned_since);
         }
-        self.owned = owned;
+        self.owned_partitions = owned_partitions;
     }
 
-    pub(super) fn admit(&mut self, account_id: &AccountId, latest: Instant, reply: AdmitReply) {
+    pub(super) fn admit(&mut self, account_id: &AccountId, deadline: Instant, reply: AdmitReply) {
         let Some(limits) = self.parts.limits.limits(account_id) else {
-            answer(reply, Err(refusal(false, UNKNOWN_RETRY_AFTER)));
+            send_reply(reply, Err(refusal(false, UNKNOWN_RETRY_AFTER)));
             return;
         };
         let waiter_id = self.next_waiter_id;
         self.next_waiter_id += 1;
         let holder = self.holders.entry(account_id.clone()).or_default();
         holder.set_rate(limits.rate_per_s);
-        match holder.admit(waiter_id, latest.into_std(), now()) {
-            Admission::Admitted => answer(reply, Ok(())),
+        match holder.admit(waiter_id, deadline.into_std(), now()) {
+            Admission::Admitted => send_reply(reply, Ok(())),
             Admission::Waiting => {
                 self.waiting.insert(waiter_id, reply);
             }
             Admission::Refused {
                 over_rate,
                 retry_after,
-            } => answer(reply, Err(refusal(over_rate, retry_after))),
+            } => send_reply(reply, Err(refusal(over_rate, retry_after))),
         }
-        self.serve(account_id);
+        self.process_account(account_id);
     }
 
     /// Grants tokens to another host.
     pub(super) fn grant(&mut self, request: &GrantRequest) -> GrantResponse {
         let holder_id = holder_id(request.from.as_ref());
-        // A holder that knows a newer map may know of a newer owner.
-        let outdated = request.ownership_version > self.view.version;
-        let ask = asking::to_ask(request);
-        match (!outdated)
-            .then(|| self.grant_from_bucket(&request.account_id, &holder_id, &ask))
+        // A requester with a newer ownership map may already have a newer owner in it.
+        let map_is_outdated = request.ownership_version > self.view.version;
+        let token_request = grant_client::from_request(request);
+        match (!map_is_outdated)
+            .then(|| self.grant_from_bucket(&request.account_id, &holder_id, &token_request))
             .flatten()
         {
-            Some((grant, epoch)) => asking::to_response(grant, epoch),
+            Some((grant, epoch)) => grant_client::to_response(grant, epoch),
             None => GrantResponse {
                 not_owner: true,
                 ..GrantResponse::default()
@@ -131,12 +134,12 @@
         }
     }
 
-    pub(super) fn answered(&mut self, answered: &Answered) {
-        self.take_answer(&answered.account_id, answered.sequence, answered.grant);
-        self.serve(&answered.account_id);
+    pub(super) fn on_grant_outcome(&mut self, outcome: &GrantOutcome) {
+        self.apply_grant(&outcome.account_id, outcome.sequence, outcome.grant);
+        self.process_account(&outcome.account_id);
     }
 
-    /// Ticks at the time that was scheduled last; what was scheduled before is out of date.
+    /// Ticks, unless a later `schedule` call has replaced this wake-up.
     pub(super) fn wake(&mut self, scheduled: Instant) {
         if self.wake_at == Some(scheduled) {
             self.tick();
@@ -152,51 +155,51 @@
             .map(|(account_id, _)| account_id.clone())
             .collect();
         for account_id in due {
-            self.serve(&account_id);
+            self.process_account(&account_id);
         }
     }
 
-    /// Settles what can be settled for an account, and asks for more tokens where they are needed.
-    fn serve(&mut self, account_id: &AccountId) {
+    /// Settles the waiting calls of an account where possible, and requests more tokens if needed.
+    fn process_account(&mut self, account_id: &AccountId) {
         let Some(holder) = self.holders.get_mut(account_id) else {
             return;
         };
         let settled = holder.tick(now());
-        let ask = holder.ask(now());
+        let token_request = holder.ask(now());
         self.settle(settled);
-        if let Some(ask) = ask {
-            self.ask(account_id, &ask);
+        if let Some(token_request) = token_request {
+            self.request_tokens(account_id, &token_request);
         }
         self.schedule(account_id);
     }
 
-    fn ask(&mut self, account_id: &AccountId, ask: &Ask) {
+    fn request_tokens(&mut self, account_id: &AccountId, token_request: &Ask) {
         let partition = partition_of(account_id);
         if self.view.owns(partition) {
             let own_id = self.own_id();
             let grant = self
-                .grant_from_bucket(account_id, &own_id, ask)
+                .grant_from_bucket(account_id, &own_id, token_request)
                 .map(|(grant, _)| grant);
-            self.take_answer(account_id, ask.sequence, grant);
+            self.apply_grant(account_id, token_request.sequence, grant);
             return;
         }
         let Some(address) = self.owner_address(partition) else {
-            self.take_answer(account_id, ask.sequence, None);
+            self.apply_grant(account_id, token_request.sequence, None);
             return;
         };
-        let request = asking::to_request(&self.view.me, account_id, self.view.version, ask);
-        let asked = asking::ask_peer(Arc::clone(&self.parts.clients), address, request);
+        let request = grant_client::to_request(&self.view.me, account_id, self.view.version, token_request);
+        let response = grant_client::request_from_peer(Arc::clone(&self.parts.clients), address, request);
         let myself = self.myself.clone();
         tokio::spawn(async move {
-            let answered = asked.await;
-            // An actor that has stopped has refused its calls already.
+            let outcome = response.await;
+            // The send fails once the actor has stopped, which refuses all its waiting calls.
             myself
-                .send_message(QuotaMessage::Answered(answered))
+                .send_message(QuotaMessage::GrantOutcome(outcome))
                 .unwrap_or_default();
         });
     }
 
-    fn take_answer(&mut self, account_id: &AccountId, sequence: u64, grant: Option<Grant>) {
+    fn apply_grant(&mut self, account_id: &AccountId, sequence: u64, grant: Option<Grant>) {
         let Some(holder) = self.holders.get_mut(account_id) else {
             return;
         };
@@ -208,16 +211,19 @@
         self.settle(settled);
     }
 
-    /// Grants from a bucket of this host; none when it may not act as the owner.
+    /// Grants tokens from a bucket of this host.
+    ///
+    /// Returns `None` if this host does not own the account's partition or holds no valid owner lease, or if
+    /// the document does not contain the account.
     fn grant_from_bucket(
         &mut self,
         account_id: &AccountId,
         holder_id: &HolderId,
-        ask: &Ask,
+        token_request: &Ask,
     ) -> Option<(Grant, Epoch)> {
-        let owned_since = *self.owned.get(&partition_of(account_id))?;
+        let owned_since = *self.owned_partitions.get(&partition_of(account_id))?;
         let limits = self.parts.limits.limits(account_id)?;
-        if !self.parts.lease.holds(now()) {
+        if !self.parts.lease.is_valid(now()) {
             return None;
         }
         let row = self
@@ -231,7 +237,10 @@
             row.limits = limits;
             row.bucket.set_limits(limits, now());
         }
-        Some((row.bucket.grant(holder_id, ask, now()), owned_since.epoch))
+        Some((
+            row.bucket.grant(holder_id, token_request, now()),
+            owned_since.epoch,
+        ))
     }
 
     fn settle(&mut self, settled: Vec<Settled>) {
@@ -240,17 +249,17 @@
                 continue;
             };
             match call.admission {
-                Admission::Admitted => answer(reply, Ok(())),
+                Admission::Admitted => send_reply(reply, Ok(())),
                 Admission::Refused {
                     over_rate,
                     retry_after,
-                } => answer(reply, Err(refusal(over_rate, retry_after))),
+                } => send_reply(reply, Err(refusal(over_rate, retry_after))),
                 Admission::Waiting => {}
             }
         }
     }
 
-    /// Makes sure that a tick comes when an account's holder needs one.
+    /// Schedules a tick for the time at which an account needs one.
     fn schedule(&mut self, account_id: &AccountId) {
         let Some(wake_at) = self.holders.get(account_id).and_then(Holder::wake_at) else {
             return;
@@ -260,8 +269,8 @@
             return;
         }
         self.wake_at = Some(wake_at);
-        let pause = wake_at.saturating_duration_since(Instant::now());
-        self.myself.send_after(pause, move || QuotaMessage::Wake(wake_at));
+        let delay = wake_at.saturating_duration_since(Instant::now());
+        self.myself.send_after(delay, move || QuotaMessage::Wake(wake_at));
     }
 
     fn owner_address(&self, partition: PartitionId) -> Option<String> {
@@ -298,8 +307,8 @@
     }
 }
 
-/// Answers a call; a caller that has gone away needs no answer.
-fn answer(reply: AdmitReply, outcome: Result<(), QuotaRefusal>) {
+/// Sends a reply to a call; the send fails if the call no longer waits, which needs no handling.
+fn send_reply(reply: AdmitReply, outcome: Result<(), QuotaRefusal>) {
     reply.send(outcome).unwrap_or_default();
 }
 
--- a/crates/burdockroad-daemon/tests/quota.rs
+++ b/crates/burdockroad-daemon/tests/quota.rs
@@ -46,7 +46,7 @@
 struct Switch(AtomicBool);
 
 impl OwnerLease for Switch {
-    fn holds(&self, _now: std::time::Instant) -> bool {
+    fn is_valid(&self, _now: std::time::Instant) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
