--- a/crates/burdockroad-daemon/src/calls/program_call.rs
+++ b/crates/burdockroad-daemon/src/calls/program_call.rs
@@ -69,7 +69,7 @@
         position: CallPosition,
     ) -> Result<ResponseReader, Problem> {
         let request = call_request(&plan, &position);
-        match self.programs.begin(request).await? {
+        match self.programs.start_call(request).await? {
             CallDisposition::Attach(log) => Ok(log.reader()),
             CallDisposition::Answered(answer) => Ok(replay_response(&plan, &answer).reader()),
             CallDisposition::Run {
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -1,7 +1,7 @@
-//! The actor that owns the table of programs, and the handle by which others reach it.
+//! The actor that owns the table of programs, and a handle to it.
 //!
-//! Every change of the table is appended to the journal by the actor itself, so the records stand in
-//! the journal in the order of the changes.
+//! The actor itself appends every change of the table to the journal, so the journal records are in the
+//! order of the changes.
 
 mod actor;
 
@@ -32,49 +32,51 @@
     programs::actor::{ProgramsActor, ProgramsArguments},
 };
 
-/// Time between two looks at a partition whose running calls are waited for.
-const RELEASE_POLL: Duration = Duration::from_millis(20);
+/// Interval at which a release checks whether the partitions still have open calls.
+const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Frees what endpoints hold for programs that are gone.
+/// A client that removes cached prefixes of ended or moved programs from endpoints.
 #[async_trait]
 pub trait PrefixReleaser: fmt::Debug + Send + Sync {
-    /// Asks an endpoint to free what it holds; true once it has, or is itself gone.
+    /// Requests that an endpoint remove a program's cached prefix.
+    ///
+    /// Returns `true` if the endpoint has removed it, or if the endpoint itself no longer exists.
     async fn release(&self, hold: &Hold) -> bool;
 }
 
-/// A call that this host runs.
+/// A running call of this host.
 #[derive(Clone, Debug)]
 pub struct RunningCall {
-    /// Where its answer is written.
+    /// Log that the response is written to.
     pub log: Arc<ResponseLog>,
-    /// Becomes true when the call has to stop.
+    /// Flag that becomes true when the call must stop.
     pub stop: watch::Receiver<bool>,
 }
 
-/// What to do with a call.
+/// The decision on how to serve a call.
 #[derive(Debug)]
 pub enum CallDisposition {
-    /// Run it, and write its answer to the log.
+    /// Run the call and write its response to the log.
     Run {
-        /// The running call.
+        /// The call to run.
         call: RunningCall,
-        /// What its program has used so far.
+        /// Resources that the program has used so far.
         usage: Usage,
-        /// Endpoint that may hold the program's prefix.
+        /// Endpoint that may have the program's prefix cached.
         prefix_endpoint_id: Option<String>,
     },
-    /// It runs already: read its answer.
+    /// Read the response of the same call, which is already running.
     Attach(Arc<ResponseLog>),
-    /// It was answered before.
+    /// Return the recorded response of the completed call.
     Answered(Answer),
 }
 
-/// Why a program or call was not taken. Nothing ran.
+/// The reason why a program or call was rejected. Nothing ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The table refused it.
+    /// The program table refused it.
     Refused(Refusal),
-    /// What must be recorded first cannot be recorded now.
+    /// The journal does not accept the record that must precede it.
     NotRecordable(JournalError),
 }
 
@@ -90,96 +92,96 @@
     }
 }
 
-/// A program and its tree, as they were when asked.
+/// A copy of a program's tree at the time of the request.
 #[derive(Clone, Debug)]
 pub struct ProgramView {
-    /// The tree.
+    /// Tree of the program.
     pub tree: Tree,
-    /// The program that was asked for.
+    /// Id of the requested program.
     pub program_id: ProgramId,
 }
 
-/// What the actor is asked.
+/// A message to the programs actor.
 #[derive(Debug)]
 pub enum ProgramsMessage {
-    /// Add a program.
+    /// Creates a program.
     Create(NewProgram, RpcReplyPort<Result<Appended, Rejection>>),
-    /// Show a program.
+    /// Returns a copy of a program's tree.
     Get(AccountId, ProgramId, RpcReplyPort<Result<ProgramView, Refusal>>),
-    /// Whether a program exists here.
+    /// Returns whether the table contains a program.
     Contains(ProgramId, RpcReplyPort<bool>),
-    /// Take a call.
-    Begin(CallRequest, RpcReplyPort<Result<CallDisposition, Rejection>>),
-    /// Take a call again for another attempt, with the answer that was begun.
-    Reopen(CallRequest, Arc<ResponseLog>, RpcReplyPort<Option<RunningCall>>),
-    /// Record where a call is sent.
-    Send(
+    /// Starts a call, or returns an earlier result of it.
+    StartCall(CallRequest, RpcReplyPort<Result<CallDisposition, Rejection>>),
+    /// Reopens a call for another attempt, with the existing response log.
+    ReopenCall(CallRequest, Arc<ResponseLog>, RpcReplyPort<Option<RunningCall>>),
+    /// Records the endpoint that a call is about to be sent to.
+    SendCall(
         ProgramId,
         Placement,
         RpcReplyPort<Result<(Sending, Appended), Refusal>>,
     ),
-    /// Record how a call ended.
-    Settle(Settlement, RpcReplyPort<Option<Appended>>),
-    /// Close a call that was not sent.
-    Withdraw(ProgramId),
-    /// End a program.
+    /// Records the outcome of a call.
+    SettleCall(Settlement, RpcReplyPort<Option<Appended>>),
+    /// Closes a call that was not sent.
+    WithdrawCall(ProgramId),
+    /// Ends a program.
     End(AccountId, ProgramId, RpcReplyPort<Result<Appended, Refusal>>),
-    /// An endpoint freed what it held.
-    Released(Hold),
-    /// Time has passed.
+    /// Records that an endpoint removed a cached prefix.
+    PrefixReleased(Hold),
+    /// Runs the time-dependent parts of the table.
     Tick,
-    /// Take trees over.
-    Adopt(Vec<Tree>, RpcReplyPort<()>),
-    /// Stop taking calls for partitions.
+    /// Adds trees that this host has taken over.
+    Import(Vec<Tree>, RpcReplyPort<()>),
+    /// Stops accepting calls for partitions.
     Freeze(Vec<PartitionId>, RpcReplyPort<()>),
-    /// The trees of partitions, unless calls are open.
+    /// Returns the trees of partitions, or `None` while calls of them are open.
     Export(Vec<PartitionId>, RpcReplyPort<Option<Vec<Tree>>>),
-    /// Take calls for partitions again.
+    /// Accepts calls for partitions again.
     Thaw(Vec<PartitionId>),
-    /// Forget the trees of partitions.
-    Forget(Vec<PartitionId>, RpcReplyPort<()>),
-    /// Forget everything.
+    /// Removes the trees of partitions.
+    Evict(Vec<PartitionId>, RpcReplyPort<()>),
+    /// Removes all trees.
     Clear(RpcReplyPort<()>),
-    /// Record trees as a whole.
+    /// Appends full snapshots of trees to the journal.
     Snapshot(Vec<ProgramId>, RpcReplyPort<()>),
-    /// Number of open calls.
+    /// Returns the number of open calls.
     OpenCalls(RpcReplyPort<usize>),
-    /// All trees, for the operators' list.
+    /// Returns all trees, for the operators' list of programs.
     List(RpcReplyPort<Vec<Tree>>),
 }
 
-/// How a call ended.
+/// The result of a call, to be recorded in its program.
 #[derive(Clone, Debug)]
 pub struct Settlement {
-    /// The program.
+    /// Program of the call.
     pub program_id: ProgramId,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: Outcome,
-    /// Tokens that count as spent.
+    /// Tokens to charge to the program's budget.
     pub spent_tokens: u64,
 }
 
-/// What the actor works with.
+/// The dependencies of the programs actor.
 #[derive(Clone, Debug)]
 pub struct ProgramsParts {
-    /// Where changes are recorded.
+    /// Journal that changes are appended to.
     pub journal: Arc<dyn Journal>,
-    /// Frees engine memory.
+    /// Client that removes cached prefixes from engines.
     pub releaser: Arc<dyn PrefixReleaser>,
-    /// The partitions that this process owns.
+    /// Partitions that this process owns.
     ///
-    /// Whoever asks has looked at it before; it is looked at again when a change is made, since a
-    /// partition may have moved while the request waited.
+    /// The sender of a request has already checked the ownership. The actor checks it again before each
+    /// change, because the partition may have moved while the request was queued.
     pub ownership: OwnershipReceiver,
-    /// How programs are treated.
+    /// Options of the program table.
     pub options: ProgramsOptions,
 }
 
-/// Handle of the actor.
+/// A handle to the programs actor.
 #[derive(Clone, Debug)]
 pub struct ProgramsHandle {
     actor: ActorRef<ProgramsMessage>,
-    kept: Arc<AtomicUsize>,
+    tree_count: Arc<AtomicUsize>,
 }
 
 impl ProgramsHandle {
@@ -187,17 +189,17 @@
     ///
     /// # Errors
     ///
-    /// Fails when the actor cannot be started.
+    /// Returns an error if the actor cannot be started.
     pub async fn start(parts: ProgramsParts) -> Result<Self, SpawnErr> {
-        let kept = Arc::new(AtomicUsize::new(0));
+        let tree_count = Arc::new(AtomicUsize::new(0));
         let table = Programs::new(parts.options);
         let arguments = ProgramsArguments {
             table,
             parts,
-            kept: Arc::clone(&kept),
+            tree_count: Arc::clone(&tree_count),
         };
         let (actor, _) = Actor::spawn(None, ProgramsActor, arguments).await?;
-        Ok(Self { actor, kept })
+        Ok(Self { actor, tree_count })
     }
 
     /// Stops the actor.
@@ -205,125 +207,131 @@
         self.actor.stop(None);
     }
 
-    /// Adds a program.
+    /// Creates a program.
     ///
     /// # Errors
     ///
-    /// As [`Programs::create`], or when it cannot be recorded now.
+    /// Returns the errors of [`Programs::create`], and an error if the journal does not accept the record.
     pub async fn create(&self, new: NewProgram) -> Result<Appended, Rejection> {
-        self.ask(|port| ProgramsMessage::Create(new, port))
+        self.call_actor(|port| ProgramsMessage::Create(new, port))
             .await
             .unwrap_or(Err(Refusal::NotOwner.into()))
     }
 
-    /// Shows a program.
+    /// Returns a copy of a program's tree.
     ///
     /// # Errors
     ///
-    /// As [`Programs::get`].
+    /// Returns the errors of [`Programs::get`].
     pub async fn get(&self, account_id: AccountId, program_id: ProgramId) -> Result<ProgramView, Refusal> {
-        let asked = self
-            .ask(|port| ProgramsMessage::Get(account_id, program_id, port))
+        let response = self
+            .call_actor(|port| ProgramsMessage::Get(account_id, program_id, port))
             .await;
-        asked.unwrap_or(Err(Refusal::NotOwner))
+        response.unwrap_or(Err(Refusal::NotOwner))
     }
 
-    /// Whether a program exists here, whoever's it is.
+    /// Returns whether this host has a program, whichever account it belongs to.
+    ///
+    /// Returns `true` if the actor has stopped.
     pub async fn contains(&self, program_id: ProgramId) -> bool {
-        self.ask(|port| ProgramsMessage::Contains(program_id, port))
+        self.call_actor(|port| ProgramsMessage::Contains(program_id, port))
             .await
             .unwrap_or(true)
     }
 
-    /// Takes a call, or tells what became of an earlier try of it.
+    /// Starts a call, or returns the state of an earlier attempt of the same call.
     ///
     /// # Errors
     ///
-    /// As [`Programs::begin`], or when it cannot be recorded now.
-    pub async fn begin(&self, request: CallRequest) -> Result<CallDisposition, Rejection> {
-        self.ask(|port| ProgramsMessage::Begin(request, port))
+    /// Returns the errors of [`Programs::begin`], and an error if the journal does not accept the intent.
+    pub async fn start_call(&self, request: CallRequest) -> Result<CallDisposition, Rejection> {
+        self.call_actor(|port| ProgramsMessage::StartCall(request, port))
             .await
             .unwrap_or(Err(Refusal::NotOwner.into()))
     }
 
-    /// Takes a call again for another attempt; none when its program no longer takes it.
+    /// Reopens a call for another attempt.
+    ///
+    /// Returns `None` if the program no longer accepts the call.
     pub async fn reopen(&self, request: CallRequest, log: Arc<ResponseLog>) -> Option<RunningCall> {
-        self.ask(|port| ProgramsMessage::Reopen(request, log, port))
+        self.call_actor(|port| ProgramsMessage::ReopenCall(request, log, port))
             .await
             .flatten()
     }
 
-    /// Records where a call is to be sent.
+    /// Records the endpoint that a call is about to be sent to.
     ///
     /// # Errors
     ///
-    /// As [`Programs::send`].
+    /// Returns the errors of [`Programs::send`].
     pub async fn send(
         &self,
         program_id: ProgramId,
         placement: Placement,
     ) -> Result<(Sending, Appended), Refusal> {
-        let asked = self
-            .ask(|port| ProgramsMessage::Send(program_id, placement, port))
+        let response = self
+            .call_actor(|port| ProgramsMessage::SendCall(program_id, placement, port))
             .await;
-        asked.unwrap_or(Err(Refusal::NotOwner))
+        response.unwrap_or(Err(Refusal::NotOwner))
     }
 
-    /// Records how a call ended; none when this host has lost the call meanwhile.
+    /// Records the outcome of a call.
+    ///
+    /// Returns `None` if the table no longer contains the open call.
     pub async fn settle(&self, settlement: Settlement) -> Option<Appended> {
-        self.ask(|port| ProgramsMessage::Settle(settlement, port))
+        self.call_actor(|port| ProgramsMessage::SettleCall(settlement, port))
             .await
             .flatten()
     }
 
     /// Closes a call that was not sent.
     pub fn withdraw(&self, program_id: ProgramId) {
-        self.tell(ProgramsMessage::Withdraw(program_id));
+        self.cast(ProgramsMessage::WithdrawCall(program_id));
     }
 
     /// Ends a program and its sub-agents.
     ///
     /// # Errors
     ///
-    /// As [`Programs::end`].
+    /// Returns the errors of [`Programs::end`].
     pub async fn end(&self, account_id: AccountId, program_id: ProgramId) -> Result<Appended, Refusal> {
-        let asked = self
-            .ask(|port| ProgramsMessage::End(account_id, program_id, port))
+        let response = self
+            .call_actor(|port| ProgramsMessage::End(account_id, program_id, port))
             .await;
-        asked.unwrap_or(Err(Refusal::NotOwner))
+        response.unwrap_or(Err(Refusal::NotOwner))
     }
 
-    /// Runs the systems that depend on time.
+    /// Runs the time-dependent parts of the table.
     pub fn tick(&self) {
-        self.tell(ProgramsMessage::Tick);
+        self.cast(ProgramsMessage::Tick);
     }
 
-    /// Number of calls that are under way or wait to be sent.
+    /// Returns the number of calls that are running or wait to be sent.
     pub async fn open_calls(&self) -> usize {
-        self.ask(ProgramsMessage::OpenCalls).await.unwrap_or(0)
+        self.call_actor(ProgramsMessage::OpenCalls).await.unwrap_or(0)
     }
 
-    /// Number of trees that this host keeps, as of the last tick.
+    /// Returns the number of trees in the table, as of the last tick.
     pub fn owned_tree_count(&self) -> usize {
-        self.kept.load(Ordering::Relaxed)
+        self.tree_count.load(Ordering::Relaxed)
     }
 
-    /// All trees that this host owns.
+    /// Returns all trees that this host owns.
     pub async fn list(&self) -> Vec<Tree> {
-        self.ask(ProgramsMessage::List).await.unwrap_or_default()
+        self.call_actor(ProgramsMessage::List).await.unwrap_or_default()
     }
 
-    async fn ask<T: Send + 'static>(
+    async fn call_actor<T: Send + 'static>(
         &self,
         message: impl FnOnce(RpcReplyPort<T>) -> ProgramsMessage,
     ) -> Option<T> {
         match self.actor.call(message, None).await {
-            Ok(CallResult::Success(answer)) => Some(answer),
+            Ok(CallResult::Success(value)) => Some(value),
             Ok(CallResult::Timeout | CallResult::SenderError) | Err(_) => None,
         }
     }
 
-    fn tell(&self, message: ProgramsMessage) {
+    fn cast(&self, message: ProgramsMessage) {
         if self.actor.cast(message).is_err() {
             log::debug!("event=programs_stopped");
         }
@@ -333,51 +341,54 @@
 #[async_trait]
 impl Trees for ProgramsHandle {
     async fn adopt(&self, trees: Vec<Tree>) {
-        self.ask(|port| ProgramsMessage::Adopt(trees, port)).await;
+        self.call_actor(|port| ProgramsMessage::Import(trees, port)).await;
     }
 
     async fn release(&self, partitions: Vec<PartitionId>, patience: Duration) -> Option<Vec<Tree>> {
         let frozen = partitions.clone();
-        self.ask(|port| ProgramsMessage::Freeze(frozen, port)).await?;
-        let latest = Instant::now() + patience;
+        self.call_actor(|port| ProgramsMessage::Freeze(frozen, port))
+            .await?;
+        let deadline = Instant::now() + patience;
         loop {
-            let asked = partitions.clone();
+            let requested = partitions.clone();
             let exported = self
-                .ask(|port| ProgramsMessage::Export(asked, port))
+                .call_actor(|port| ProgramsMessage::Export(requested, port))
                 .await
                 .flatten();
             if exported.is_some() {
                 return exported;
             }
-            if Instant::now() >= latest {
+            if Instant::now() >= deadline {
                 self.resume(partitions).await;
                 return None;
             }
-            tokio::time::sleep(RELEASE_POLL).await;
+            tokio::time::sleep(RELEASE_POLL_INTERVAL).await;
         }
     }
 
     async fn resume(&self, partitions: Vec<PartitionId>) {
-        self.tell(ProgramsMessage::Thaw(partitions));
+        self.cast(ProgramsMessage::Thaw(partitions));
     }
 
     async fn forget(&self, partitions: Vec<PartitionId>) {
-        self.ask(|port| ProgramsMessage::Forget(partitions, port)).await;
+        self.call_actor(|port| ProgramsMessage::Evict(partitions, port))
+            .await;
     }
 
     async fn clear(&self) {
-        self.ask(ProgramsMessage::Clear).await;
+        self.call_actor(ProgramsMessage::Clear).await;
     }
 
     async fn write_snapshots(&self, root_ids: Vec<ProgramId>) {
-        self.ask(|port| ProgramsMessage::Snapshot(root_ids, port)).await;
+        self.call_actor(|port| ProgramsMessage::Snapshot(root_ids, port))
+            .await;
     }
 }
 
-/// The wall clock, which budgets and retention are counted by.
+/// Returns the wall-clock time, by which budgets and retention are measured.
 fn now() -> SystemTime {
     SystemTime::now()
 }
 
-/// Records of a change, in the order in which they must stand in the journal.
+/// Journal records of one change, in the order in which they must be appended.
 type Records = Vec<Record>;
--- a/crates/burdockroad-daemon/src/programs/actor.rs
+++ b/crates/burdockroad-daemon/src/programs/actor.rs
@@ -1,4 +1,4 @@
-//! The actor itself: one message, one change of the table, one append.
+//! The programs actor: each message makes one change of the table and one append to the journal.
 
 use std::{
     collections::HashMap,
@@ -29,37 +29,37 @@
     },
 };
 
-/// Reason that a program's history gives when its caller ended it.
+/// Reason that is recorded when a caller ends a program.
 const ENDED_BY_CALLER: &str = "its caller ended it";
 
-/// Time after which a program that moved can be expected elsewhere.
-const MOVED_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay for a call whose program has moved to another host.
+const MOVED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The actor.
+/// The programs actor.
 #[derive(Debug)]
 pub(super) struct ProgramsActor;
 
-/// What the actor starts with.
+/// The start arguments of the actor.
 #[derive(Debug)]
 pub(super) struct ProgramsArguments {
     pub(super) table: Programs,
     pub(super) parts: ProgramsParts,
-    /// Number of trees in the table, for whoever wants to know without asking.
-    pub(super) kept: Arc<AtomicUsize>,
+    /// Number of trees in the table, readable without a message to the actor.
+    pub(super) tree_count: Arc<AtomicUsize>,
 }
 
-/// What the actor owns.
+/// The state of the actor.
 #[derive(Debug)]
 pub(super) struct ProgramsState {
     table: Programs,
     parts: ProgramsParts,
-    kept: Arc<AtomicUsize>,
-    running: HashMap<ProgramId, Running>,
+    tree_count: Arc<AtomicUsize>,
+    active_calls: HashMap<ProgramId, ActiveCall>,
 }
 
-/// A call that runs, with the request that began it.
+/// A running call and the request that started it.
 #[derive(Debug)]
-struct Running {
+struct ActiveCall {
     request: CallRequest,
     log: Arc<ResponseLog>,
     stop: watch::Sender<bool>,
@@ -75,12 +75,16 @@
         _myself: ActorRef<Self::Msg>,
         args: Self::Arguments,
     ) -> Result<Self::State, ActorProcessingErr> {
-        let ProgramsArguments { table, parts, kept } = args;
+        let ProgramsArguments {
+            table,
+            parts,
+            tree_count,
+        } = args;
         Ok(ProgramsState {
             table,
             parts,
-            kept,
-            running: HashMap::new(),
+            tree_count,
+            active_calls: HashMap::new(),
         })
     }
 
@@ -103,30 +107,30 @@
                 reply(port, self.get(&account_id, &program_id));
             }
             ProgramsMessage::Contains(program_id, port) => reply(port, self.table.contains(&program_id)),
-            ProgramsMessage::Begin(request, port) => reply(port, self.begin(request)),
-            ProgramsMessage::Reopen(request, log, port) => reply(port, self.reopen(request, log)),
-            ProgramsMessage::Send(program_id, placement, port) => {
+            ProgramsMessage::StartCall(request, port) => reply(port, self.start_call(request)),
+            ProgramsMessage::ReopenCall(request, log, port) => reply(port, self.reopen(request, log)),
+            ProgramsMessage::SendCall(program_id, placement, port) => {
                 reply(port, self.send(&program_id, placement));
             }
-            ProgramsMessage::Settle(settlement, port) => reply(port, self.settle(settlement)),
-            ProgramsMessage::Withdraw(program_id) => self.withdraw(&program_id),
+            ProgramsMessage::SettleCall(settlement, port) => reply(port, self.settle(settlement)),
+            ProgramsMessage::WithdrawCall(program_id) => self.withdraw(&program_id),
             ProgramsMessage::End(account_id, program_id, port) => {
                 reply(port, self.end(myself, &account_id, &program_id));
             }
-            ProgramsMessage::Released(hold) => self.released(&hold),
+            ProgramsMessage::PrefixReleased(hold) => self.prefix_released(&hold),
             ProgramsMessage::Tick => self.tick(myself),
             ProgramsMessage::OpenCalls(port) => reply(port, self.table.open_calls()),
             ProgramsMessage::List(port) => reply(port, self.table.trees().cloned().collect()),
-            moved => self.handle_move(moved),
+            transfer => self.handle_transfer(transfer),
         }
     }
 
-    /// Handles what concerns trees on the move between hosts or journal segments.
-    fn handle_move(&mut self, message: ProgramsMessage) {
+    /// Handles messages that move trees between hosts or journal segments.
+    fn handle_transfer(&mut self, message: ProgramsMessage) {
         match message {
-            ProgramsMessage::Adopt(trees, port) => {
+            ProgramsMessage::Import(trees, port) => {
                 let records = self.table.adopt(trees, now());
-                self.append_later(records);
+                self.append_detached(records);
                 reply(port, ());
             }
             ProgramsMessage::Freeze(partitions, port) => {
@@ -135,9 +139,9 @@
             }
             ProgramsMessage::Export(partitions, port) => reply(port, self.export(&partitions)),
             ProgramsMessage::Thaw(partitions) => self.table.thaw(&partitions),
-            ProgramsMessage::Forget(partitions, port) => {
+            ProgramsMessage::Evict(partitions, port) => {
                 let records = self.table.forget(&partitions);
-                self.append_later(records);
+                self.append_detached(records);
                 reply(port, ());
             }
             ProgramsMessage::Clear(port) => {
@@ -146,7 +150,7 @@
             }
             ProgramsMessage::Snapshot(root_ids, port) => {
                 let records = self.table.snapshots(&root_ids);
-                self.append_later(records);
+                self.append_detached(records);
                 reply(port, ());
             }
             other => log::error!("event=message_unhandled message={other:?}"),
@@ -162,10 +166,11 @@
         })
     }
 
-    /// A change that is made here after the partition has moved would be lost to its new owner.
+    /// Checks that this process still owns the partition of a program.
     ///
-    /// Changes and moves pass through this actor one at a time, so what this sees stays true until the
-    /// change is made: a move begins with a message that stops the partition.
+    /// A change made here after the partition has moved would be missing at its new owner. The result of the
+    /// check stays valid until the change is made: this actor handles one message at a time, and a move
+    /// starts with a message that freezes the partition.
     fn check_owned(&self, program_id: &ProgramId) -> Result<(), Refusal> {
         let partition = partition_of_program(program_id).ok_or(Refusal::UnknownProgram)?;
         let owned = self.parts.ownership.borrow().owns(partition);
@@ -174,7 +179,7 @@
 
     fn withdraw(&mut self, program_id: &ProgramId) {
         self.table.withdraw(program_id);
-        self.running.remove(program_id);
+        self.active_calls.remove(program_id);
     }
 
     fn end(
@@ -188,14 +193,14 @@
         Ok(self.perform(myself, actions))
     }
 
-    fn released(&mut self, hold: &Hold) {
+    fn prefix_released(&mut self, hold: &Hold) {
         let record = self.table.released(hold);
-        self.append_later(record.into_iter().collect());
+        self.append_detached(record.into_iter().collect());
     }
 
     fn tick(&mut self, myself: &ActorRef<ProgramsMessage>) {
         let actions = self.table.tick(now());
-        self.kept.store(self.table.len(), Ordering::Relaxed);
+        self.tree_count.store(self.table.len(), Ordering::Relaxed);
         if !actions.is_empty() {
             drop(self.perform(myself, actions));
         }
@@ -213,12 +218,12 @@
         Ok(self.append(vec![record], Durability::Replicated))
     }
 
-    fn begin(&mut self, request: CallRequest) -> Result<CallDisposition, Rejection> {
+    fn start_call(&mut self, request: CallRequest) -> Result<CallDisposition, Rejection> {
         self.check_owned(&request.program_id)?;
-        if let Some(running) = self.running.get(&request.program_id)
-            && running.request == request
+        if let Some(active_call) = self.active_calls.get(&request.program_id)
+            && active_call.request == request
         {
-            return Ok(CallDisposition::Attach(Arc::clone(&running.log)));
+            return Ok(CallDisposition::Attach(Arc::clone(&active_call.log)));
         }
         match self.table.begin(request.clone(), now())? {
             Begun::Run(usage, prefix_endpoint_id) => {
@@ -251,8 +256,8 @@
             log: Arc::clone(&log),
             stop: stopped,
         };
-        self.running
-            .insert(request.program_id.clone(), Running { request, log, stop });
+        self.active_calls
+            .insert(request.program_id.clone(), ActiveCall { request, log, stop });
         call
     }
 
@@ -260,15 +265,15 @@
         let sending = match self.table.send(program_id, placement, now()) {
             Ok(sending) => sending,
             Err(refusal) => {
-                self.running.remove(program_id);
+                self.active_calls.remove(program_id);
                 return Err(refusal);
             }
         };
-        let repeatable = self
-            .running
+        let idempotent = self
+            .active_calls
             .get(program_id)
-            .is_some_and(|running| running.request.idempotent);
-        let durability = intent_durability(repeatable);
+            .is_some_and(|active_call| active_call.request.idempotent);
+        let durability = intent_durability(idempotent);
         let appended = self.append(vec![sending.record.clone()], durability);
         Ok((sending, appended))
     }
@@ -284,54 +289,57 @@
             Outcome::NotRun | Outcome::Failed { .. } | Outcome::Unknown { .. } => Durability::Queued,
         };
         let record = self.table.settle(&program_id, outcome, spent_tokens)?;
-        self.running.remove(&program_id);
+        self.active_calls.remove(&program_id);
         Some(self.append(vec![record], durability))
     }
 
     fn clear(&mut self) {
         for hold in self.table.clear() {
-            self.release_once(hold);
+            self.release_fenced_prefix(hold);
         }
-        for (_, running) in self.running.drain() {
-            running.stop.send_replace(true);
-            let moved = Problem::new(ProblemKind::Moving, "the program has moved to another host");
-            running
+        for (_, active_call) in self.active_calls.drain() {
+            active_call.stop.send_replace(true);
+            let problem = Problem::new(ProblemKind::Moving, "the program has moved to another host");
+            active_call
                 .log
-                .fail(&moved.ran(Ran::Unknown).retry_after(MOVED_RETRY));
+                .fail(&problem.ran(Ran::Unknown).retry_after(MOVED_RETRY_AFTER));
         }
     }
 
-    /// Carries out what the table asks for; the returned append is the last of its records.
+    /// Performs the actions that the table returned.
+    ///
+    /// Returns the append of their records.
     fn perform(&mut self, myself: &ActorRef<ProgramsMessage>, actions: Vec<Action>) -> Appended {
         let mut records = Vec::new();
         for action in actions {
             match action {
                 Action::Append(record) => records.push(record),
                 Action::Cancel(cancelled) => self.cancel(&cancelled),
-                Action::Release(hold) => self.release(myself.clone(), hold),
+                Action::Release(hold) => self.release_prefix(myself.clone(), hold),
             }
         }
         self.append(records, Durability::Replicated)
     }
 
     fn cancel(&self, cancelled: &Cancelled) {
-        if let Some(running) = self.running.get(&cancelled.program_id) {
-            running.stop.send_replace(true);
+        if let Some(active_call) = self.active_calls.get(&cancelled.program_id) {
+            active_call.stop.send_replace(true);
         }
     }
 
-    fn release(&self, myself: ActorRef<ProgramsMessage>, hold: Hold) {
+    fn release_prefix(&self, myself: ActorRef<ProgramsMessage>, hold: Hold) {
         let releaser = Arc::clone(&self.parts.releaser);
         tokio::spawn(async move {
-            if releaser.release(&hold).await && myself.cast(ProgramsMessage::Released(hold)).is_err() {
+            if releaser.release(&hold).await && myself.cast(ProgramsMessage::PrefixReleased(hold)).is_err() {
                 log::debug!("event=programs_stopped");
             }
         });
     }
 
-    /// Frees what calls of a fenced table may have caused to be held; its programs' new owner does
-    /// not know of calls that left after it had replayed the journal.
-    fn release_once(&self, hold: Hold) {
+    /// Removes a cached prefix that calls of a fenced table may have left at an endpoint.
+    ///
+    /// The programs' new owner has no record of calls that were sent after it had replayed the journal.
+    fn release_fenced_prefix(&self, hold: Hold) {
         let releaser = Arc::clone(&self.parts.releaser);
         tokio::spawn(async move {
             if !releaser.release(&hold).await {
@@ -348,15 +356,15 @@
         self.parts.journal.append(records, durability)
     }
 
-    /// Appends records that nobody waits for.
-    fn append_later(&self, records: Vec<Record>) {
+    /// Appends records without waiting until they are durable.
+    fn append_detached(&self, records: Vec<Record>) {
         if !records.is_empty() {
             drop(self.append(records, Durability::Queued));
         }
     }
 }
 
-/// How durable an intent must be before its call may leave.
+/// Returns the durability that an intent must reach before its call is sent.
 fn intent_durability(idempotent: bool) -> Durability {
     if idempotent {
         Durability::Replicated
@@ -365,7 +373,7 @@
     }
 }
 
-/// Answers; a reply that nobody waits for any more is dropped, and the change stands all the same.
+/// Sends a reply; if the requester no longer waits, the reply is dropped and the change remains.
 fn reply<T>(port: RpcReplyPort<T>, value: T) {
     if port.send(value).is_err() {
         log::debug!("event=reply_unwanted");
