--- a/crates/burdockroad-daemon/src/edge.rs
+++ b/crates/burdockroad-daemon/src/edge.rs
@@ -1,8 +1,8 @@
-//! Requests between the host that took them and the host that owns their program.
+//! Routing of requests from the host that received them to the host that owns their program.
 //!
-//! Any host takes any request. One that concerns a program goes to the owner of the program's
-//! partition, and the answer streams back. Forwarding again after a failure is harmless: the owner
-//! knows a call by its program and number, a new program by its id.
+//! Any host accepts any request. A request that concerns a program is forwarded to the owner of the
+//! program's partition, and the response is streamed back. Forwarding a request again after a failure is
+//! safe, because the owner detects duplicates: calls by program id and number, new programs by their id.
 
 mod forward;
 mod program_json;
@@ -32,19 +32,19 @@
 
 pub(crate) use self::serve::find_route;
 
-/// Time between two looks at who owns a partition that is on the move.
-const MOVING_POLL: Duration = Duration::from_millis(50);
+/// Interval at which the owner of a moving partition is checked again.
+const MOVING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Random digits of a new program's id.
+/// Number of random hexadecimal digits in the id of a new program.
 const PROGRAM_ID_DIGITS: usize = 24;
 
-/// Frames of an answer, wherever it is made.
+/// A stream of response frames, from this host or from the program's owner.
 pub type Frames = Pin<Box<dyn Stream<Item = Frame> + Send>>;
 
-/// A request, with the caller known and the caller's key removed.
+/// An authenticated request from which the caller's key has been removed.
 #[derive(Clone, Debug)]
 pub struct EdgeRequest {
-    /// On whose behalf it runs.
+    /// Account and key of the caller.
     pub caller: Caller,
     /// Method.
     pub method: Method,
@@ -54,68 +54,69 @@
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// What it asks for.
+    /// Requested operation.
     pub operation: Operation,
-    /// Id of the program that it creates.
+    /// Id of the program that the request creates.
     pub new_program_id: Option<ProgramId>,
-    /// When it must have been answered.
+    /// Time by which the response must be complete.
     pub deadline: Instant,
 }
 
-/// Limits of requests.
+/// Limits that apply to each request.
 #[derive(Clone, Copy, Debug)]
 pub struct EdgeLimits {
-    /// Longest wait for a program that is moving between hosts.
+    /// Maximum wait for a program that is moving between hosts.
     pub moving_timeout: Duration,
 }
 
-/// Serves requests here or at the host that owns their program.
+/// A router that serves requests at this host or forwards them to the host that owns their program.
 #[derive(Clone, Debug)]
 pub struct Edge {
-    /// Runs calls at this host.
+    /// Executor of calls at this host.
     pub runner: CallRunner,
-    /// Who owns which partition.
+    /// Ownership map of the partitions.
     pub ownership: OwnershipReceiver,
-    /// Where the other hosts are.
+    /// Addresses of the other hosts.
     pub peers: PeersReceiver,
     /// Connections to the other hosts.
     pub clients: Arc<PeerClients>,
-    /// The document in force.
+    /// Document in force.
     pub in_force: InForceReceiver,
-    /// Limits of requests.
+    /// Limits that apply to each request.
     pub limits: EdgeLimits,
 }
 
-/// Why a request was not served at one host.
-enum Missed {
-    /// Nothing ran: its program is moving or its owner is not reachable.
-    NotThere,
+/// The reason why a partition's owner did not serve a request.
+enum OwnerError {
+    /// Nothing ran, because the program is moving or its owner is unreachable.
+    Unavailable,
     /// The connection broke; the request may have run.
-    Broken,
+    ConnectionLost,
 }
 
 impl Edge {
-    /// Serves a request, wherever its program is.
+    /// Serves a request at whichever host owns its program.
     ///
     /// # Errors
     ///
-    /// Fails when no host serves it in time; the problem says whether it may have run.
+    /// Returns a problem if the request is invalid or refused, or if no host serves it in time. The problem
+    /// states whether the request may have run.
     pub async fn serve(&self, mut request: EdgeRequest) -> Result<Frames, Problem> {
         let Some(partition) = self.partition(&mut request)? else {
-            return Ok(frames(self.serve_here(&request).await?));
+            return Ok(frames(self.serve_local(&request).await?));
         };
-        let latest = request.deadline.min(Instant::now() + self.limits.moving_timeout);
+        let retry_deadline = request.deadline.min(Instant::now() + self.limits.moving_timeout);
         let mut ran = Ran::No;
         loop {
             match self.serve_at_owner(&request, partition).await? {
                 Ok(frames) => return Ok(frames),
-                Err(Missed::Broken) => ran = Ran::Unknown,
-                Err(Missed::NotThere) => {}
+                Err(OwnerError::ConnectionLost) => ran = Ran::Unknown,
+                Err(OwnerError::Unavailable) => {}
             }
-            if Instant::now() + MOVING_POLL >= latest {
-                return Err(moving(ran));
+            if Instant::now() + MOVING_POLL_INTERVAL >= retry_deadline {
+                return Err(moving_problem(ran));
             }
-            tokio::time::sleep(MOVING_POLL).await;
+            tokio::time::sleep(MOVING_POLL_INTERVAL).await;
         }
     }
 
@@ -123,43 +124,44 @@
         &self,
         request: &EdgeRequest,
         partition: PartitionId,
-    ) -> Result<Result<Frames, Missed>, Problem> {
+    ) -> Result<Result<Frames, OwnerError>, Problem> {
         let view = Arc::clone(&self.ownership.borrow());
         if view.owns(partition) {
-            return match self.serve_here(request).await {
+            return match self.serve_local(request).await {
                 Ok(reader) => Ok(Ok(frames(reader))),
-                Err(problem) if problem.kind == ProblemKind::Moving => Ok(Err(Missed::NotThere)),
+                Err(problem) if problem.kind == ProblemKind::Moving => Ok(Err(OwnerError::Unavailable)),
                 Err(problem) => Err(problem),
             };
         }
         let Some(owner) = view.owner(partition) else {
-            return Ok(Err(Missed::NotThere));
+            return Ok(Err(OwnerError::Unavailable));
         };
         Ok(self.forward(request, &owner.process, partition).await)
     }
 
-    /// The partition that a request concerns; none for one that any host serves alike.
+    /// Returns the partition of a request, or `None` if any host can serve it.
     fn partition(&self, request: &mut EdgeRequest) -> Result<Option<PartitionId>, Problem> {
         match &request.operation.target {
             Target::Models => Ok(None),
-            Target::ShowProgram(id) | Target::EndProgram(id) => partition_of_known(id).map(Some),
-            Target::CreateProgram => self.new_partition(request).map(Some),
-            Target::Completion | Target::Service { .. } => call_partition(request),
+            Target::ShowProgram(id) | Target::EndProgram(id) => partition_of_program_id(id).map(Some),
+            Target::CreateProgram => self.partition_of_new_program(request).map(Some),
+            Target::Completion | Target::Service { .. } => partition_of_call(request),
         }
     }
 
-    /// The partition of a program to be created: its parent's, or one of this host's own.
-    fn new_partition(&self, request: &mut EdgeRequest) -> Result<PartitionId, Problem> {
+    /// Returns the partition of a program to create: that of its parent, or a random one of this host.
+    fn partition_of_new_program(&self, request: &mut EdgeRequest) -> Result<PartitionId, Problem> {
         if let Some(id) = &request.new_program_id {
-            return partition_of_known(id);
+            return partition_of_program_id(id);
         }
-        let asked = crate::http::NewProgramRequest::parse(&request.body)?;
+        let requested = crate::http::NewProgramRequest::parse(&request.body)?;
         let mut rng = rand::rng();
-        let partition = if let Some(parent_id) = &asked.parent {
-            partition_of_known(parent_id)?
+        let partition = if let Some(parent_id) = &requested.parent {
+            partition_of_program_id(parent_id)?
         } else {
-            let own = self.ownership.borrow().own_partitions();
-            own.choose(&mut rng)
+            let own_partitions = self.ownership.borrow().own_partitions();
+            own_partitions
+                .choose(&mut rng)
                 .copied()
                 .unwrap_or_else(|| rng.random_range(0..PARTITIONS))
         };
@@ -169,31 +171,28 @@
     }
 }
 
-/// The partition of a call: its program's, or that of its idempotency key.
-fn call_partition(request: &mut EdgeRequest) -> Result<Option<PartitionId>, Problem> {
+/// Returns the partition of a call: that of its program or of its idempotency key.
+fn partition_of_call(request: &mut EdgeRequest) -> Result<Option<PartitionId>, Problem> {
     let call = &request.operation.call;
     if let Some((id, _)) = &call.position {
-        return partition_of_known(id).map(Some);
+        return partition_of_program_id(id).map(Some);
     }
     let Some(key) = &call.idempotency_key else {
         return Ok(None);
     };
-    let id = keyed_program_id(&request.caller.account_id, key);
+    let id = idempotency_program_id(&request.caller.account_id, key);
     let partition = partition_of_program(&id);
     request.new_program_id = Some(id);
     Ok(partition)
 }
 
-/// Id of the program of one call that an idempotency key stands for, the same at every host.
-fn keyed_program_id(account_id: &str, key: &str) -> ProgramId {
-    let digits = sha256_hex(&format!("{account_id}\0{key}"));
-    program_id(
-        partition_of(&digits),
-        &format!("k{}", &digits[..PROGRAM_ID_DIGITS]),
-    )
+/// Returns the id of the single-call program for an idempotency key, which is the same at every host.
+fn idempotency_program_id(account_id: &str, key: &str) -> ProgramId {
+    let hash = sha256_hex(&format!("{account_id}\0{key}"));
+    program_id(partition_of(&hash), &format!("k{}", &hash[..PROGRAM_ID_DIGITS]))
 }
 
-fn partition_of_known(id: &str) -> Result<PartitionId, Problem> {
+fn partition_of_program_id(id: &str) -> Result<PartitionId, Problem> {
     let partition = partition_of_program(id).filter(|partition| *partition < PARTITIONS);
     partition.ok_or_else(|| burdockroad::program::Refusal::UnknownProgram.into())
 }
@@ -202,8 +201,8 @@
     reader.into_stream().boxed()
 }
 
-fn moving(ran: Ran) -> Problem {
-    let detail = "the host that owns the program cannot be reached; another is to take it over";
+fn moving_problem(ran: Ran) -> Problem {
+    let detail = "the host that owns the program is unreachable; another host will take the program over";
     Problem::new(ProblemKind::Moving, detail)
         .ran(ran)
         .retry_after(Duration::from_secs(2))
--- a/crates/burdockroad-daemon/src/edge/forward.rs
+++ b/crates/burdockroad-daemon/src/edge/forward.rs
@@ -1,4 +1,4 @@
-//! Requests on their way to the owner of their program, and their arrival there.
+//! Forwarding of requests to the host that owns their program, and handling of forwarded requests there.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,56 +17,59 @@
 use crate::{
     answer::{Frame, Head, ResponseLog},
     calls::Caller,
-    edge::{Edge, EdgeRequest, Frames, Missed},
+    edge::{Edge, EdgeRequest, Frames, OwnerError},
     http::Operation,
     ownership::{OwnershipReceiver, Process},
     peer::{ForwardHandler, ForwardStream},
     problem::{Problem, ProblemKind, Ran},
 };
 
-/// Time that an owner's last frames may take after the map has named another.
+/// Time for which frames from an owner are still accepted after the ownership map shows a new owner.
 const MOVED_GRACE: Duration = Duration::from_secs(1);
 
 impl Edge {
-    /// Sends a request to the owner of its partition and returns the answer as it arrives.
+    /// Forwards a request to the owner of its partition and returns the response as a stream.
     pub(super) async fn forward(
         &self,
         request: &EdgeRequest,
         owner: &Process,
         partition: PartitionId,
-    ) -> Result<Frames, Missed> {
-        let address = self.address(owner).ok_or(Missed::NotThere)?;
+    ) -> Result<Frames, OwnerError> {
+        let address = self.address(owner).ok_or(OwnerError::Unavailable)?;
         let mut client = self
             .clients
             .get(&address)
-            .map_err(|_bad_address| Missed::NotThere)?;
+            .map_err(|_bad_address| OwnerError::Unavailable)?;
         let message = self.message(request, partition);
-        let begun = async {
-            let response = client.forward(message).await.map_err(|status| missed(&status))?;
+        let opened = async {
+            let response = client
+                .forward(message)
+                .await
+                .map_err(|status| owner_error(&status))?;
             let mut incoming = response.into_inner();
             let first = incoming.message().await;
             Ok((first, incoming))
         };
-        // A paused owner keeps its connections open, so only the map tells that it is gone.
+        // A paused owner keeps its connections open, so only the ownership map shows that it was replaced.
         let (first, incoming) = tokio::select! {
-            begun = begun => begun?,
-            () = owner_lost(self.ownership.clone(), owner.clone(), partition) => return Err(Missed::Broken),
+            opened = opened => opened?,
+            () = owner_replaced(self.ownership.clone(), owner.clone(), partition) => return Err(OwnerError::ConnectionLost),
         };
         match first {
             Ok(Some(ForwardFrame {
                 frame: Some(WireFrame::Head(head)),
             })) => {
-                let lost = owner_lost(self.ownership.clone(), owner.clone(), partition);
-                Ok(answer(&head, incoming, lost))
+                let replaced = owner_replaced(self.ownership.clone(), owner.clone(), partition);
+                Ok(forwarded_frames(&head, incoming, replaced))
             }
             Ok(Some(ForwardFrame {
                 frame: Some(WireFrame::NotOwner(_)),
-            })) => Err(Missed::NotThere),
-            Ok(_) | Err(_) => Err(Missed::Broken),
+            })) => Err(OwnerError::Unavailable),
+            Ok(_) | Err(_) => Err(OwnerError::ConnectionLost),
         }
     }
 
-    /// Where the owner is reached, if it is the process that the map names.
+    /// Returns the address of the owner, if its host still runs the process that the ownership map shows.
     fn address(&self, owner: &Process) -> Option<String> {
         let peers = self.peers.borrow();
         let peer = peers.peers.get(&owner.host_id)?;
@@ -75,7 +78,7 @@
 
     fn message(&self, request: &EdgeRequest, partition: PartitionId) -> ForwardRequest {
         let view = self.ownership.borrow();
-        let left = request.deadline.saturating_duration_since(Instant::now());
+        let remaining = request.deadline.saturating_duration_since(Instant::now());
         ForwardRequest {
             from: Some(HostRef {
                 host_id: view.me.host_id.clone(),
@@ -88,20 +91,26 @@
             body: request.body.to_vec(),
             partition: partition.into(),
             ownership_version: view.version,
-            timeout_ms: left.as_millis().try_into().unwrap_or(u64::MAX),
+            timeout_ms: remaining.as_millis().try_into().unwrap_or(u64::MAX),
             key_id: request.caller.key_id.clone().unwrap_or_default(),
             new_program_id: request.new_program_id.clone().unwrap_or_default(),
         }
     }
 }
 
-/// A connection that never stood proves that nothing ran.
-fn missed(status: &Status) -> Missed {
-    let refused = std::error::Error::source(status).is_some_and(is_connect_error);
-    if refused { Missed::NotThere } else { Missed::Broken }
+/// Classifies a failed request to an owner.
+///
+/// Only a refused connection proves that nothing ran.
+fn owner_error(status: &Status) -> OwnerError {
+    let connection_refused = std::error::Error::source(status).is_some_and(is_connection_refused);
+    if connection_refused {
+        OwnerError::Unavailable
+    } else {
+        OwnerError::ConnectionLost
+    }
 }
 
-fn is_connect_error(error: &(dyn std::error::Error + 'static)) -> bool {
+fn is_connection_refused(error: &(dyn std::error::Error + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(error) = cause {
         if let Some(io) = error.downcast_ref::<std::io::Error>() {
@@ -112,48 +121,52 @@
     false
 }
 
-/// Waits until another process has owned a partition for a while.
+/// Waits until another process has owned a partition for [`MOVED_GRACE`].
 ///
-/// A handoff waits for calls under way, whose last frames may still be coming when the map changes.
-async fn owner_lost(mut ownership: OwnershipReceiver, owner: Process, partition: PartitionId) {
-    let moved = ownership.wait_for(|view| view.owner(partition).is_some_and(|now| now.process != owner));
-    if moved.await.is_err() {
+/// The grace period is needed because a handoff waits for running calls, and their last frames may still be
+/// on the way when the ownership map changes.
+async fn owner_replaced(mut ownership: OwnershipReceiver, owner: Process, partition: PartitionId) {
+    let replaced = ownership.wait_for(|view| {
+        view.owner(partition)
+            .is_some_and(|current| current.process != owner)
+    });
+    if replaced.await.is_err() {
         std::future::pending::<()>().await;
     }
     tokio::time::sleep(MOVED_GRACE).await;
 }
 
-fn answer(
+fn forwarded_frames(
     head: &ForwardHead,
     incoming: Streaming<ForwardFrame>,
-    lost: impl Future<Output = ()> + Send + 'static,
+    replaced: impl Future<Output = ()> + Send + 'static,
 ) -> Frames {
     let status = u16::try_from(head.status).unwrap_or(502);
     let first = Frame::Head(Head {
         status,
         headers: headers(&head.headers),
     });
-    let rest = stream::unfold(Some((incoming, Box::pin(lost))), |state| async {
-        let (mut incoming, mut lost) = state?;
+    let rest = stream::unfold(Some((incoming, Box::pin(replaced))), |state| async {
+        let (mut incoming, mut replaced) = state?;
         let message = tokio::select! {
             message = incoming.message() => message,
-            () = &mut lost => Ok(None),
+            () = &mut replaced => Ok(None),
         };
         match message {
             Ok(Some(ForwardFrame {
                 frame: Some(WireFrame::Data(data)),
-            })) => Some((Frame::Data(Bytes::from(data)), Some((incoming, lost)))),
+            })) => Some((Frame::Data(Bytes::from(data)), Some((incoming, replaced)))),
             Ok(Some(ForwardFrame {
                 frame: Some(WireFrame::End(_)),
             })) => Some((Frame::End, None)),
-            Ok(_) | Err(_) => Some((Frame::Truncated(cut_short()), None)),
+            Ok(_) | Err(_) => Some((Frame::Truncated(truncated_problem()), None)),
         }
     });
     stream::iter([first]).chain(rest).boxed()
 }
 
-fn cut_short() -> Problem {
-    let detail = "the answer was cut short; ask again under the same call number";
+fn truncated_problem() -> Problem {
+    let detail = "the response was truncated; retry with the same call number";
     Problem::new(ProblemKind::EndpointFailed, detail).ran(Ran::Unknown)
 }
 
@@ -165,8 +178,8 @@
         if !view.owns(partition) {
             return not_owner(view.version);
         }
-        let reader = match received(request) {
-            Ok(request) => self.serve_here(&request).await,
+        let reader = match request_from_message(request) {
+            Ok(request) => self.serve_local(&request).await,
             Err(problem) => Err(problem),
         };
         match reader {
@@ -188,9 +201,9 @@
     stream::iter([Ok(frame)]).boxed()
 }
 
-fn received(message: ForwardRequest) -> Result<EdgeRequest, Problem> {
+fn request_from_message(message: ForwardRequest) -> Result<EdgeRequest, Problem> {
     let method = Method::from_bytes(message.method.as_bytes())
-        .map_err(|_bad_method| Problem::new(ProblemKind::InvalidRequest, "the method is malformed"))?;
+        .map_err(|_bad_method| Problem::new(ProblemKind::InvalidRequest, "the HTTP method is malformed"))?;
     let headers = headers(&message.headers);
     let operation = Operation::parse(&method, &message.target, &headers)?;
     Ok(EdgeRequest {
--- a/crates/burdockroad-daemon/src/edge/program_json.rs
+++ b/crates/burdockroad-daemon/src/edge/program_json.rs
@@ -1,4 +1,4 @@
-//! Programs as callers see them.
+//! JSON representation of programs for callers.
 
 use std::time::SystemTime;
 
@@ -7,7 +7,7 @@
 
 use crate::programs::ProgramView;
 
-/// A program with its history, state and what is left of its budget.
+/// Returns a program's JSON representation, with its history, state and remaining budget.
 pub(super) fn program(view: &ProgramView) -> Value {
     let Some(program) = view.tree.programs.get(&view.program_id) else {
         return Value::Null;
@@ -58,7 +58,7 @@
         CallKind::Completion => "completion",
         CallKind::Service => "service",
     };
-    let mut shown = json!({
+    let mut call_json = json!({
         "number": call.number(),
         "kind": kind,
         "route": call.intent.route_id,
@@ -66,16 +66,16 @@
         "spent_tokens": call.spent_tokens,
     });
     let (state, detail) = outcome(call.outcome.as_ref());
-    shown["state"] = state.into();
+    call_json["state"] = state.into();
     match detail {
         Detail::None => {}
-        Detail::Reason(reason) => shown["reason"] = reason.into(),
-        Detail::Answer(value) => shown["answer"] = value,
+        Detail::Reason(reason) => call_json["reason"] = reason.into(),
+        Detail::Answer(value) => call_json["answer"] = value,
     }
-    shown
+    call_json
 }
 
-/// What is told of a call's end, beside its state.
+/// The details of a call's outcome that are shown beside its state.
 enum Detail {
     None,
     Reason(String),
@@ -85,14 +85,14 @@
 fn outcome(outcome: Option<&Outcome>) -> (&'static str, Detail) {
     match outcome {
         None => ("running", Detail::None),
-        Some(Outcome::Answered(answer)) => ("answered", Detail::Answer(answer_json(answer))),
+        Some(Outcome::Answered(answer)) => ("answered", Detail::Answer(response_json(answer))),
         Some(Outcome::NotRun) => ("not_run", Detail::None),
         Some(Outcome::Failed { reason }) => ("failed", Detail::Reason(reason.clone())),
         Some(Outcome::Unknown { reason }) => ("outcome_unknown", Detail::Reason(reason.clone())),
     }
 }
 
-fn answer_json(answer: &Answer) -> Value {
+fn response_json(answer: &Answer) -> Value {
     match &answer.message {
         Some(message) => json_or_text(message.as_bytes()),
         None => json!({ "status": answer.status, "body": json_or_text(&answer.body) }),
--- a/crates/burdockroad-daemon/src/edge/serve.rs
+++ b/crates/burdockroad-daemon/src/edge/serve.rs
@@ -1,4 +1,4 @@
-//! Requests at the host that owns their program.
+//! Serving of requests at the host that owns their program.
 
 use std::time::{Duration, SystemTime};
 
@@ -23,12 +23,12 @@
     telemetry::Measure,
 };
 
-/// Time for which the answer to an idempotency key is kept.
+/// Time for which the response to an idempotency key is retained.
 const IDEMPOTENCY_WINDOW: Duration = Duration::from_hours(24);
 
 impl Edge {
-    /// Serves a request whose program this host owns, or that has none.
-    pub(super) async fn serve_here(&self, request: &EdgeRequest) -> Result<ResponseReader, Problem> {
+    /// Serves a request whose program this host owns, or that has no program.
+    pub(super) async fn serve_local(&self, request: &EdgeRequest) -> Result<ResponseReader, Problem> {
         match &request.operation.target {
             Target::Models => Ok(self.models()),
             Target::CreateProgram => self.create_program(request).await,
@@ -38,8 +38,8 @@
                 let payload = CallPayload::Completion(CompletionRequest::parse(&request.body)?);
                 self.call(request, payload).await
             }
-            Target::Service { rest, .. } => {
-                let payload = CallPayload::Service(service_request(request, rest));
+            Target::Service { target, .. } => {
+                let payload = CallPayload::Service(service_request(request, target));
                 self.call(request, payload).await
             }
         }
@@ -57,28 +57,31 @@
                 |route| json!({ "id": route.id, "object": "model", "created": 0, "owned_by": "burdockroad" }),
             )
             .collect();
-        json_answer(200, &json!({ "object": "list", "data": data }))
+        json_response(200, &json!({ "object": "list", "data": data }))
     }
 
     async fn create_program(&self, request: &EdgeRequest) -> Result<ResponseReader, Problem> {
-        let asked = NewProgramRequest::parse(&request.body)?;
-        let budget = asked.budget(&self.in_force.borrow().document.budget_defaults)?;
+        let requested = NewProgramRequest::parse(&request.body)?;
+        let budget = requested.budget(&self.in_force.borrow().document.budget_defaults)?;
         let Some(program_id) = request.new_program_id.clone() else {
-            return Err(Problem::new(ProblemKind::Internal, "the new program has no id"));
+            return Err(Problem::new(
+                ProblemKind::Internal,
+                "no id was assigned to the new program",
+            ));
         };
-        let new = NewProgram {
+        let new_program = NewProgram {
             program_id: program_id.clone(),
             account_id: request.caller.account_id.clone(),
-            parent_id: asked.parent,
+            parent_id: requested.parent,
             budget,
         };
-        self.ensure_program(new).await?;
+        self.ensure_program(new_program).await?;
         let view = self
             .runner
             .programs
             .get(request.caller.account_id.clone(), program_id)
             .await?;
-        Ok(json_answer(201, &program_json::program(&view)))
+        Ok(json_response(201, &program_json::program(&view)))
     }
 
     async fn show_program(&self, request: &EdgeRequest, id: &ProgramId) -> Result<ResponseReader, Problem> {
@@ -87,7 +90,7 @@
             .programs
             .get(request.caller.account_id.clone(), id.clone())
             .await?;
-        Ok(json_answer(200, &program_json::program(&view)))
+        Ok(json_response(200, &program_json::program(&view)))
     }
 
     async fn end_program(&self, request: &EdgeRequest, id: &ProgramId) -> Result<ResponseReader, Problem> {
@@ -99,7 +102,7 @@
             .duration_since(view.tree.ledger.created_at)
             .unwrap_or_default();
         self.runner.telemetry.record(&account_id, Measure::Program, age);
-        Ok(json_answer(200, &program_json::program(&view)))
+        Ok(json_response(200, &program_json::program(&view)))
     }
 
     async fn call(&self, request: &EdgeRequest, payload: CallPayload) -> Result<ResponseReader, Problem> {
@@ -116,7 +119,7 @@
             return Ok(self.runner.single_call(plan));
         };
         plan.keeps_prefix = false;
-        self.ensure_program(self.keyed_program(request, program_id.clone()))
+        self.ensure_program(self.idempotency_program(request, program_id.clone()))
             .await?;
         self.runner
             .program_call(
@@ -129,8 +132,8 @@
             .await
     }
 
-    /// The program of one call that an idempotency key stands for.
-    fn keyed_program(&self, request: &EdgeRequest, program_id: ProgramId) -> NewProgram {
+    /// Returns the single-call program for an idempotency key.
+    fn idempotency_program(&self, request: &EdgeRequest, program_id: ProgramId) -> NewProgram {
         let defaults = self.in_force.borrow().document.budget_defaults.clone();
         let budget = Budget {
             max_tokens: defaults.max_tokens,
@@ -145,18 +148,22 @@
         }
     }
 
-    /// Creates a program unless an earlier try of the same request has.
-    async fn ensure_program(&self, new: NewProgram) -> Result<(), Problem> {
+    /// Creates a program unless an earlier attempt of the same request has already created it.
+    async fn ensure_program(&self, new_program: NewProgram) -> Result<(), Problem> {
         let programs = &self.runner.programs;
-        if programs.contains(new.program_id.clone()).await {
-            programs.get(new.account_id, new.program_id).await?;
+        if programs.contains(new_program.program_id.clone()).await {
+            programs
+                .get(new_program.account_id, new_program.program_id)
+                .await?;
             return Ok(());
         }
-        match programs.create(new.clone()).await {
+        match programs.create(new_program.clone()).await {
             Ok(created) => wait_durable(created).await,
-            // Another try of the same request was quicker.
+            // A concurrent attempt of the same request has created the program.
             Err(Rejection::Refused(Refusal::DifferentRequest)) => {
-                programs.get(new.account_id, new.program_id).await?;
+                programs
+                    .get(new_program.account_id, new_program.program_id)
+                    .await?;
                 Ok(())
             }
             Err(cause) => Err(cause.into()),
@@ -165,19 +172,19 @@
 
     fn route(&self, request: &EdgeRequest, payload: &CallPayload) -> Result<Route, Problem> {
         let in_force = self.in_force.borrow();
-        let wanted = match (payload, &request.operation.target) {
+        let lookup = match (payload, &request.operation.target) {
             (CallPayload::Completion(completion), _) => (completion.model.as_str(), RouteKind::Model),
             (CallPayload::Service(_), Target::Service { route_id, .. }) => {
                 (route_id.as_str(), RouteKind::Service)
             }
-            (CallPayload::Service(_), _) => return Err(unknown_route("")),
+            (CallPayload::Service(_), _) => return Err(unknown_route_problem("")),
         };
-        find_route(&in_force.document, wanted.0, wanted.1).cloned()
+        find_route(&in_force.document, lookup.0, lookup.1).cloned()
     }
 
     fn plan(&self, request: &EdgeRequest, route: Route, payload: CallPayload) -> CallPlan {
         let in_force = self.in_force.borrow();
-        let pool_ids = preferred_pools(&in_force.document, &route, request.partition_seed());
+        let pool_ids = preferred_pools(&in_force.document, &route, request.site_seed());
         CallPlan {
             caller: request.caller.clone(),
             idempotent: route.idempotent || route.kind == RouteKind::Model,
@@ -193,8 +200,8 @@
 }
 
 impl EdgeRequest {
-    /// Number that is the same for all calls of one program, and random from program to program.
-    fn partition_seed(&self) -> u64 {
+    /// Returns a number that is the same for all calls of a program and pseudo-random across programs.
+    fn site_seed(&self) -> u64 {
         let position = self.operation.call.position.as_ref().map(|(id, _)| id);
         match position.or(self.new_program_id.as_ref()) {
             Some(id) => xxhash_rust::xxh3::xxh3_64(id.as_bytes()),
@@ -203,11 +210,11 @@
     }
 }
 
-/// The route of a name and kind.
+/// Returns the route with an id and kind.
 ///
 /// # Errors
 ///
-/// Fails when the document has none.
+/// Returns a problem if the document does not contain such a route.
 pub(crate) fn find_route<'a>(
     document: &'a Document,
     id: &str,
@@ -217,28 +224,29 @@
         .routes
         .iter()
         .find(|route| route.id == id && route.kind == kind);
-    found.ok_or_else(|| unknown_route(id))
+    found.ok_or_else(|| unknown_route_problem(id))
 }
 
-fn unknown_route(id: &str) -> Problem {
+fn unknown_route_problem(id: &str) -> Problem {
     Problem::new(
         ProblemKind::UnknownRoute,
-        format!("there is no route or model {id:?}"),
+        format!("route or model {id:?} does not exist"),
     )
 }
 
-/// Pools of a route, those of one site first; the site is drawn by the sites' weights.
+/// Returns the pools of a route, those of a preferred site first.
 ///
-/// The draw depends on the program alone, so a program's calls stay at one site while the weights
-/// stay as they are, and a share of the programs moves when they change.
+/// The preferred site is selected by the sites' weights and by `seed`, which depends on the program alone.
+/// All calls of a program therefore prefer the same site until the weights change, and then only a share of
+/// the programs moves.
 fn preferred_pools(document: &Document, route: &Route, seed: u64) -> Vec<String> {
-    let site = draw_site(document, route, seed);
+    let site = pick_site(document, route, seed);
     let mut pools = route.endpoint_sets.clone();
     pools.sort_by_key(|pool| site_of(document, pool) != site);
     pools
 }
 
-fn draw_site<'a>(document: &'a Document, route: &Route, seed: u64) -> Option<&'a str> {
+fn pick_site<'a>(document: &'a Document, route: &Route, seed: u64) -> Option<&'a str> {
     let serves = |site: &str| {
         route
             .endpoint_sets
@@ -250,13 +258,13 @@
     if total == 0 {
         return sites.first().map(|site| site.id.as_str());
     }
-    let mut drawn = seed % total;
+    let mut remaining_weight = seed % total;
     for site in sites {
         let weight = u64::from(site.weight);
-        if drawn < weight {
+        if remaining_weight < weight {
             return Some(&site.id);
         }
-        drawn -= weight;
+        remaining_weight -= weight;
     }
     None
 }
@@ -266,16 +274,16 @@
     Some(&set.site)
 }
 
-fn service_request(request: &EdgeRequest, rest: &str) -> ServiceRequest {
+fn service_request(request: &EdgeRequest, target: &str) -> ServiceRequest {
     ServiceRequest {
         method: request.method.clone(),
-        target: rest.to_owned(),
+        target: target.to_owned(),
         headers: service_headers(&request.headers),
         body: request.body.clone(),
     }
 }
 
-fn json_answer(status: u16, body: &serde_json::Value) -> ResponseReader {
+fn json_response(status: u16, body: &serde_json::Value) -> ResponseReader {
     ResponseLog::complete(
         Head::new(status, JSON_CONTENT_TYPE),
         Bytes::from(body.to_string()),
--- a/crates/burdockroad-daemon/src/http.rs
+++ b/crates/burdockroad-daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! The callers' side: HTTP, who calls, and what is asked.
+//! The HTTP interface for callers: server, authentication and parsing of requests.
 
 mod intake;
 mod operation;
--- a/crates/burdockroad-daemon/src/http/intake.rs
+++ b/crates/burdockroad-daemon/src/http/intake.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to a request with a known caller and without a key.
+//! Reading and authentication of HTTP requests, and removal of the caller's key.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
     problem::{Problem, ProblemKind},
 };
 
-/// Time after which a host that could not verify keys may be able to.
-const KEYS_RETRY: Duration = Duration::from_secs(2);
+/// Retry delay for a request whose key this host cannot verify.
+const KEYS_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Limits of one request.
+/// Limits that apply to each request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IntakeLimits {
     pub(super) body_max_bytes: usize,
@@ -28,7 +28,7 @@
     pub(super) call_timeout: Duration,
 }
 
-/// Reads a request, finds its caller, and takes the caller's key out of it.
+/// Reads a request, authenticates its caller, and removes the caller's key from it.
 pub(super) async fn read(
     request: Request<Incoming>,
     in_force: &InForce,
@@ -39,11 +39,11 @@
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str());
     let operation = Operation::parse(&parts.method, target, &parts.headers)?;
     let key = bearer_key(&parts.headers)?;
-    // Who may not call at all is told before a byte of the body is read.
+    // An unauthorized caller is refused before any of the body is read.
     let caller = find_caller(in_force, &operation, key.as_deref())?;
     let body = read_body(body, limits).await?;
     check_model_access(in_force, &operation, &caller, &body)?;
-    Ok(without_key(
+    Ok(remove_key(
         &parts,
         caller,
         operation,
@@ -53,7 +53,7 @@
     ))
 }
 
-fn without_key(
+fn remove_key(
     parts: &Parts,
     caller: Caller,
     operation: Operation,
@@ -63,9 +63,9 @@
 ) -> EdgeRequest {
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str());
     let target = target_without_key(target, key);
-    // The path below a service's route is part of the operation, and may hold the key in its query.
+    // The operation contains the path and query below a service's route, and the query may contain the key.
     let operation = match Operation::parse(&parts.method, &target, &parts.headers) {
-        Ok(cleaned) => cleaned,
+        Ok(without_key) => without_key,
         Err(_) => operation,
     };
     EdgeRequest {
@@ -93,7 +93,7 @@
         Some(key) if !key.is_empty() => Ok(Some(key.to_owned())),
         _ => Err(Problem::new(
             ProblemKind::InvalidKey,
-            "the Authorization header must be: Bearer KEY",
+            "the Authorization header must have the form: Bearer KEY",
         )),
     }
 }
@@ -104,12 +104,12 @@
         return if may_be_open {
             Ok(Caller::default())
         } else {
-            Err(key_missing())
+            Err(key_missing_problem())
         };
     };
     if !in_force.accepts_keys() {
-        let detail = "this host cannot tell whether the key is still good; another host may";
-        return Err(Problem::new(ProblemKind::KeysUnverifiable, detail).retry_after(KEYS_RETRY));
+        let detail = "this host cannot verify the key at present; another host may be able to";
+        return Err(Problem::new(ProblemKind::KeysUnverifiable, detail).retry_after(KEYS_RETRY_AFTER));
     }
     match in_force.keys.lookup(key) {
         Some(found) => Ok(Caller {
@@ -119,19 +119,19 @@
         None if may_be_open => Ok(Caller::default()),
         None => Err(Problem::new(
             ProblemKind::InvalidKey,
-            "the key is unknown or was withdrawn",
+            "the key is unknown or withdrawn",
         )),
     }
 }
 
-fn key_missing() -> Problem {
+fn key_missing_problem() -> Problem {
     Problem::new(
         ProblemKind::InvalidKey,
-        "a key is needed: Authorization: Bearer KEY",
+        "a key is required; send the header Authorization: Bearer KEY",
     )
 }
 
-/// Whether a request without a key can be allowed, as far as its path tells.
+/// Returns whether a request without a key may be allowed, judging by its path alone.
 fn may_be_open(in_force: &InForce, operation: &Operation) -> bool {
     let mut routes = in_force
         .document
@@ -142,13 +142,13 @@
         Target::Service { route_id, .. } => {
             routes.any(|route| route.kind == RouteKind::Service && route.id == *route_id)
         }
-        // Which model is asked for stands in the body.
+        // The body, which has not been read yet, contains the model.
         Target::Completion => routes.any(|route| route.kind == RouteKind::Model),
         Target::Models | Target::CreateProgram | Target::ShowProgram(_) | Target::EndProgram(_) => false,
     }
 }
 
-/// A completion without a key runs only on an open route.
+/// Checks that a completion without a key uses an open route.
 fn check_model_access(
     in_force: &InForce,
     operation: &Operation,
@@ -163,25 +163,28 @@
     if route.access == Access::Open {
         Ok(())
     } else {
-        Err(key_missing())
+        Err(key_missing_problem())
     }
 }
 
 async fn read_body(body: Incoming, limits: IntakeLimits) -> Result<Bytes, Problem> {
     let limited = Limited::new(body, limits.body_max_bytes);
     let Ok(collected) = tokio::time::timeout(limits.body_timeout, limited.collect()).await else {
-        let detail = "the body did not arrive in time";
+        let detail = "the request body did not arrive within the time limit";
         return Err(Problem::new(ProblemKind::RequestTimeout, detail));
     };
     match collected {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
-            let detail = format!("the body may hold at most {} bytes", limits.body_max_bytes);
+            let detail = format!(
+                "the request body exceeds the limit of {} bytes",
+                limits.body_max_bytes
+            );
             Err(Problem::new(ProblemKind::BodyTooLarge, detail))
         }
         Err(error) => Err(Problem::new(
             ProblemKind::InvalidRequest,
-            format!("the body broke off: {error}"),
+            format!("reading the request body failed: {error}"),
         )),
     }
 }
--- a/crates/burdockroad-daemon/src/http/operation.rs
+++ b/crates/burdockroad-daemon/src/http/operation.rs
@@ -1,4 +1,4 @@
-//! What a caller's request asks for.
+//! Parsing of callers' requests into operations.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 
 use crate::problem::{Problem, ProblemKind};
 
-/// Header that names a call's program.
+/// Header with the id of a call's program.
 pub const PROGRAM_ID_HEADER: &str = "program-id";
 
-/// Header that gives a call's position in its program.
+/// Header with a call's number in its program.
 pub const CALL_NUMBER_HEADER: &str = "call-number";
 
-/// Header that makes a repeated call outside a program known as such.
+/// Header with a key by which retries of a call outside a program are detected.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Longest time that a budget may give a program. State of programs without end would never go away.
-const DURATION_MAX: Duration = Duration::from_hours(30 * 24);
+/// Maximum duration that a budget may allow; the state of a program without an end would never be removed.
+const PROGRAM_DURATION_MAX: Duration = Duration::from_hours(30 * 24);
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const IDEMPOTENCY_KEY_MAX_BYTES: usize = 255;
 
-/// What a path names.
+/// The target of a request, given by its method and path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// `POST /v1/chat/completions`.
@@ -39,37 +39,37 @@
     EndProgram(ProgramId),
     /// Any method at `/services/{route}/...`.
     Service {
-        /// The route.
+        /// Route of the service.
         route_id: RouteId,
         /// Path and query below the route.
-        rest: String,
+        target: String,
     },
 }
 
-/// A caller's request, read.
+/// The operation that a caller requests.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// What it is for.
+    /// Target of the request.
     pub target: Target,
-    /// What its headers say of its program.
+    /// Headers that identify the call.
     pub call: CallHeaders,
 }
 
-/// What the headers say of a call's program.
+/// The headers that identify a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallHeaders {
-    /// The program, and the call's number in it.
+    /// Program and the call's number in it.
     pub position: Option<(ProgramId, CallNumber)>,
-    /// The idempotency key.
+    /// Idempotency key of a call outside a program.
     pub idempotency_key: Option<String>,
 }
 
 impl Operation {
-    /// Reads a request's method, path, query and headers.
+    /// Parses a request's method, path, query and headers.
     ///
     /// # Errors
     ///
-    /// Refuses an unknown path, a method that the path does not take, and malformed headers.
+    /// Returns a problem for an unknown path, a method that the path does not support, or malformed headers.
     pub fn parse(method: &Method, path_and_query: &str, headers: &HeaderMap) -> Result<Self, Problem> {
         let target = Target::parse(method, path_and_query)?;
         let call = CallHeaders::parse(headers)?;
@@ -80,37 +80,40 @@
 impl Target {
     fn parse(method: &Method, path_and_query: &str) -> Result<Self, Problem> {
         let path = path_and_query.split('?').next().unwrap_or_default();
-        if let Some(rest) = path_and_query.strip_prefix("/services/") {
-            return Self::parse_service(rest);
+        if let Some(path_and_query) = path_and_query.strip_prefix("/services/") {
+            return Self::parse_service(path_and_query);
         }
         if let Some(id) = path.strip_prefix("/v1/programs/") {
             return Self::parse_program(method, id);
         }
         match path {
-            "/v1/chat/completions" => only(method, &Method::POST, Self::Completion),
-            "/v1/models" => only(method, &Method::GET, Self::Models),
-            "/v1/programs" => only(method, &Method::POST, Self::CreateProgram),
+            "/v1/chat/completions" => require_method(method, &Method::POST, Self::Completion),
+            "/v1/models" => require_method(method, &Method::GET, Self::Models),
+            "/v1/programs" => require_method(method, &Method::POST, Self::CreateProgram),
             _ => Err(Problem::new(
                 ProblemKind::UnknownRoute,
-                "there is nothing at this path",
+                "this path does not exist",
             )),
         }
     }
 
-    fn parse_service(rest: &str) -> Result<Self, Problem> {
-        let end = rest.find(['/', '?']).unwrap_or(rest.len());
-        let (route_id, below) = rest.split_at(end);
+    fn parse_service(path_and_query: &str) -> Result<Self, Problem> {
+        let end = path_and_query.find(['/', '?']).unwrap_or(path_and_query.len());
+        let (route_id, path_below) = path_and_query.split_at(end);
         if route_id.is_empty() {
-            return Err(Problem::new(ProblemKind::UnknownRoute, "the path names no route"));
+            return Err(Problem::new(
+                ProblemKind::UnknownRoute,
+                "the path contains no route",
+            ));
         }
-        let rest = if below.starts_with('/') {
-            below.to_owned()
+        let target = if path_below.starts_with('/') {
+            path_below.to_owned()
         } else {
-            format!("/{below}")
+            format!("/{path_below}")
         };
         Ok(Self::Service {
             route_id: route_id.to_owned(),
-            rest,
+            target,
         })
     }
 
@@ -123,7 +126,7 @@
     }
 }
 
-fn only(method: &Method, allowed: &Method, target: Target) -> Result<Target, Problem> {
+fn require_method(method: &Method, allowed: &Method, target: Target) -> Result<Target, Problem> {
     if method == allowed {
         Ok(target)
     } else {
@@ -134,28 +137,41 @@
 fn method_not_allowed(allowed: &str) -> Problem {
     Problem::new(
         ProblemKind::MethodNotAllowed,
-        format!("this path takes {allowed}"),
+        format!("this path supports only {allowed}"),
     )
 }
 
 impl CallHeaders {
     fn parse(headers: &HeaderMap) -> Result<Self, Problem> {
-        let program_id = text(headers, PROGRAM_ID_HEADER)?;
-        let number = text(headers, CALL_NUMBER_HEADER)?
+        let program_id = header_text(headers, PROGRAM_ID_HEADER)?;
+        let number = header_text(headers, CALL_NUMBER_HEADER)?
             .map(|digits| parse_number(&digits))
             .transpose()?;
-        let idempotency_key = text(headers, IDEMPOTENCY_KEY_HEADER)?;
-        let too_long = idempotency_key
+        let idempotency_key = header_text(headers, IDEMPOTENCY_KEY_HEADER)?;
+        let invalid_length = idempotency_key
             .as_ref()
             .is_some_and(|key| key.is_empty() || key.len() > IDEMPOTENCY_KEY_MAX_BYTES);
-        if too_long {
-            return Err(invalid_header(IDEMPOTENCY_KEY_HEADER, "must hold 1 to 255 bytes"));
+        if invalid_length {
+            return Err(invalid_header(
+                IDEMPOTENCY_KEY_HEADER,
+                "must be 1 to 255 bytes long",
+            ));
         }
         let position = match (program_id, number) {
             (Some(program_id), Some(number)) => Some((program_id, number)),
             (None, None) => None,
-            (Some(_), None) => return Err(invalid_header(CALL_NUMBER_HEADER, "must come with Program-Id")),
-            (None, Some(_)) => return Err(invalid_header(PROGRAM_ID_HEADER, "must come with Call-Number")),
+            (Some(_), None) => {
+                return Err(invalid_header(
+                    CALL_NUMBER_HEADER,
+                    "is required together with Program-Id",
+                ));
+            }
+            (None, Some(_)) => {
+                return Err(invalid_header(
+                    PROGRAM_ID_HEADER,
+                    "is required together with Call-Number",
+                ));
+            }
         };
         Ok(Self {
             position,
@@ -164,17 +180,17 @@
     }
 }
 
-fn text(headers: &HeaderMap, name: &'static str) -> Result<Option<String>, Problem> {
+fn header_text(headers: &HeaderMap, name: &'static str) -> Result<Option<String>, Problem> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(invalid_header(name, "must come once"));
+        return Err(invalid_header(name, "must not be repeated"));
     }
     match value.to_str() {
         Ok(value) => Ok(Some(value.trim().to_owned())),
-        Err(_) => Err(invalid_header(name, "must be visible ASCII")),
+        Err(_) => Err(invalid_header(name, "must contain only visible ASCII characters")),
     }
 }
 
@@ -183,13 +199,16 @@
         Ok(number) if number >= 1 => Ok(number),
         Ok(_) | Err(_) => Err(invalid_header(
             CALL_NUMBER_HEADER,
-            "must be a whole number from 1",
+            "must be a whole number of at least 1",
         )),
     }
 }
 
-fn invalid_header(name: &str, must: &str) -> Problem {
-    Problem::new(ProblemKind::InvalidRequest, format!("the header {name} {must}"))
+fn invalid_header(name: &str, requirement: &str) -> Problem {
+    Problem::new(
+        ProblemKind::InvalidRequest,
+        format!("the header {name} {requirement}"),
+    )
 }
 
 /// Body of `POST /v1/programs`.
@@ -197,31 +216,32 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NewProgramRequest {
-    /// Budget of a new root.
+    /// Budget of a new root program.
     pub budget: Option<BudgetRequest>,
-    /// Program whose sub-agent the new one is.
+    /// Program that the new one is a sub-agent of.
     pub parent: Option<ProgramId>,
 }
 
-/// A budget; what it leaves out is taken from the document.
+/// A requested budget; absent fields take the defaults of the document.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BudgetRequest {
-    /// Tokens that engines may generate.
+    /// Maximum number of tokens that engines may generate.
     pub max_tokens: Option<u64>,
-    /// Calls that may be sent.
+    /// Maximum number of calls that may be sent.
     pub max_calls: Option<u32>,
-    /// Seconds until the last call must have ended.
+    /// Time from the program's creation by which its last call must have ended, in seconds.
     pub max_duration_s: Option<u64>,
 }
 
 impl NewProgramRequest {
-    /// Reads a body; an empty one asks for the defaults.
+    /// Parses a request body; an empty body requests the defaults.
     ///
     /// # Errors
     ///
-    /// Refuses what is not JSON or has unknown fields, and a sub-agent with a budget of its own.
+    /// Returns a problem if the body is not valid JSON, has unknown fields, or requests a sub-agent with its
+    /// own budget.
     pub fn parse(body: &[u8]) -> Result<Self, Problem> {
         if body.is_empty() {
             return Ok(Self::default());
@@ -229,29 +249,29 @@
         let request: Self = serde_json::from_slice(body).map_err(|error| {
             Problem::new(
                 ProblemKind::InvalidRequest,
-                format!("the body does not describe a program: {error}"),
+                format!("the body is not a valid program request: {error}"),
             )
         })?;
         if request.parent.is_some() && request.budget.is_some() {
-            let detail = "a sub-agent shares its parent's budget and has none of its own";
+            let detail = "a sub-agent shares its parent's budget and must not have its own";
             return Err(Problem::new(ProblemKind::InvalidRequest, detail));
         }
         Ok(request)
     }
 
-    /// The budget, filled up from the defaults.
+    /// Returns the requested budget, with absent fields taken from the defaults.
     ///
     /// # Errors
     ///
-    /// Refuses a duration of more than thirty days, and a budget of nothing.
+    /// Returns a problem if the duration is zero or exceeds thirty days, or if the budget allows no calls.
     pub fn budget(&self, defaults: &BudgetDefaults) -> Result<Budget, Problem> {
-        let asked = self.budget.clone().unwrap_or_default();
+        let requested = self.budget.clone().unwrap_or_default();
         let budget = Budget {
-            max_tokens: asked.max_tokens.unwrap_or(defaults.max_tokens),
-            max_calls: asked.max_calls.unwrap_or(defaults.max_calls),
-            max_duration: Duration::from_secs(asked.max_duration_s.unwrap_or(defaults.max_duration_s)),
+            max_tokens: requested.max_tokens.unwrap_or(defaults.max_tokens),
+            max_calls: requested.max_calls.unwrap_or(defaults.max_calls),
+            max_duration: Duration::from_secs(requested.max_duration_s.unwrap_or(defaults.max_duration_s)),
         };
-        if budget.max_duration > DURATION_MAX {
+        if budget.max_duration > PROGRAM_DURATION_MAX {
             return Err(Problem::new(
                 ProblemKind::InvalidRequest,
                 "max_duration_s must be at most 2592000",
@@ -260,14 +280,14 @@
         if budget.max_calls == 0 || budget.max_duration.is_zero() {
             return Err(Problem::new(
                 ProblemKind::InvalidRequest,
-                "a budget must allow a call and some time",
+                "max_calls and max_duration_s must be at least 1",
             ));
         }
         Ok(budget)
     }
 }
 
-/// Digest of a request, by which a repeat of it is known.
+/// Returns the digest of a request, by which a retry of the same request is recognized.
 pub fn digest(method: &Method, target: &str, body: &[u8]) -> [u8; 32] {
     let mut hash = Sha256::new();
     hash.update(method.as_str());
--- a/crates/burdockroad-daemon/src/http/server.rs
+++ b/crates/burdockroad-daemon/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that callers reach.
+//! The HTTP server for callers.
 
 use std::{convert::Infallible, io, sync::Arc, time::Duration};
 
@@ -30,27 +30,27 @@
     settings::LimitSettings,
 };
 
-/// Body of a response to a caller.
+/// The body of a response to a caller.
 type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Time that the last event of a cut stream has to be written before the connection is dropped.
-const CUT_DELAY: Duration = Duration::from_millis(50);
+/// Delay between the last event of a truncated stream and the abort of its connection.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(50);
 
-/// Time after which a caller should ask another host.
-const STOPPING_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay for a caller whose request reaches a stopping host.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the server works with.
+/// The dependencies of [`CallerServer`].
 #[derive(Clone, Debug)]
 pub struct CallerServerParts {
-    /// Serves requests.
+    /// Router that serves the requests.
     pub edge: Edge,
-    /// The document in force.
+    /// Document in force.
     pub in_force: InForceReceiver,
-    /// Limits towards callers.
+    /// Limits that apply to callers.
     pub limits: LimitSettings,
 }
 
-/// The server that callers reach.
+/// The HTTP server for callers.
 #[derive(Debug)]
 pub struct CallerServer {
     stop: watch::Sender<bool>,
@@ -58,29 +58,29 @@
 }
 
 impl CallerServer {
-    /// Starts to serve a listener.
+    /// Starts serving connections of a listener.
     pub fn start(listener: TcpListener, parts: CallerServerParts) -> Self {
         let (stop, stopped) = watch::channel(false);
         let task = tokio::spawn(accept(listener, parts, stopped));
         Self { stop, task }
     }
 
-    /// Takes no further request, and waits for the answers under way up to a time limit.
-    pub async fn close(self, patience: Duration) {
+    /// Stops accepting requests, and waits up to `timeout` for running responses to complete.
+    pub async fn close(self, timeout: Duration) {
         self.stop.send_replace(true);
-        if tokio::time::timeout(patience, self.task).await.is_err() {
-            log::warn!("event=shutdown_cut_short waited_ms={}", patience.as_millis());
+        if tokio::time::timeout(timeout, self.task).await.is_err() {
+            log::warn!("event=shutdown_cut_short waited_ms={}", timeout.as_millis());
         }
     }
 }
 
 async fn accept(listener: TcpListener, parts: CallerServerParts, mut stopped: watch::Receiver<bool>) {
-    let free = Arc::new(Semaphore::new(parts.limits.connections_max));
+    let permits = Arc::new(Semaphore::new(parts.limits.connections_max));
     let graceful = GracefulShutdown::new();
     let parts = Arc::new(parts);
     loop {
         let permit = tokio::select! {
-            permit = Arc::clone(&free).acquire_owned() => permit,
+            permit = Arc::clone(&permits).acquire_owned() => permit,
             _ = stopped.wait_for(|stopped| *stopped) => break,
         };
         let accepted = tokio::select! {
@@ -90,15 +90,15 @@
         match accepted {
             Ok((socket, _)) => {
                 let connection = connection(socket, Arc::clone(&parts), stopped.clone());
-                let watched = graceful.watch(connection);
+                let tracked = graceful.watch(connection);
                 tokio::spawn(async move {
-                    if let Err(error) = watched.await {
+                    if let Err(error) = tracked.await {
                         log::debug!("event=connection_ended reason=\"{error}\"");
                     }
                     drop(permit);
                 });
             }
-            // Accepting fails for a while when the process is out of descriptors.
+            // Accepting fails temporarily when the process has no free file descriptors.
             Err(error) => {
                 log::warn!("event=accept_failed reason=\"{error}\"");
                 tokio::time::sleep(Duration::from_millis(100)).await;
@@ -136,11 +136,11 @@
     stopping: bool,
 ) -> Response<ResponseBody> {
     if stopping {
-        let problem = Problem::new(ProblemKind::Stopping, "this host is stopping; ask again");
-        return problem_response(&problem.retry_after(STOPPING_RETRY));
+        let problem = Problem::new(ProblemKind::Stopping, "this host is stopping; retry the request");
+        return problem_response(&problem.retry_after(STOPPING_RETRY_AFTER));
     }
     match serve(request, parts).await {
-        Ok((caller, frames)) => answer_response(parts, caller, frames).await,
+        Ok((caller, frames)) => stream_response(parts, caller, frames).await,
         Err(problem) => problem_response(&problem),
     }
 }
@@ -158,7 +158,7 @@
     Ok((caller, frames))
 }
 
-async fn answer_response(
+async fn stream_response(
     parts: &CallerServerParts,
     caller: Caller,
     mut frames: Frames,
@@ -171,16 +171,17 @@
         Some(Frame::Head(head)) => head,
         Some(Frame::Truncated(problem)) => return problem_response(&problem),
         Some(Frame::Data(_) | Frame::End) | None => {
-            let problem = Problem::new(ProblemKind::Internal, "the answer has no head");
+            let problem = Problem::new(ProblemKind::Internal, "the response has no status and headers");
             return problem_response(&problem.ran(Ran::Unknown));
         }
     };
     let is_event_stream = has_content_type(&head, EVENT_STREAM_CONTENT_TYPE);
-    // A problem is told whole: the call may have been stopped for the same reason a moment earlier.
+    // A problem response is never truncated: the call may already have been stopped because its key was
+    // withdrawn, and the caller must receive that problem.
     let frames = if has_content_type(&head, PROBLEM_CONTENT_TYPE) {
         frames
     } else {
-        cut_when_withdrawn(frames, caller, parts.in_force.clone()).boxed()
+        truncate_when_key_withdrawn(frames, caller, parts.in_force.clone()).boxed()
     };
     let body = StreamBody::new(body_frames(frames, is_event_stream));
     response(head, BodyExt::boxed_unsync(body))
@@ -190,8 +191,8 @@
     Problem::new(ProblemKind::InvalidKey, "the key was withdrawn").ran(Ran::Unknown)
 }
 
-/// Cuts an answer off as soon as the key that it was asked for with no longer works.
-fn cut_when_withdrawn(
+/// Truncates a response as soon as the caller's key is withdrawn.
+fn truncate_when_key_withdrawn(
     frames: Frames,
     caller: Caller,
     in_force: InForceReceiver,
@@ -205,14 +206,16 @@
     let mut ended = false;
     stream::select(frames, withdrawn.map(Some))
         .take_while(move |frame| {
-            let go_on = !ended && frame.is_some();
+            let include = !ended && frame.is_some();
             ended = ended || matches!(frame, Some(Frame::Truncated(_) | Frame::End) | None);
-            std::future::ready(go_on)
+            std::future::ready(include)
         })
         .filter_map(std::future::ready)
 }
 
-/// The body of an answer; one that was cut short ends with an error, never as if it were whole.
+/// Returns the body of a response.
+///
+/// A truncated body ends with an error, so that the caller never takes it for a complete one.
 fn body_frames(
     frames: impl Stream<Item = Frame> + Send + 'static,
     is_event_stream: bool,
@@ -220,28 +223,28 @@
     frames.flat_map(move |frame| match frame {
         Frame::Data(data) => stream::iter(vec![Ok(BodyFrame::data(data))]).left_stream(),
         Frame::Head(_) | Frame::End => stream::iter(Vec::new()).left_stream(),
-        Frame::Truncated(problem) => cut(&problem, is_event_stream).right_stream(),
+        Frame::Truncated(problem) => truncation_frames(&problem, is_event_stream).right_stream(),
     })
 }
 
-fn cut(
+fn truncation_frames(
     problem: &Problem,
     is_event_stream: bool,
 ) -> impl Stream<Item = Result<BodyFrame<Bytes>, io::Error>> + Send + use<> {
-    let broken = io::Error::other(problem.detail.clone());
+    let error = io::Error::other(problem.detail.clone());
     let mut event = Vec::new();
     if is_event_stream {
         event.extend_from_slice(b"data: ");
         event.extend_from_slice(&problem.to_json());
         event.extend_from_slice(b"\n\n");
     }
-    let told = stream::iter([Ok(BodyFrame::data(Bytes::from(event)))]);
-    // The connection is dropped with what it has not written, so the event needs a moment's start.
-    let broken = stream::once(async move {
-        tokio::time::sleep(CUT_DELAY).await;
-        Err(broken)
+    let event_frame = stream::iter([Ok(BodyFrame::data(Bytes::from(event)))]);
+    // Aborting the connection discards unwritten data, so the event gets `TRUNCATION_DELAY` to be sent.
+    let error_frame = stream::once(async move {
+        tokio::time::sleep(TRUNCATION_DELAY).await;
+        Err(error)
     });
-    told.chain(broken)
+    event_frame.chain(error_frame)
 }
 
 fn has_content_type(head: &Head, content_type: &str) -> bool {
--- a/crates/burdockroad-daemon/tests/caller_input.rs
+++ b/crates/burdockroad-daemon/tests/caller_input.rs
@@ -24,9 +24,9 @@
 
 #[test]
 fn parse_targets() {
-    let service = |route: &str, rest: &str| Target::Service {
+    let service = |route: &str, target: &str| Target::Service {
         route_id: route.to_owned(),
-        rest: rest.to_owned(),
+        target: target.to_owned(),
     };
     let cases = [
         (Method::POST, "/v1/chat/completions", Target::Completion),
