--- a/crates/burdockroad-daemon/src/answer.rs
+++ b/crates/burdockroad-daemon/src/answer.rs
@@ -1,4 +1,4 @@
-//! An answer on its way to callers: written once, read by any number of them.
+//! Buffered responses that are written once and read by any number of callers.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -8,20 +8,20 @@
 
 use crate::problem::{PROBLEM_CONTENT_TYPE, Problem};
 
-/// One part of an answer.
+/// A part of a response.
 #[derive(Clone, Debug)]
 pub enum Frame {
-    /// Status and headers; always first.
+    /// Status and headers; always the first frame.
     Head(Head),
     /// Part of the body.
     Data(Bytes),
-    /// The whole answer was sent; an answer without this was cut short.
+    /// End of a complete response; a response without this frame was truncated.
     End,
-    /// The answer was cut short.
+    /// End of a truncated response, with the problem that truncated it.
     Truncated(Problem),
 }
 
-/// Status and headers of an answer.
+/// The status and headers of a response.
 #[derive(Clone, Debug)]
 pub struct Head {
     /// HTTP status.
@@ -31,7 +31,7 @@
 }
 
 impl Head {
-    /// Makes a head with a content type.
+    /// Creates a head with a content type.
     pub fn new(status: u16, content_type: &str) -> Self {
         let mut headers = HeaderMap::new();
         if let Ok(value) = content_type.parse() {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The frames of one answer so far; a late reader starts from the first.
+/// A log of the response frames written so far; each reader starts at the first frame.
 #[derive(Debug)]
 pub struct ResponseLog {
     frames: Mutex<Vec<Frame>>,
@@ -49,7 +49,7 @@
 }
 
 impl ResponseLog {
-    /// Starts an empty answer.
+    /// Creates an empty response.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             frames: Mutex::new(Vec::new()),
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Makes a whole answer with one piece of body.
+    /// Creates a complete response with a single data frame.
     pub fn complete(head: Head, body: Bytes) -> Arc<Self> {
         let log = Self::new();
         log.push(Frame::Head(head));
@@ -66,14 +66,14 @@
         log
     }
 
-    /// Makes an answer that is a problem.
+    /// Creates a complete response that reports a problem.
     pub fn problem(problem: &Problem) -> Arc<Self> {
         let log = Self::new();
         log.fail(problem);
         log
     }
 
-    /// Adds a frame.
+    /// Appends a frame.
     pub fn push(&self, frame: Frame) {
         let length = {
             let mut frames = self.lock();
@@ -83,17 +83,19 @@
         self.length.send_replace(length);
     }
 
-    /// Whether anything was passed on yet.
+    /// Returns whether any frame has been written.
     pub fn has_started(&self) -> bool {
         !self.lock().is_empty()
     }
 
-    /// Waits until nobody reads the answer any more.
+    /// Waits until all readers have been dropped.
     pub async fn wait_for_no_readers(&self) {
         self.length.closed().await;
     }
 
-    /// Ends the answer with a problem: as an answer of its own, or by cutting what was begun.
+    /// Ends the response with a problem.
+    ///
+    /// If no frame has been written, the problem becomes the response. Otherwise the response is truncated.
     pub fn fail(&self, problem: &Problem) {
         if self.has_started() {
             self.push(Frame::Truncated(problem.clone()));
@@ -108,7 +110,7 @@
         self.push(Frame::End);
     }
 
-    /// Reads the answer from its first frame.
+    /// Returns a reader that starts at the first frame.
     pub fn reader(self: &Arc<Self>) -> ResponseReader {
         ResponseReader {
             log: Arc::clone(self),
@@ -122,7 +124,7 @@
     }
 }
 
-/// One reader of an answer.
+/// A reader of a response.
 #[derive(Debug)]
 pub struct ResponseReader {
     log: Arc<ResponseLog>,
@@ -133,7 +135,7 @@
 impl ResponseReader {
     /// Waits for the next frame.
     ///
-    /// After [`Frame::End`] or [`Frame::Truncated`] there is none, and this waits for ever.
+    /// After [`Frame::End`] or [`Frame::Truncated`] there are no more frames, and this never resolves.
     pub async fn next(&mut self) -> Frame {
         loop {
             self.length.mark_unchanged();
@@ -141,14 +143,14 @@
                 self.next += 1;
                 return frame.clone();
             }
-            // The log that is read holds the sender, so this ends with a new length only.
+            // The reader keeps the log alive, and the log owns the sender, so the channel never closes.
             if self.length.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
         }
     }
 
-    /// The answer as a stream of frames that ends after the last one.
+    /// Returns the response as a stream of frames that ends after the last frame.
     pub fn into_stream(self) -> impl futures_util::Stream<Item = Frame> + Send {
         futures_util::stream::unfold(Some(self), |reader| async {
             let mut reader = reader?;
--- a/crates/burdockroad-daemon/src/endpoint.rs
+++ b/crates/burdockroad-daemon/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Requests to endpoints: model engines and plain services.
+//! HTTP client for endpoints, which are model engines and plain services.
 
 use std::{fmt, time::Duration};
 
@@ -14,43 +14,44 @@
 
 use crate::problem::Ran;
 
-/// Time within which a connection to an endpoint must stand.
+/// Timeout for connecting to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time after which an idle connection to an endpoint is closed.
+/// Time after which an idle pooled connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Sends requests to endpoints.
+/// A client for requests to endpoints.
 #[async_trait]
 pub trait Endpoints: fmt::Debug + Send + Sync {
-    /// Sends one request, once, and returns the head of the answer and its body as it arrives.
+    /// Sends a request without retries, and returns the response with its body as a stream.
     ///
     /// # Errors
     ///
-    /// Says whether the endpoint may have seen any of the request.
+    /// Returns an error that states whether the endpoint may have received any of the request.
     async fn send(&self, request: EndpointRequest) -> Result<EndpointResponse, SendError>;
 }
 
-/// One request to an endpoint.
+/// A request to an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointRequest {
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
     /// Method.
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// Headers; the caller's key is not among them.
+    /// Headers, without the caller's key.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// Whether to use a connection of its own. A pooled connection that the endpoint closes at that
-    /// moment leaves it unknown whether the request ran, which matters for calls that may not be
-    /// repeated.
+    /// Whether to use a new connection instead of a pooled one.
+    ///
+    /// If the endpoint closes a pooled connection while a request is sent on it, it is unknown whether the
+    /// request ran. This matters for calls that must not be repeated.
     pub fresh_connection: bool,
 }
 
-/// The head of an endpoint's answer, and its body as it arrives.
+/// A response of an endpoint, with its body as a stream.
 #[derive(Debug)]
 pub struct EndpointResponse {
     /// HTTP status.
@@ -60,10 +61,10 @@
     body: Incoming,
 }
 
-/// Why an endpoint did not answer.
+/// The error of a request to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendError {
-    /// What happened, for the log.
+    /// Description of the error, for logs and problem details.
     pub reason: String,
     /// Whether the endpoint may have run the request.
     pub ran: Ran,
@@ -78,17 +79,17 @@
 impl std::error::Error for SendError {}
 
 impl EndpointResponse {
-    /// Waits for the next part of the body; none at its end.
+    /// Waits for the next part of the body; returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// Fails when the body was cut short.
+    /// Returns an error if the body was truncated.
     pub async fn next(&mut self) -> Result<Option<Bytes>, SendError> {
         loop {
             let Some(frame) = self.body.frame().await else {
                 return Ok(None);
             };
-            let frame = frame.map_err(|error| cut_short(&error))?;
+            let frame = frame.map_err(|error| body_truncated(&error))?;
             if let Ok(data) = frame.into_data() {
                 return Ok(Some(data));
             }
@@ -99,24 +100,24 @@
     ///
     /// # Errors
     ///
-    /// Fails when the body was cut short or is larger than `max_bytes`.
+    /// Returns an error if the body was truncated or is larger than `max_bytes`.
     pub async fn read(mut self, max_bytes: usize) -> Result<Bytes, SendError> {
-        let mut whole = Vec::new();
+        let mut body = Vec::new();
         while let Some(part) = self.next().await? {
-            whole.extend_from_slice(&part);
-            if whole.len() > max_bytes {
-                let reason = format!("the answer is larger than {max_bytes} bytes");
+            body.extend_from_slice(&part);
+            if body.len() > max_bytes {
+                let reason = format!("the response exceeds the limit of {max_bytes} bytes");
                 return Err(SendError {
                     reason,
                     ran: Ran::Yes,
                 });
             }
         }
-        Ok(Bytes::from(whole))
+        Ok(Bytes::from(body))
     }
 }
 
-/// Sends requests by HTTP/1.1 over pooled connections.
+/// An HTTP/1.1 client with pooled connections.
 #[derive(Clone)]
 pub struct HttpEndpoints {
     pooled: Client<HttpConnector, Full<Bytes>>,
@@ -130,7 +131,7 @@
 }
 
 impl HttpEndpoints {
-    /// Makes a client without connections.
+    /// Creates a client without open connections.
     pub fn new() -> Self {
         Self {
             pooled: client(usize::MAX),
@@ -147,8 +148,8 @@
         .pool_idle_timeout(IDLE_TIMEOUT)
         .pool_max_idle_per_host(idle_max)
         .pool_timer(TokioTimer::new())
-        // The library would send a request again by itself when a pooled connection turns out to be
-        // closed. Whether a request may be sent again is decided here, never below.
+        // By default, the library resends a request when a pooled connection turns out to be closed. Only
+        // the daemon may decide whether a request is resent.
         .retry_canceled_requests(false)
         .build(connector)
 }
@@ -180,7 +181,7 @@
         let response = client
             .request(outgoing)
             .await
-            .map_err(|error| not_answered(&error))?;
+            .map_err(|error| request_failed(&error))?;
         let (head, body) = Response::into_parts(response);
         Ok(EndpointResponse {
             status: head.status.as_u16(),
@@ -190,9 +191,9 @@
     }
 }
 
-fn not_answered(error: &hyper_util::client::legacy::Error) -> SendError {
-    // Only a connection that never stood proves that no byte left. A pooled connection that was
-    // closed proves nothing: bytes may have been written before the close was seen.
+fn request_failed(error: &hyper_util::client::legacy::Error) -> SendError {
+    // Only a failure to connect proves that no byte was sent. A closed pooled connection proves nothing:
+    // bytes may have been written before the close was detected.
     let ran = if error.is_connect() { Ran::No } else { Ran::Unknown };
     SendError {
         reason: with_causes(error),
@@ -200,7 +201,7 @@
     }
 }
 
-fn cut_short(error: &hyper::Error) -> SendError {
+fn body_truncated(error: &hyper::Error) -> SendError {
     SendError {
         reason: with_causes(error),
         ran: Ran::Unknown,
--- a/crates/burdockroad-daemon/src/memory.rs
+++ b/crates/burdockroad-daemon/src/memory.rs
@@ -1,8 +1,9 @@
-//! Engine memory held for programs: freed when the program is gone, and audited for what was missed.
+//! Release of programs' cached prefixes at engines, and a periodic audit for entries that were missed.
 //!
-//! What an engine may hold is recorded with each intent, so the owner of a program knows whom to ask.
-//! One case escapes the records: a host that is paused between its record and its send, and wakes
-//! after a successor has already had the memory freed. The audit finds what is left of that.
+//! Each intent in the journal records the engine that may cache the program's prefix, so the owner of a
+//! program can determine where to release it. One case is not covered by these records: a host is paused
+//! between recording an intent and sending the call, and resumes after its successor has already released
+//! the prefix. The audit finds the entries left by this case.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,24 +26,24 @@
     programs::{PrefixReleaser, ProgramsHandle},
 };
 
-/// Path at which engines list and free what they hold.
+/// Path of the engine API that lists and frees cached prefixes.
 const CACHE_PATH: &str = "/cache";
 
-/// Time within which an engine answers an order to free memory.
+/// Timeout of a request to list or free cached prefixes.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time between two audits.
+/// Interval between two audits.
 const AUDIT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Largest list of held programs that is read, in bytes.
+/// Maximum size of an engine's list of cached prefixes, in bytes.
 const LIST_MAX_BYTES: usize = 8 * 1024 * 1024;
 
-/// Frees engine memory by the engines' own interface.
+/// A client of the engines' API for cached prefixes.
 #[derive(Clone, Debug)]
 pub struct EnginePrefixCache {
-    /// Requests to endpoints.
+    /// Client for requests to endpoints.
     pub endpoints: Arc<dyn Endpoints>,
-    /// The document in force, which says where endpoints are.
+    /// Document in force, which contains the endpoints' addresses.
     pub in_force: InForceReceiver,
 }
 
@@ -50,10 +51,10 @@
 impl PrefixReleaser for EnginePrefixCache {
     async fn release(&self, hold: &Hold) -> bool {
         let Some(endpoint) = self.endpoint(&hold.endpoint_id) else {
-            // Operators have taken the endpoint away, and its memory with it.
+            // The endpoint was removed from the document, and its cache with it.
             return true;
         };
-        self.free(&endpoint, &hold.program_id).await
+        self.free_prefix(&endpoint, &hold.program_id).await
     }
 }
 
@@ -68,7 +69,7 @@
         endpoints.find(|endpoint| endpoint.id == endpoint_id).cloned()
     }
 
-    async fn free(&self, endpoint: &Endpoint, program_id: &ProgramId) -> bool {
+    async fn free_prefix(&self, endpoint: &Endpoint, program_id: &ProgramId) -> bool {
         let target = format!("{CACHE_PATH}/{program_id}");
         let sent = self.endpoints.send(request(endpoint, Method::DELETE, target));
         match tokio::time::timeout(RELEASE_TIMEOUT, sent).await {
@@ -77,7 +78,7 @@
         }
     }
 
-    async fn held(&self, endpoint: &Endpoint) -> Vec<ProgramId> {
+    async fn cached_programs(&self, endpoint: &Endpoint) -> Vec<ProgramId> {
         let sent = self
             .endpoints
             .send(request(endpoint, Method::GET, CACHE_PATH.to_owned()));
@@ -85,8 +86,8 @@
         let Ok(Some(body)) = tokio::time::timeout(RELEASE_TIMEOUT, read).await else {
             return Vec::new();
         };
-        let listed: Vec<HeldProgram> = serde_json::from_slice(&body).unwrap_or_default();
-        listed.into_iter().map(|held| held.program_id).collect()
+        let entries: Vec<CachedProgram> = serde_json::from_slice(&body).unwrap_or_default();
+        entries.into_iter().map(|entry| entry.program_id).collect()
     }
 
     fn engines(&self) -> Vec<Endpoint> {
@@ -105,9 +106,9 @@
     }
 }
 
-/// One program of an engine's list.
+/// An entry of an engine's list of cached prefixes.
 #[derive(Deserialize)]
-struct HeldProgram {
+struct CachedProgram {
     program_id: ProgramId,
 }
 
@@ -122,7 +123,7 @@
     }
 }
 
-/// Looks at what engines hold, again and again, and frees what no program of this host accounts for.
+/// A task that periodically frees cached prefixes of programs that this host owns but does not have.
 #[derive(Debug)]
 pub struct PrefixCacheAudit {
     task: JoinHandle<()>,
@@ -154,13 +155,13 @@
     ownership: &OwnershipReceiver,
     programs: &ProgramsHandle,
 ) {
-    for program_id in memory.held(engine).await {
+    for program_id in memory.cached_programs(engine).await {
         let owned =
             partition_of_program(&program_id).is_some_and(|partition| ownership.borrow().owns(partition));
         if !owned || programs.contains(program_id.clone()).await {
             continue;
         }
-        let freed = memory.free(engine, &program_id).await;
+        let freed = memory.free_prefix(engine, &program_id).await;
         log::info!(
             "event=memory_audited program={program_id} endpoint={} freed={freed}",
             engine.id
--- a/crates/burdockroad-daemon/src/problem.rs
+++ b/crates/burdockroad-daemon/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals and failures, as callers see them.
+//! Problem responses that report refusals and failures to callers.
 
 use std::time::Duration;
 
@@ -9,25 +9,25 @@
 
 use crate::{dispatch::SlotRefusal, journal::JournalError, programs::Rejection, quota::QuotaRefusal};
 
-/// Media type of a problem.
+/// Media type of a problem response.
 pub const PROBLEM_CONTENT_TYPE: &str = "application/problem+json";
 
-/// Prefix of each problem's `type`.
+/// Prefix of the `type` of each problem.
 const TYPE_PREFIX: &str = "urn:burdockroad:problem:";
 
-/// Time after which a call may succeed that met a program in motion between hosts.
-const MOVING_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay for a call whose program is moving between hosts.
+const MOVING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a request was not answered, and whether it ran.
+/// The reason why a request failed, and whether it ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// What kind of problem it is.
+    /// Kind of the problem.
     pub kind: ProblemKind,
-    /// What happened, in a sentence for the caller.
+    /// Description of the problem for the caller.
     pub detail: String,
     /// Whether the request ran at an endpoint.
     pub ran: Ran,
-    /// When a later try may succeed; none where it cannot.
+    /// Delay after which a retry may succeed; `None` if a retry does not help.
     pub retry_after: Option<Duration>,
 }
 
@@ -44,69 +44,69 @@
     Yes,
 }
 
-/// Kinds of problem; each has a stable `type`.
+/// The kind of a problem; each kind has a stable `type`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProblemKind {
     /// A header, the body or the path is malformed.
     InvalidRequest,
-    /// The key is absent, unknown or withdrawn.
+    /// The key is missing, unknown or withdrawn.
     InvalidKey,
-    /// This host cannot tell whether keys are still good.
+    /// This host cannot verify whether keys are still valid.
     KeysUnverifiable,
-    /// There is no such path, route or model.
+    /// The path, route or model does not exist.
     UnknownRoute,
-    /// There is no such program.
+    /// The program does not exist.
     UnknownProgram,
-    /// The method is not one that the path takes.
+    /// The path does not support the method.
     MethodNotAllowed,
     /// The body is larger than the limit.
     BodyTooLarge,
-    /// The request did not arrive in time.
+    /// The request body did not arrive within the time limit.
     RequestTimeout,
     /// The program has ended.
     ProgramEnded,
-    /// The call's number is not the program's next one.
+    /// The call number is not the next one of the program.
     WrongCallNumber,
-    /// The number or idempotency key belongs to a different request.
+    /// The call number or idempotency key was already used for a different request.
     DifferentRequest,
     /// The budget does not allow the call.
     OverBudget,
-    /// The program's history has no room for the call.
+    /// The call would exceed the maximum size of the program's history.
     HistoryFull,
-    /// The account is over its rate.
+    /// The account exceeds its rate limit.
     OverRate,
-    /// No endpoint is free in time.
+    /// No slot is free in time, or the account's rate cannot be checked.
     Overloaded,
     /// The program is moving between hosts.
     Moving,
-    /// What must be recorded before the call cannot be recorded now.
+    /// The journal does not accept the records that the call requires.
     NotRecordable,
-    /// The call may have run, and will not be repeated.
+    /// The call may have run, and is not retried.
     OutcomeUnknown,
-    /// The endpoint failed, or its answer was cut short.
+    /// The endpoint failed, or its response was truncated.
     EndpointFailed,
-    /// The call's time is over.
+    /// The call did not complete before its deadline.
     CallTimeout,
-    /// The call was stopped, since its program ended.
+    /// The call was stopped because its program ended.
     Stopped,
     /// This host is stopping.
     Stopping,
-    /// A fault of this system.
+    /// An internal error occurred.
     Internal,
 }
 
 impl ProblemKind {
-    /// The last part of the problem's `type`.
+    /// Returns the last part of the problem's `type`.
     pub fn slug(self) -> &'static str {
-        self.row().0
+        self.slug_and_status().0
     }
 
-    /// HTTP status of the problem.
+    /// Returns the HTTP status of the problem.
     pub fn status(self) -> u16 {
-        self.row().1
+        self.slug_and_status().1
     }
 
-    fn row(self) -> (&'static str, u16) {
+    fn slug_and_status(self) -> (&'static str, u16) {
         match self {
             Self::InvalidRequest => ("invalid-request", 400),
             Self::InvalidKey => ("invalid-key", 401),
@@ -136,7 +136,7 @@
 }
 
 impl Problem {
-    /// Makes a problem of a request that did not run and that a later try does not help.
+    /// Creates a problem for a request that did not run and that a retry does not help.
     pub fn new(kind: ProblemKind, detail: impl Into<String>) -> Self {
         Self {
             kind,
@@ -146,13 +146,13 @@
         }
     }
 
-    /// Says whether the request ran.
+    /// Sets whether the request ran.
     #[must_use]
     pub fn ran(self, ran: Ran) -> Self {
         Self { ran, ..self }
     }
 
-    /// Says when a later try may succeed.
+    /// Sets the delay after which a retry may succeed.
     #[must_use]
     pub fn retry_after(self, retry_after: Duration) -> Self {
         Self {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Whole seconds for the `Retry-After` header, rounded up.
+    /// Returns the value of the `Retry-After` header in seconds, rounded up and at least 1.
     pub fn retry_after_s(&self) -> Option<u64> {
         self.retry_after.map(|after| {
             after
@@ -173,7 +173,7 @@
         })
     }
 
-    /// The problem as JSON, with the `error` object that clients of the OpenAI format show.
+    /// Returns the problem as JSON, with the `error` object that clients of the OpenAI format display.
     pub fn to_json(&self) -> Bytes {
         let kind = self.kind;
         let body = json!({
@@ -194,7 +194,7 @@
         let detail = refusal.to_string();
         match refusal {
             Refusal::UnknownProgram => Self::new(ProblemKind::UnknownProgram, detail),
-            Refusal::NotOwner => Self::new(ProblemKind::Moving, detail).retry_after(MOVING_RETRY),
+            Refusal::NotOwner => Self::new(ProblemKind::Moving, detail).retry_after(MOVING_RETRY_AFTER),
             Refusal::Ended { .. } => Self::new(ProblemKind::ProgramEnded, detail),
             Refusal::WrongNumber { .. } => Self::new(ProblemKind::WrongCallNumber, detail),
             Refusal::DifferentRequest => Self::new(ProblemKind::DifferentRequest, detail),
@@ -230,11 +230,11 @@
 impl From<QuotaRefusal> for Problem {
     fn from(refusal: QuotaRefusal) -> Self {
         let (kind, detail) = if refusal.over_rate {
-            (ProblemKind::OverRate, "the account is over its rate")
+            (ProblemKind::OverRate, "the account exceeds its rate limit")
         } else {
             (
                 ProblemKind::Overloaded,
-                "the account's rate cannot be checked now",
+                "the account's rate limit cannot be checked at present",
             )
         };
         Self::new(kind, detail).retry_after(refusal.retry_after)
@@ -251,15 +251,16 @@
     fn from(error: JournalError) -> Self {
         match error {
             JournalError::Fenced => Self::new(ProblemKind::Moving, "the program has moved to another host")
-                .retry_after(MOVING_RETRY),
+                .retry_after(MOVING_RETRY_AFTER),
             JournalError::TooLarge => Self::new(
                 ProblemKind::BodyTooLarge,
-                "the call is larger than a record of it may be",
+                "the call exceeds the maximum size of a journal record",
             ),
-            JournalError::Unavailable { retry_after } => {
-                Self::new(ProblemKind::NotRecordable, "the call cannot be recorded now")
-                    .retry_after(retry_after)
-            }
+            JournalError::Unavailable { retry_after } => Self::new(
+                ProblemKind::NotRecordable,
+                "the call cannot be recorded in the journal at present",
+            )
+            .retry_after(retry_after),
         }
     }
 }
