--- a/crates/burdockroad-daemon/src/answer.rs
+++ b/crates/burdockroad-daemon/src/answer.rs
@@ -95,7 +95,8 @@
 
     /// Ends the response with a problem.
     ///
-    /// If no frame has been written, the problem becomes the response. Otherwise the response is truncated.
+    /// If no frame has been written, the problem becomes the response. Otherwise the response is
+    /// truncated.
     pub fn fail(&self, problem: &Problem) {
         if self.has_started() {
             self.push(Frame::Truncated(problem.clone()));
--- a/crates/burdockroad-daemon/src/calls.rs
+++ b/crates/burdockroad-daemon/src/calls.rs
@@ -1,9 +1,9 @@
 //! Execution of calls at the host that runs them, from admission to the end of the response.
 //!
-//! A call is admitted by its account's rate limit, waits for a slot, and has its intent journaled before
-//! it is sent. Its result is journaled before the end of the response is forwarded to the caller. A call
-//! of a program runs to completion even if the caller disconnects, because the caller may retry it under
-//! the same call number.
+//! A call is admitted by its account's rate limit, waits for a slot, and is sent to an endpoint. The
+//! intent of a program's call is journaled before the call is sent, and its result is journaled
+//! before the end of the response is forwarded to the caller. Such a call runs to completion even if
+//! the caller disconnects, because the caller may retry it under the same call number.
 
 mod attempt;
 mod completion;
@@ -51,7 +51,7 @@
     pub key_id: Option<KeyId>,
 }
 
-/// Everything needed to run a call.
+/// A call with all the data that is needed to run it.
 #[derive(Clone, Debug)]
 pub struct CallPlan {
     /// Account and key of the caller.
@@ -60,7 +60,7 @@
     pub route_id: RouteId,
     /// Pools that serve the route, in order of preference.
     pub pool_ids: Vec<PoolId>,
-    /// Whether the call can be executed more than once without side effects.
+    /// Whether the call may be executed more than once.
     pub idempotent: bool,
     /// Digest of the request.
     pub digest: RequestDigest,
@@ -100,7 +100,7 @@
     /// Maximum total wait for admission by the rate limit and for a slot.
     pub queue_timeout: Duration,
     /// Maximum response body size of a plain service, in bytes.
-    pub answer_max_bytes: usize,
+    pub response_max_bytes: usize,
 }
 
 /// The executor of calls at this host.
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Counts a call that the rate limit refused, or that got no slot or no journal append.
+    /// Counts a call that was refused by the rate limit, for lack of a slot, or because the journal
+    /// does not accept its records.
     fn record_refusal(&self, plan: &CallPlan, problem: &Problem) {
         let reason = match problem.kind {
             ProblemKind::OverRate => RefusedBecause::OverRate,
@@ -170,7 +171,8 @@
         retries.note_call(&plan.caller.account_id, &plan.route_id);
     }
 
-    /// Takes a retry from the budget of the call's account and route, and returns the backoff before it.
+    /// Takes a retry from the budget of the call's account and route, and returns the backoff before
+    /// it.
     ///
     /// Returns `None` when the budget does not allow another retry.
     fn acquire_retry(&self, plan: &CallPlan, attempted_endpoints: &[EndpointId]) -> Option<Duration> {
@@ -185,8 +187,8 @@
 
     /// Returns the endpoints that the next attempt should avoid.
     ///
-    /// These are the endpoints that were already attempted, or none if that would exclude every endpoint
-    /// of the call's pools.
+    /// These are the endpoints that were already attempted, or none if that would exclude every
+    /// endpoint of the call's pools.
     fn excluded_endpoints(&self, plan: &CallPlan, attempted_endpoints: &[EndpointId]) -> Vec<EndpointId> {
         let in_force = self.in_force.borrow();
         let sets = in_force
--- a/crates/burdockroad-daemon/src/calls/attempt.rs
+++ b/crates/burdockroad-daemon/src/calls/attempt.rs
@@ -118,7 +118,7 @@
             status: response.status,
             headers: response_headers(&response.headers),
         };
-        let body = response.read(self.limits.answer_max_bytes).await?;
+        let body = response.read(self.limits.response_max_bytes).await?;
         let content_type = head
             .headers
             .get(header::CONTENT_TYPE)
--- a/crates/burdockroad-daemon/src/calls/completion.rs
+++ b/crates/burdockroad-daemon/src/calls/completion.rs
@@ -1,4 +1,5 @@
-//! Chat completions: parsing of callers' requests, request bodies for engines, and assembly of responses.
+//! Chat completions: parsing of callers' requests, request bodies for engines, and assembly of
+//! responses.
 
 use std::collections::BTreeMap;
 
@@ -63,8 +64,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the body is not valid JSON, lacks a required field, or requests more than one
-    /// choice.
+    /// Returns an error if the body is not valid JSON, lacks a required field, or requests more than
+    /// one choice.
     pub fn parse(body: &[u8]) -> Result<Self, Problem> {
         let request_body: RequestBody =
             serde_json::from_slice(body).map_err(|error| invalid(&error.to_string()))?;
--- a/crates/burdockroad-daemon/src/calls/program_call.rs
+++ b/crates/burdockroad-daemon/src/calls/program_call.rs
@@ -224,9 +224,12 @@
     ) -> Problem {
         tokio::select! {
             _ = stop.wait_for(|stopped| *stopped) => {
-                Problem::new(ProblemKind::Stopped, "the program ended before the call completed").ran(Ran::Unknown)
+                Problem::new(ProblemKind::Stopped, "the program ended before the call completed")
+                    .ran(Ran::Unknown)
+            }
+            () = self.wait_until_key_withdrawn(&call.plan.caller) => {
+                key_withdrawn_problem().ran(Ran::Unknown)
             }
-            () = self.wait_until_key_withdrawn(&call.plan.caller) => key_withdrawn_problem().ran(Ran::Unknown),
             () = tokio::time::sleep_until(deadline) => timed_out(),
         }
     }
--- a/crates/burdockroad-daemon/src/calls/single_call.rs
+++ b/crates/burdockroad-daemon/src/calls/single_call.rs
@@ -30,7 +30,9 @@
     async fn run_single(&self, plan: &CallPlan, log: &Arc<ResponseLog>) {
         let outcome = tokio::select! {
             outcome = self.run_single_attempts(plan, log) => outcome,
-            () = self.wait_until_key_withdrawn(&plan.caller) => Err(key_withdrawn_problem().ran(Ran::Unknown)),
+            () = self.wait_until_key_withdrawn(&plan.caller) => {
+                Err(key_withdrawn_problem().ran(Ran::Unknown))
+            }
             () = tokio::time::sleep_until(plan.deadline) => Err(timed_out()),
             () = log.wait_for_no_readers() => return,
         };
--- a/crates/burdockroad-daemon/src/daemon.rs
+++ b/crates/burdockroad-daemon/src/daemon.rs
@@ -399,7 +399,7 @@
     fn call_limits(&self) -> CallLimits {
         CallLimits {
             queue_timeout: Duration::from_secs(self.settings.limits.queue_timeout_s),
-            answer_max_bytes: ANSWER_MAX_BYTES,
+            response_max_bytes: ANSWER_MAX_BYTES,
         }
     }
 }
--- a/crates/burdockroad-daemon/src/dispatch.rs
+++ b/crates/burdockroad-daemon/src/dispatch.rs
@@ -1,7 +1,8 @@
 //! Scheduling of calls onto slots at endpoints.
 //!
-//! The owner of a pool's partition grants the pool's slots. A host that cannot reach the owner grants its
-//! own share of them. While both grant slots, endpoints may be overloaded, but no guarantee is violated.
+//! The owner of a pool's partition grants the pool's slots. A host that cannot reach the owner grants
+//! its own share of them. While both grant slots, endpoints may be overloaded, but no guarantee is
+//! violated.
 
 mod actor;
 mod dispatcher;
@@ -24,8 +25,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a refusal as soon as it is certain that no slot becomes free by the request's deadline. A
-    /// refused request is not queued any longer.
+    /// Returns a refusal as soon as it is certain that no slot becomes free by the request's
+    /// deadline. A refused request is not queued any longer.
     async fn acquire(&self, request: SlotRequest) -> Result<Slot, SlotRefusal>;
 
     /// Releases a slot with a report of its use.
--- a/crates/burdockroad-daemon/src/dispatch/dispatcher.rs
+++ b/crates/burdockroad-daemon/src/dispatch/dispatcher.rs
@@ -1,4 +1,5 @@
-//! The dispatcher of this host, which requests slots from pool owners and grants slots of its own pools.
+//! The dispatcher of this host, which requests slots from pool owners and grants slots of its own
+//! pools.
 
 use std::{
     collections::HashMap,
@@ -57,7 +58,8 @@
     pub limits: Arc<dyn AccountLimits>,
 }
 
-/// A dispatcher that grants slots of the pools that this host owns and requests others from their owners.
+/// A dispatcher that grants slots of the pools that this host owns and requests others from their
+/// owners.
 pub struct PoolDispatcher {
     parts: DispatchParts,
     actor: ActorRef<PoolMessage>,
@@ -192,8 +194,8 @@
 
     /// Requests a slot from the pool's owner at another host.
     ///
-    /// The request ends when the owner responds, when it becomes unreachable, or at the request's deadline
-    /// plus [`RESPONSE_GRACE`].
+    /// The request ends when the owner responds, when it becomes unreachable, or at the request's
+    /// deadline plus [`RESPONSE_GRACE`].
     async fn acquire_remote(
         &self,
         pool_id: &PoolId,
@@ -214,7 +216,9 @@
         let response = tokio::select! {
             response = client.acquire_slot(message) => response,
             () = self.wait_until_unreachable(owner) => return AcquireOutcome::NotOwner,
-            () = tokio::time::sleep_until(request.deadline + RESPONSE_GRACE) => return AcquireOutcome::NotOwner,
+            () = tokio::time::sleep_until(request.deadline + RESPONSE_GRACE) => {
+                return AcquireOutcome::NotOwner
+            }
         };
         let Ok(response) = response else {
             return AcquireOutcome::NotOwner;
--- a/crates/burdockroad-daemon/src/dispatch/pools.rs
+++ b/crates/burdockroad-daemon/src/dispatch/pools.rs
@@ -86,7 +86,8 @@
         table
     }
 
-    /// Applies changes of endpoint sets, owners and peers, and cleans up after hosts and callers that are gone.
+    /// Applies changes of endpoint sets, owners and peers, and cleans up after hosts and callers that
+    /// are gone.
     pub(super) fn refresh(&mut self) {
         let ownership = Arc::clone(&self.parts.ownership.borrow());
         let peers = Arc::clone(&self.parts.peers.borrow());
@@ -220,7 +221,7 @@
         self.tick(pool_id);
     }
 
-    /// Ticks all pools, unless a later `schedule` call has replaced this wake-up.
+    /// Ticks all pools if `scheduled` is the current wake-up time; a replaced wake-up is ignored.
     pub(super) fn wake(&mut self, scheduled: Instant) {
         if self.wake_at == Some(scheduled) {
             self.tick_all();
@@ -269,7 +270,8 @@
         self.myself.send_after(delay, move || PoolMessage::Wake(wake_at));
     }
 
-    /// Updates the endpoints of each pool, with all slots at the pool's owner and a share at other hosts.
+    /// Updates the endpoints of each pool, with all slots at the pool's owner and a share at other
+    /// hosts.
     fn update_pools(&mut self) {
         let draining_hosts = self.parts.source.draining_hosts();
         let sets = &self.sets;
@@ -306,7 +308,8 @@
         }
     }
 
-    /// Reclaims slots of processes that are no longer live, and slots granted longer than [`SLOT_LEASE`] ago.
+    /// Reclaims slots of processes that are no longer live, and slots granted longer than
+    /// [`SLOT_LEASE`] ago.
     fn reclaim_lost_slots(&mut self) {
         let now = Instant::now();
         let (me, peers) = (&self.ownership.me, &self.peers);
--- a/crates/burdockroad-daemon/src/edge.rs
+++ b/crates/burdockroad-daemon/src/edge.rs
@@ -1,8 +1,9 @@
 //! Routing of requests from the host that received them to the host that owns their program.
 //!
 //! Any host accepts any request. A request that concerns a program is forwarded to the owner of the
-//! program's partition, and the response is streamed back. Forwarding a request again after a failure is
-//! safe, because the owner detects duplicates: calls by program id and number, new programs by their id.
+//! program's partition, and the response is streamed back. Forwarding a request again after a failure
+//! is safe, because the owner detects duplicates: calls by program id and number, new programs by
+//! their id.
 
 mod forward;
 mod program_json;
@@ -99,8 +100,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a problem if the request is invalid or refused, or if no host serves it in time. The problem
-    /// states whether the request may have run.
+    /// Returns a problem if the request is invalid or refused, or if no host serves it in time. The
+    /// problem states whether the request may have run.
     pub async fn serve(&self, mut request: EdgeRequest) -> Result<Frames, Problem> {
         let Some(partition) = self.partition(&mut request)? else {
             return Ok(frames(self.serve_local(&request).await?));
@@ -186,7 +187,7 @@
     Ok(partition)
 }
 
-/// Returns the id of the single-call program for an idempotency key, which is the same at every host.
+/// Returns the id of the program for an idempotency key, which is the same at every host.
 fn idempotency_program_id(account_id: &str, key: &str) -> ProgramId {
     let hash = sha256_hex(&format!("{account_id}\0{key}"));
     program_id(partition_of(&hash), &format!("k{}", &hash[..PROGRAM_ID_DIGITS]))
--- a/crates/burdockroad-daemon/src/edge/forward.rs
+++ b/crates/burdockroad-daemon/src/edge/forward.rs
@@ -1,4 +1,5 @@
-//! Forwarding of requests to the host that owns their program, and handling of forwarded requests there.
+//! Forwarding of requests to the host that owns their program, and handling of forwarded requests
+//! there.
 
 use std::{sync::Arc, time::Duration};
 
@@ -50,10 +51,13 @@
             let first = incoming.message().await;
             Ok((first, incoming))
         };
-        // A paused owner keeps its connections open, so only the ownership map shows that it was replaced.
+        // A paused owner keeps its connections open, so only the ownership map shows that it was
+        // replaced.
         let (first, incoming) = tokio::select! {
             opened = opened => opened?,
-            () = owner_replaced(self.ownership.clone(), owner.clone(), partition) => return Err(OwnerError::ConnectionLost),
+            () = owner_replaced(self.ownership.clone(), owner.clone(), partition) => {
+                return Err(OwnerError::ConnectionLost)
+            }
         };
         match first {
             Ok(Some(ForwardFrame {
@@ -69,7 +73,8 @@
         }
     }
 
-    /// Returns the address of the owner, if its host still runs the process that the ownership map shows.
+    /// Returns the address of the owner, if its host still runs the process that the ownership map
+    /// shows.
     fn address(&self, owner: &Process) -> Option<String> {
         let peers = self.peers.borrow();
         let peer = peers.peers.get(&owner.host_id)?;
@@ -123,8 +128,8 @@
 
 /// Waits until another process has owned a partition for [`MOVED_GRACE`].
 ///
-/// The grace period is needed because a handoff waits for running calls, and their last frames may still be
-/// on the way when the ownership map changes.
+/// The grace period is needed because a handoff waits for running calls, and their last frames may
+/// still be on the way when the ownership map changes.
 async fn owner_replaced(mut ownership: OwnershipReceiver, owner: Process, partition: PartitionId) {
     let replaced = ownership.wait_for(|view| {
         view.owner(partition)
--- a/crates/burdockroad-daemon/src/edge/serve.rs
+++ b/crates/burdockroad-daemon/src/edge/serve.rs
@@ -1,4 +1,4 @@
-//! Serving of requests at the host that owns their program.
+//! Request handlers for the host that owns the program of a request.
 
 use std::time::{Duration, SystemTime};
 
@@ -132,7 +132,7 @@
             .await
     }
 
-    /// Returns the single-call program for an idempotency key.
+    /// Returns the program for an idempotency key, which consists of the one call with that key.
     fn idempotency_program(&self, request: &EdgeRequest, program_id: ProgramId) -> NewProgram {
         let defaults = self.in_force.borrow().document.budget_defaults.clone();
         let budget = Budget {
@@ -236,9 +236,9 @@
 
 /// Returns the pools of a route, those of a preferred site first.
 ///
-/// The preferred site is selected by the sites' weights and by `seed`, which depends on the program alone.
-/// All calls of a program therefore prefer the same site until the weights change, and then only a share of
-/// the programs moves.
+/// The preferred site is selected by the sites' weights and by `seed`, which depends on the program
+/// alone. All calls of a program therefore prefer the same site until the weights change, and then
+/// only a share of the programs moves.
 fn preferred_pools(document: &Document, route: &Route, seed: u64) -> Vec<String> {
     let site = pick_site(document, route, seed);
     let mut pools = route.endpoint_sets.clone();
--- a/crates/burdockroad-daemon/src/endpoint.rs
+++ b/crates/burdockroad-daemon/src/endpoint.rs
@@ -46,8 +46,8 @@
     pub body: Bytes,
     /// Whether to use a new connection instead of a pooled one.
     ///
-    /// If the endpoint closes a pooled connection while a request is sent on it, it is unknown whether the
-    /// request ran. This matters for calls that must not be repeated.
+    /// If the endpoint closes a pooled connection while a request is sent on it, it is unknown
+    /// whether the request ran. This matters for calls that must not be repeated.
     pub fresh_connection: bool,
 }
 
@@ -148,8 +148,8 @@
         .pool_idle_timeout(IDLE_TIMEOUT)
         .pool_max_idle_per_host(idle_max)
         .pool_timer(TokioTimer::new())
-        // By default, the library resends a request when a pooled connection turns out to be closed. Only
-        // the daemon may decide whether a request is resent.
+        // By default, the library resends a request when a pooled connection turns out to be closed.
+        // Only the daemon may decide whether a request is resent.
         .retry_canceled_requests(false)
         .build(connector)
 }
@@ -192,8 +192,8 @@
 }
 
 fn request_failed(error: &hyper_util::client::legacy::Error) -> SendError {
-    // Only a failure to connect proves that no byte was sent. A closed pooled connection proves nothing:
-    // bytes may have been written before the close was detected.
+    // Only a failure to connect proves that no byte was sent. A closed pooled connection proves
+    // nothing: bytes may have been written before the close was detected.
     let ran = if error.is_connect() { Ran::No } else { Ran::Unknown };
     SendError {
         reason: with_causes(error),
--- a/crates/burdockroad-daemon/src/http/intake.rs
+++ b/crates/burdockroad-daemon/src/http/intake.rs
@@ -63,7 +63,8 @@
 ) -> EdgeRequest {
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str());
     let target = target_without_key(target, key);
-    // The operation contains the path and query below a service's route, and the query may contain the key.
+    // The operation contains the path and query below a service's route, and the query may contain
+    // the key.
     let operation = match Operation::parse(&parts.method, &target, &parts.headers) {
         Ok(without_key) => without_key,
         Err(_) => operation,
@@ -99,9 +100,9 @@
 }
 
 fn find_caller(in_force: &InForce, operation: &Operation, key: Option<&str>) -> Result<Caller, Problem> {
-    let may_be_open = may_be_open(in_force, operation);
+    let may_use_open_route = may_use_open_route(in_force, operation);
     let Some(key) = key else {
-        return if may_be_open {
+        return if may_use_open_route {
             Ok(Caller::default())
         } else {
             Err(key_missing_problem())
@@ -116,7 +117,7 @@
             account_id: found.account_id,
             key_id: Some(found.key_id),
         }),
-        None if may_be_open => Ok(Caller::default()),
+        None if may_use_open_route => Ok(Caller::default()),
         None => Err(Problem::new(
             ProblemKind::InvalidKey,
             "the key is unknown or withdrawn",
@@ -132,7 +133,7 @@
 }
 
 /// Returns whether a request without a key may be allowed, judging by its path alone.
-fn may_be_open(in_force: &InForce, operation: &Operation) -> bool {
+fn may_use_open_route(in_force: &InForce, operation: &Operation) -> bool {
     let mut routes = in_force
         .document
         .routes
--- a/crates/burdockroad-daemon/src/http/operation.rs
+++ b/crates/burdockroad-daemon/src/http/operation.rs
@@ -18,7 +18,8 @@
 /// Header with a key by which retries of a call outside a program are detected.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Maximum duration that a budget may allow; the state of a program without an end would never be removed.
+/// Maximum duration that a budget may allow; the state of a program without an end would never be
+/// removed.
 const PROGRAM_DURATION_MAX: Duration = Duration::from_hours(30 * 24);
 
 /// Maximum length of an idempotency key, in bytes.
@@ -69,7 +70,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a problem for an unknown path, a method that the path does not support, or malformed headers.
+    /// Returns a problem for an unknown path, a method that the path does not support, or malformed
+    /// headers.
     pub fn parse(method: &Method, path_and_query: &str, headers: &HeaderMap) -> Result<Self, Problem> {
         let target = Target::parse(method, path_and_query)?;
         let call = CallHeaders::parse(headers)?;
@@ -99,17 +101,17 @@
 
     fn parse_service(path_and_query: &str) -> Result<Self, Problem> {
         let end = path_and_query.find(['/', '?']).unwrap_or(path_and_query.len());
-        let (route_id, path_below) = path_and_query.split_at(end);
+        let (route_id, below) = path_and_query.split_at(end);
         if route_id.is_empty() {
             return Err(Problem::new(
                 ProblemKind::UnknownRoute,
                 "the path contains no route",
             ));
         }
-        let target = if path_below.starts_with('/') {
-            path_below.to_owned()
+        let target = if below.starts_with('/') {
+            below.to_owned()
         } else {
-            format!("/{path_below}")
+            format!("/{below}")
         };
         Ok(Self::Service {
             route_id: route_id.to_owned(),
@@ -160,18 +162,8 @@
         let position = match (program_id, number) {
             (Some(program_id), Some(number)) => Some((program_id, number)),
             (None, None) => None,
-            (Some(_), None) => {
-                return Err(invalid_header(
-                    CALL_NUMBER_HEADER,
-                    "is required together with Program-Id",
-                ));
-            }
-            (None, Some(_)) => {
-                return Err(invalid_header(
-                    PROGRAM_ID_HEADER,
-                    "is required together with Call-Number",
-                ));
-            }
+            (Some(_), None) => return Err(invalid_header(CALL_NUMBER_HEADER, "must accompany Program-Id")),
+            (None, Some(_)) => return Err(invalid_header(PROGRAM_ID_HEADER, "must accompany Call-Number")),
         };
         Ok(Self {
             position,
@@ -240,8 +232,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a problem if the body is not valid JSON, has unknown fields, or requests a sub-agent with its
-    /// own budget.
+    /// Returns a problem if the body is not valid JSON, has unknown fields, or requests a sub-agent
+    /// with its own budget.
     pub fn parse(body: &[u8]) -> Result<Self, Problem> {
         if body.is_empty() {
             return Ok(Self::default());
@@ -263,7 +255,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a problem if the duration is zero or exceeds thirty days, or if the budget allows no calls.
+    /// Returns a problem if the duration is zero or exceeds thirty days, or if the budget allows no
+    /// calls.
     pub fn budget(&self, defaults: &BudgetDefaults) -> Result<Budget, Problem> {
         let requested = self.budget.clone().unwrap_or_default();
         let budget = Budget {
--- a/crates/burdockroad-daemon/src/http/server.rs
+++ b/crates/burdockroad-daemon/src/http/server.rs
@@ -165,7 +165,9 @@
 ) -> Response<ResponseBody> {
     let first = tokio::select! {
         first = frames.next() => first,
-        () = crate::calls::wait_until_key_withdrawn(&parts.in_force, &caller) => return problem_response(&key_withdrawn_problem()),
+        () = crate::calls::wait_until_key_withdrawn(&parts.in_force, &caller) => {
+            return problem_response(&key_withdrawn_problem())
+        }
     };
     let head = match first {
         Some(Frame::Head(head)) => head,
--- a/crates/burdockroad-daemon/src/memory.rs
+++ b/crates/burdockroad-daemon/src/memory.rs
@@ -1,9 +1,9 @@
 //! Release of programs' cached prefixes at engines, and a periodic audit for entries that were missed.
 //!
-//! Each intent in the journal records the engine that may cache the program's prefix, so the owner of a
-//! program can determine where to release it. One case is not covered by these records: a host is paused
-//! between recording an intent and sending the call, and resumes after its successor has already released
-//! the prefix. The audit finds the entries left by this case.
+//! Each intent in the journal records the engine that may cache the program's prefix, so the owner of
+//! a program can determine where to release it. One case is not covered by these records: a host is
+//! paused between recording an intent and sending the call, and resumes after its successor has
+//! already released the prefix. The audit finds the entries left by this case.
 
 use std::{sync::Arc, time::Duration};
 
@@ -87,7 +87,7 @@
             return Vec::new();
         };
         let entries: Vec<CachedProgram> = serde_json::from_slice(&body).unwrap_or_default();
-        entries.into_iter().map(|entry| entry.program_id).collect()
+        entries.into_iter().map(|program| program.program_id).collect()
     }
 
     fn engines(&self) -> Vec<Endpoint> {
@@ -123,7 +123,8 @@
     }
 }
 
-/// A task that periodically frees cached prefixes of programs that this host owns but does not have.
+/// A task that periodically frees cached prefixes of programs that belong to this host's partitions
+/// but are not in its program table.
 #[derive(Debug)]
 pub struct PrefixCacheAudit {
     task: JoinHandle<()>,
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -211,7 +211,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the errors of [`Programs::create`], and an error if the journal does not accept the record.
+    /// Returns the errors of [`Programs::create`], and an error if the journal does not accept the
+    /// record.
     pub async fn create(&self, new: NewProgram) -> Result<Appended, Rejection> {
         self.call_actor(|port| ProgramsMessage::Create(new, port))
             .await
@@ -243,7 +244,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the errors of [`Programs::begin`], and an error if the journal does not accept the intent.
+    /// Returns the errors of [`Programs::begin`], and an error if the journal does not accept the
+    /// intent.
     pub async fn start_call(&self, request: CallRequest) -> Result<CallDisposition, Rejection> {
         self.call_actor(|port| ProgramsMessage::StartCall(request, port))
             .await
--- a/crates/burdockroad-daemon/src/programs/actor.rs
+++ b/crates/burdockroad-daemon/src/programs/actor.rs
@@ -168,9 +168,9 @@
 
     /// Checks that this process still owns the partition of a program.
     ///
-    /// A change made here after the partition has moved would be missing at its new owner. The result of the
-    /// check stays valid until the change is made: this actor handles one message at a time, and a move
-    /// starts with a message that freezes the partition.
+    /// A change made here after the partition has moved would be missing at its new owner. The result
+    /// of the check stays valid until the change is made: this actor handles one message at a time,
+    /// and a move starts with a message that freezes the partition.
     fn check_owned(&self, program_id: &ProgramId) -> Result<(), Refusal> {
         let partition = partition_of_program(program_id).ok_or(Refusal::UnknownProgram)?;
         let owned = self.parts.ownership.borrow().owns(partition);
--- a/crates/burdockroad-daemon/src/quota.rs
+++ b/crates/burdockroad-daemon/src/quota.rs
@@ -19,15 +19,15 @@
     ///
     /// # Errors
     ///
-    /// Returns a refusal as soon as it is certain that the call cannot be admitted by `deadline`. A refused
-    /// call is not queued any longer.
+    /// Returns a refusal as soon as it is certain that the call cannot be admitted by `deadline`. A
+    /// refused call is not queued any longer.
     async fn admit(&self, account_id: &AccountId, deadline: Instant) -> Result<(), QuotaRefusal>;
 }
 
 /// A lease under which this process may act as the owner that the ownership map specifies.
 ///
-/// The lease is valid while a majority of hosts has reported to this process recently enough. An owner that
-/// was paused or partitioned therefore stops before another host can replace it.
+/// The lease is valid while a majority of hosts has reported to this process recently enough. An
+/// owner that was paused or partitioned therefore stops before another host can replace it.
 pub trait OwnerLease: fmt::Debug + Send + Sync {
     /// Returns whether the lease is valid at `now`.
     fn is_valid(&self, now: std::time::Instant) -> bool;
--- a/crates/burdockroad-daemon/src/quota/escrow.rs
+++ b/crates/burdockroad-daemon/src/quota/escrow.rs
@@ -34,8 +34,8 @@
 
 /// A rate limiter that enforces each account's rate and burst across all hosts.
 ///
-/// One actor contains the buckets of the accounts that this host owns, and the tokens of any account that
-/// were granted to this host.
+/// One actor contains the buckets of the accounts that this host owns, and the tokens of any account
+/// that were granted to this host.
 pub struct EscrowQuota {
     actor: ActorRef<QuotaMessage>,
 }
--- a/crates/burdockroad-daemon/src/quota/table.rs
+++ b/crates/burdockroad-daemon/src/quota/table.rs
@@ -139,7 +139,7 @@
         self.process_account(&outcome.account_id);
     }
 
-    /// Ticks, unless a later `schedule` call has replaced this wake-up.
+    /// Ticks if `scheduled` is the current wake-up time; a replaced wake-up is ignored.
     pub(super) fn wake(&mut self, scheduled: Instant) {
         if self.wake_at == Some(scheduled) {
             self.tick();
@@ -213,8 +213,8 @@
 
     /// Grants tokens from a bucket of this host.
     ///
-    /// Returns `None` if this host does not own the account's partition or holds no valid owner lease, or if
-    /// the document does not contain the account.
+    /// Returns `None` if this host does not own the account's partition or holds no valid owner
+    /// lease, or if the document does not contain the account.
     fn grant_from_bucket(
         &mut self,
         account_id: &AccountId,
--- a/crates/burdockroad-daemon/tests/call_order.rs
+++ b/crates/burdockroad-daemon/tests/call_order.rs
@@ -163,7 +163,7 @@
             telemetry: Telemetry::unrecorded(),
             limits: CallLimits {
                 queue_timeout: Duration::from_secs(5),
-                answer_max_bytes: 1_000_000,
+                response_max_bytes: 1_000_000,
             },
         };
         Self {
