--- a/crates/burdockroad-daemon/src/calls/attempt.rs
+++ b/crates/burdockroad-daemon/src/calls/attempt.rs
@@ -191,7 +191,7 @@
     outcome
 }
 
-/// Forwards a stream to the callers and assembles the complete response from it.
+/// A relay that forwards a stream to the callers and assembles the complete response from it.
 #[derive(Debug)]
 struct StreamRelay<'a> {
     request: &'a CompletionRequest,
--- a/crates/burdockroad-daemon/src/calls/completion.rs
+++ b/crates/burdockroad-daemon/src/calls/completion.rs
@@ -150,7 +150,7 @@
     pub prompt_tokens: u64,
     /// Tokens of the prompt that were served from the engine's cache.
     pub cached_tokens: u64,
-    /// Tokens generated.
+    /// Generated tokens.
     pub completion_tokens: u64,
 }
 
--- a/crates/burdockroad-daemon/src/memory.rs
+++ b/crates/burdockroad-daemon/src/memory.rs
@@ -132,12 +132,12 @@
 
 impl PrefixCacheAudit {
     /// Starts the audit.
-    pub fn start(memory: EnginePrefixCache, ownership: OwnershipReceiver, programs: ProgramsHandle) -> Self {
+    pub fn start(cache: EnginePrefixCache, ownership: OwnershipReceiver, programs: ProgramsHandle) -> Self {
         let task = tokio::spawn(async move {
             loop {
                 tokio::time::sleep(AUDIT_INTERVAL).await;
-                for engine in memory.engines() {
-                    audit(&memory, &engine, &ownership, &programs).await;
+                for engine in cache.engines() {
+                    audit(&cache, &engine, &ownership, &programs).await;
                 }
             }
         });
@@ -151,18 +151,18 @@
 }
 
 async fn audit(
-    memory: &EnginePrefixCache,
+    cache: &EnginePrefixCache,
     engine: &Endpoint,
     ownership: &OwnershipReceiver,
     programs: &ProgramsHandle,
 ) {
-    for program_id in memory.cached_programs(engine).await {
+    for program_id in cache.cached_programs(engine).await {
         let owned =
             partition_of_program(&program_id).is_some_and(|partition| ownership.borrow().owns(partition));
         if !owned || programs.contains(program_id.clone()).await {
             continue;
         }
-        let freed = memory.free_prefix(engine, &program_id).await;
+        let freed = cache.free_prefix(engine, &program_id).await;
         log::info!(
             "event=memory_audited program={program_id} endpoint={} freed={freed}",
             engine.id
--- a/crates/burdockroad-daemon/src/problem.rs
+++ b/crates/burdockroad-daemon/src/problem.rs
@@ -36,11 +36,11 @@
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It certainly did not.
+    /// The request certainly did not run.
     No,
-    /// It may have.
+    /// The request may have run.
     Unknown,
-    /// It did.
+    /// The request ran.
     Yes,
 }
 
