--- a/crates/burdockroad-daemon/src/memory.rs
+++ b/crates/burdockroad-daemon/src/memory.rs
@@ -49,12 +49,12 @@
 
 #[async_trait]
 impl PrefixReleaser for EnginePrefixCache {
-    async fn release(&self, hold: &Hold) -> bool {
-        let Some(endpoint) = self.endpoint(&hold.endpoint_id) else {
+    async fn release(&self, cached_prefix: &Hold) -> bool {
+        let Some(endpoint) = self.endpoint(&cached_prefix.endpoint_id) else {
             // The endpoint was removed from the document, and its cache with it.
             return true;
         };
-        self.free_prefix(&endpoint, &hold.program_id).await
+        self.free_prefix(&endpoint, &cached_prefix.program_id).await
     }
 }
 
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -41,7 +41,7 @@
     /// Requests that an endpoint remove a program's cached prefix.
     ///
     /// Returns `true` if the endpoint has removed it, or if the endpoint itself no longer exists.
-    async fn release(&self, hold: &Hold) -> bool;
+    async fn release(&self, cached_prefix: &Hold) -> bool;
 }
 
 /// A running call of this host.
--- a/crates/burdockroad-daemon/src/programs/actor.rs
+++ b/crates/burdockroad-daemon/src/programs/actor.rs
@@ -117,7 +117,7 @@
             ProgramsMessage::End(account_id, program_id, port) => {
                 reply(port, self.end(myself, &account_id, &program_id));
             }
-            ProgramsMessage::PrefixReleased(hold) => self.prefix_released(&hold),
+            ProgramsMessage::PrefixReleased(cached_prefix) => self.prefix_released(&cached_prefix),
             ProgramsMessage::Tick => self.tick(myself),
             ProgramsMessage::OpenCalls(port) => reply(port, self.table.open_calls()),
             ProgramsMessage::List(port) => reply(port, self.table.trees().cloned().collect()),
@@ -193,8 +193,8 @@
         Ok(self.perform(myself, actions))
     }
 
-    fn prefix_released(&mut self, hold: &Hold) {
-        let record = self.table.released(hold);
+    fn prefix_released(&mut self, cached_prefix: &Hold) {
+        let record = self.table.released(cached_prefix);
         self.append_detached(record.into_iter().collect());
     }
 
@@ -294,8 +294,8 @@
     }
 
     fn clear(&mut self) {
-        for hold in self.table.clear() {
-            self.release_fenced_prefix(hold);
+        for cached_prefix in self.table.clear() {
+            self.release_fenced_prefix(cached_prefix);
         }
         for (_, active_call) in self.active_calls.drain() {
             active_call.stop.send_replace(true);
@@ -315,7 +315,7 @@
             match action {
                 Action::Append(record) => records.push(record),
                 Action::Cancel(cancelled) => self.cancel(&cancelled),
-                Action::Release(hold) => self.release_prefix(myself.clone(), hold),
+                Action::Release(cached_prefix) => self.release_prefix(myself.clone(), cached_prefix),
             }
         }
         self.append(records, Durability::Replicated)
@@ -327,10 +327,14 @@
         }
     }
 
-    fn release_prefix(&self, myself: ActorRef<ProgramsMessage>, hold: Hold) {
+    fn release_prefix(&self, myself: ActorRef<ProgramsMessage>, cached_prefix: Hold) {
         let releaser = Arc::clone(&self.parts.releaser);
         tokio::spawn(async move {
-            if releaser.release(&hold).await && myself.cast(ProgramsMessage::PrefixReleased(hold)).is_err() {
+            if releaser.release(&cached_prefix).await
+                && myself
+                    .cast(ProgramsMessage::PrefixReleased(cached_prefix))
+                    .is_err()
+            {
                 log::debug!("event=programs_stopped");
             }
         });
@@ -339,14 +343,14 @@
     /// Removes a cached prefix that calls of a fenced table may have left at an endpoint.
     ///
     /// The programs' new owner has no record of calls that were sent after it had replayed the journal.
-    fn release_fenced_prefix(&self, hold: Hold) {
+    fn release_fenced_prefix(&self, cached_prefix: Hold) {
         let releaser = Arc::clone(&self.parts.releaser);
         tokio::spawn(async move {
-            if !releaser.release(&hold).await {
+            if !releaser.release(&cached_prefix).await {
                 log::warn!(
                     "event=hold_left program={} endpoint={}",
-                    hold.program_id,
-                    hold.endpoint_id
+                    cached_prefix.program_id,
+                    cached_prefix.endpoint_id
                 );
             }
         });
