--- a/crates/burdockroad-daemon/src/calls/service.rs
+++ b/crates/burdockroad-daemon/src/calls/service.rs
@@ -18,7 +18,7 @@
     header::PROXY_AUTHENTICATE,
 ];
 
-/// Request headers that burdockroad interprets and endpoints do not need.
+/// Request headers that endpoints do not need: those that burdockroad interprets, and `keep-alive`.
 const INTERNAL_HEADERS: [&str; 5] = [
     "program-id",
     "call-number",
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -213,8 +213,8 @@
     ///
     /// Returns the errors of [`Programs::create`], and an error if the journal does not accept the
     /// record.
-    pub async fn create(&self, new: NewProgram) -> Result<Appended, Rejection> {
-        self.call_actor(|port| ProgramsMessage::Create(new, port))
+    pub async fn create(&self, new_program: NewProgram) -> Result<Appended, Rejection> {
+        self.call_actor(|port| ProgramsMessage::Create(new_program, port))
             .await
             .unwrap_or(Err(Refusal::NotOwner.into()))
     }
--- a/crates/burdockroad-daemon/src/programs/actor.rs
+++ b/crates/burdockroad-daemon/src/programs/actor.rs
@@ -102,7 +102,7 @@
 impl ProgramsState {
     fn handle(&mut self, myself: &ActorRef<ProgramsMessage>, message: ProgramsMessage) {
         match message {
-            ProgramsMessage::Create(new, port) => reply(port, self.create(new)),
+            ProgramsMessage::Create(new_program, port) => reply(port, self.create(new_program)),
             ProgramsMessage::Get(account_id, program_id, port) => {
                 reply(port, self.get(&account_id, &program_id));
             }
@@ -211,10 +211,10 @@
         idle.then(|| self.table.export(partitions))
     }
 
-    fn create(&mut self, new: NewProgram) -> Result<Appended, Rejection> {
-        self.check_owned(&new.program_id)?;
+    fn create(&mut self, new_program: NewProgram) -> Result<Appended, Rejection> {
+        self.check_owned(&new_program.program_id)?;
         self.parts.journal.admit(Durability::Replicated)?;
-        let record = self.table.create(new, now())?;
+        let record = self.table.create(new_program, now())?;
         Ok(self.append(vec![record], Durability::Replicated))
     }
 
--- a/crates/burdockroad-daemon/src/quota/grant_client.rs
+++ b/crates/burdockroad-daemon/src/quota/grant_client.rs
@@ -42,8 +42,8 @@
 
 async fn send(clients: &PeerClients, address: &str, request: GrantRequest) -> Option<GrantResponse> {
     let mut client = clients.get(address).ok()?;
-    let answer = tokio::time::timeout(GRANT_TIMEOUT, client.grant(request)).await;
-    Some(answer.ok()?.ok()?.into_inner())
+    let response = tokio::time::timeout(GRANT_TIMEOUT, client.grant(request)).await;
+    Some(response.ok()?.ok()?.into_inner())
 }
 
 /// Converts a token request to a message.
@@ -51,7 +51,7 @@
     from: &Process,
     account_id: &AccountId,
     ownership_version: u64,
-    ask: &Ask,
+    token_request: &Ask,
 ) -> GrantRequest {
     GrantRequest {
         from: Some(HostRef {
@@ -59,12 +59,12 @@
             incarnation: from.incarnation,
         }),
         account_id: account_id.clone(),
-        wanted: ask.wanted,
+        wanted: token_request.wanted,
         ownership_version,
-        sequence: ask.sequence,
-        spent_total: ask.spent_total,
-        unspent: ask.unspent,
-        ahead: ask.ahead,
+        sequence: token_request.sequence,
+        spent_total: token_request.spent_total,
+        unspent: token_request.unspent,
+        ahead: token_request.ahead,
     }
 }
 
