--- a/crates/burdockroad-cli/src/hosts.rs
+++ b/crates/burdockroad-cli/src/hosts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use burdockroad::{DocumentVersion, config::VersionedDocument};
-use burdockroad_daemon::admin::{DocumentAnswer, Status};
+use burdockroad_daemon::admin::{DocumentResponse, Status};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Method, Request, StatusCode};
@@ -145,7 +145,7 @@
     }
 
     /// Hands the document to a host; what came of it shows when the host is asked again.
-    async fn offer(&self, address: &str, stored: &VersionedDocument) -> Option<DocumentAnswer> {
+    async fn offer(&self, address: &str, stored: &VersionedDocument) -> Option<DocumentResponse> {
         let body = Bytes::from(stored.to_bytes());
         let answer = self.send(address, Method::POST, "/document", body).await.ok()?;
         serde_json::from_slice(&answer.body).ok()
--- a/crates/burdockroad-daemon/examples/quickstart.rs
+++ b/crates/burdockroad-daemon/examples/quickstart.rs
@@ -38,7 +38,7 @@
     let document = document(engine.address(), service.address(), &key);
     apply(folder.path(), &document).await?;
 
-    let daemon = Daemon::start(settings(folder.path()), Telemetry::unrecorded()).await?;
+    let daemon = Daemon::start(settings(folder.path()), Telemetry::without_exporter()).await?;
     let caller = Caller {
         url: format!("http://{}", daemon.caller_address()),
         key: key.secret,
--- a/crates/burdockroad-daemon/src/admin.rs
+++ b/crates/burdockroad-daemon/src/admin.rs
@@ -9,7 +9,7 @@
 //! | `GET /programs` | the [`ProgramSummary`] of each program that this host owns; `?account=` for one account |
 //! | `GET /programs/{id}` | the [`ProgramSummary`] of one, 404 when this host does not own it |
 //! | `POST /programs/{id}/end` | ends one, 404 when this host does not own it |
-//! | `POST /document` | takes the stored document, if this host cannot confirm its own; [`DocumentAnswer`] in JSON |
+//! | `POST /document` | takes the stored document, if this host cannot confirm its own; [`DocumentResponse`] in JSON |
 //! | `POST /drain` | this host hands its work over and takes no more |
 
 mod server;
@@ -25,7 +25,7 @@
 pub use self::{
     server::serve,
     status::{
-        DocumentAnswer, DocumentStatus, EndpointStatus, OwnershipStatus, ProgramSummary, Readiness, Status,
+        DocumentResponse, DocumentStatus, EndpointStatus, OwnershipStatus, ProgramSummary, Readiness, Status,
         freshness_name,
     },
 };
--- a/crates/burdockroad-daemon/src/admin/server.rs
+++ b/crates/burdockroad-daemon/src/admin/server.rs
@@ -20,7 +20,7 @@
 };
 
 use crate::{
-    admin::{AdminHandlers, DocumentAnswer, Readiness},
+    admin::{AdminHandlers, DocumentResponse, Readiness},
     platform::VALUE_MAX_BYTES,
 };
 
@@ -147,7 +147,7 @@
     match VersionedDocument::from_bytes(&body) {
         Ok(versioned) => {
             let version = handlers.document.offer_document(versioned);
-            json(&DocumentAnswer { version })
+            json(&DocumentResponse { version })
         }
         Err(error) => text(StatusCode::BAD_REQUEST, TEXT, format!("{error}\n")),
     }
--- a/crates/burdockroad-daemon/src/admin/status.rs
+++ b/crates/burdockroad-daemon/src/admin/status.rs
@@ -51,7 +51,7 @@
 /// Answer to a document that was handed over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct DocumentAnswer {
+pub struct DocumentResponse {
     /// Version that is in force now.
     pub version: DocumentVersion,
 }
--- a/crates/burdockroad-daemon/src/calls.rs
+++ b/crates/burdockroad-daemon/src/calls.rs
@@ -39,7 +39,7 @@
     problem::{Problem, ProblemKind},
     programs::ProgramsHandle,
     quota::Quota,
-    telemetry::{Measure, RefusedBecause, Telemetry},
+    telemetry::{Measure, RefusalReason, Telemetry},
 };
 
 /// The account and key that a call is made with.
@@ -144,8 +144,8 @@
     /// does not accept its records.
     fn record_refusal(&self, plan: &CallPlan, problem: &Problem) {
         let reason = match problem.kind {
-            ProblemKind::OverRate => RefusedBecause::OverRate,
-            ProblemKind::Overloaded | ProblemKind::NotRecordable => RefusedBecause::InsideRate,
+            ProblemKind::OverRate => RefusalReason::OverRate,
+            ProblemKind::Overloaded | ProblemKind::NotRecordable => RefusalReason::InsideRate,
             _ => return,
         };
         self.telemetry.refused(&plan.caller.account_id, reason);
@@ -168,7 +168,7 @@
     /// Credits a call to the retry budget of its account and route.
     fn record_call(&self, plan: &CallPlan) {
         let mut retries = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
-        retries.note_call(&plan.caller.account_id, &plan.route_id);
+        retries.record_call(&plan.caller.account_id, &plan.route_id);
     }
 
     /// Takes a retry from the budget of the call's account and route, and returns the backoff before
@@ -178,11 +178,11 @@
     fn acquire_retry(&self, plan: &CallPlan, attempted_endpoints: &[EndpointId]) -> Option<Duration> {
         let attempts = u32::try_from(attempted_endpoints.len()).unwrap_or(u32::MAX);
         let mut retries = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
-        if !retries.draw(&plan.caller.account_id, &plan.route_id, attempts) {
+        if !retries.withdraw(&plan.caller.account_id, &plan.route_id, attempts) {
             return None;
         }
         metrics::counter!("burdockroad_retries_total").increment(1);
-        Some(retries.back_off(attempts, &mut rand::rng()))
+        Some(retries.backoff(attempts, &mut rand::rng()))
     }
 
     /// Returns the endpoints that the next attempt should avoid.
--- a/crates/burdockroad-daemon/src/calls/attempt.rs
+++ b/crates/burdockroad-daemon/src/calls/attempt.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use burdockroad::{ProgramId, program::Answer};
+use burdockroad::{ProgramId, program::CallResponse};
 use bytes::Bytes;
 use eventsource_stream::Eventsource;
 use futures_util::{Stream, StreamExt, pin_mut};
@@ -71,7 +71,7 @@
 /// A complete response whose last frames have not been forwarded yet.
 #[derive(Debug)]
 pub(super) struct CompleteResponse {
-    pub(super) answer: Answer,
+    pub(super) answer: CallResponse,
     /// Frames to forward before [`Frame::End`].
     pub(super) remaining_frames: Vec<Frame>,
 }
@@ -123,7 +123,7 @@
             .headers
             .get(header::CONTENT_TYPE)
             .and_then(|value| value.to_str().ok());
-        let recorded = Answer {
+        let recorded = CallResponse {
             status: head.status,
             content_type: content_type.unwrap_or_default().to_owned(),
             body: body.to_vec(),
--- a/crates/burdockroad-daemon/src/calls/completion.rs
+++ b/crates/burdockroad-daemon/src/calls/completion.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use burdockroad::program::Answer;
+use burdockroad::program::CallResponse;
 use bytes::Bytes;
 use serde::Deserialize;
 use serde_json::{Map, Value, json, value::RawValue};
@@ -303,7 +303,7 @@
     }
 
     /// Returns the response to record in the journal: the body without its message, and the message.
-    pub fn answer(&self) -> Answer {
+    pub fn answer(&self) -> CallResponse {
         let usage = self.usage.unwrap_or_default();
         let body = json!({
             "id": self.id,
@@ -313,7 +313,7 @@
             "choices": [{ "index": 0, "finish_reason": self.finish_reason }],
             "usage": usage_json(usage),
         });
-        Answer {
+        CallResponse {
             status: 200,
             content_type: JSON_CONTENT_TYPE.to_owned(),
             body: body.to_string().into_bytes(),
@@ -370,7 +370,7 @@
 }
 
 /// Returns the complete `chat.completion` object of a recorded response.
-pub fn json_body(answer: &Answer) -> Bytes {
+pub fn json_body(answer: &CallResponse) -> Bytes {
     let parsed: Result<Value, _> = serde_json::from_slice(&answer.body);
     let message = answer
         .message
@@ -386,7 +386,7 @@
 }
 
 /// Returns the events of a recorded response, for a caller that requested a stream.
-pub fn stream_body(answer: &Answer, include_usage: bool) -> Bytes {
+pub fn stream_body(answer: &CallResponse, include_usage: bool) -> Bytes {
     let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let mut delta: Value = answer
         .message
--- a/crates/burdockroad-daemon/src/calls/program_call.rs
+++ b/crates/burdockroad-daemon/src/calls/program_call.rs
@@ -7,7 +7,7 @@
 
 use burdockroad::{
     CallNumber, ProgramId,
-    program::{Answer, CallKind, CallRequest, Outcome, Placement, Usage},
+    program::{CallResponse, CallKind, CallRequest, Outcome, Placement, Usage},
 };
 use bytes::Bytes;
 use tokio::time::Instant;
@@ -145,7 +145,7 @@
         let placement = Placement {
             pool_id: slot.pool_id.clone(),
             endpoint_id: slot.endpoint_id.clone(),
-            wanted_tokens: self.max_output_tokens(&call.plan.payload),
+            max_tokens: self.max_output_tokens(&call.plan.payload),
         };
         let sent = self
             .programs
@@ -188,7 +188,7 @@
             .saturating_sub(report.cached_tokens);
         if recomputed_tokens > 0 {
             self.telemetry
-                .cache_wasted(&call.plan.caller.account_id, recomputed_tokens);
+                .record_recomputed_tokens(&call.plan.caller.account_id, recomputed_tokens);
         }
     }
 
@@ -385,7 +385,7 @@
 }
 
 /// Returns a recorded response in the format that the caller requested.
-fn replay_response(plan: &CallPlan, answer: &Answer) -> Arc<ResponseLog> {
+fn replay_response(plan: &CallPlan, answer: &CallResponse) -> Arc<ResponseLog> {
     let CallPayload::Completion(request) = &plan.payload else {
         let head = Head::new(answer.status, &answer.content_type);
         return ResponseLog::complete(head, Bytes::from(answer.body.clone()));
--- a/crates/burdockroad-daemon/src/config_watch/shared.rs
+++ b/crates/burdockroad-daemon/src/config_watch/shared.rs
@@ -85,8 +85,8 @@
         self.tracker().version()
     }
 
-    pub(super) fn vouch_age(&self) -> Option<Duration> {
-        self.tracker().vouch_age(Instant::now())
+    pub(super) fn attestation_age(&self) -> Option<Duration> {
+        self.tracker().attestation_age(Instant::now())
     }
 
     pub(super) fn decide(&self) -> Freshness {
@@ -111,7 +111,7 @@
 impl DocumentGossip for Shared {
     fn document_freshness(&self) -> DocumentFreshness {
         let tracker = self.tracker();
-        let age = tracker.vouch_age(Instant::now());
+        let age = tracker.attestation_age(Instant::now());
         DocumentFreshness {
             version: tracker.version(),
             vouch_age_ms: age.map(rounded_up_ms),
@@ -126,9 +126,9 @@
         freshness: &DocumentFreshness,
     ) {
         self.addresses().insert(host_id.clone(), address.to_owned());
-        let vouch_age = freshness.vouch_age_ms.map(Duration::from_millis);
+        let attestation_age = freshness.vouch_age_ms.map(Duration::from_millis);
         let mut tracker = self.tracker();
-        tracker.observe_peer(host_id, asked_at, freshness.version, vouch_age);
+        tracker.observe_peer(host_id, asked_at, freshness.version, attestation_age);
         if tracker.peer_to_fetch_from(Instant::now()).is_some() {
             self.peer_ahead.notify_one();
         }
--- a/crates/burdockroad-daemon/src/config_watch/tasks.rs
+++ b/crates/burdockroad-daemon/src/config_watch/tasks.rs
@@ -74,7 +74,7 @@
     loop {
         sleep(pause).await;
         pause = CONFIRM_INTERVAL;
-        if shared.vouch_age().is_none_or(|age| age >= CONFIRM_AGE) {
+        if shared.attestation_age().is_none_or(|age| age >= CONFIRM_AGE) {
             let result = confirm_once(&shared, &mut known).await;
             pause = result.map_or_else(|error| retry_after(&error), |()| CONFIRM_AGE);
         }
--- a/crates/burdockroad-daemon/src/coordinator/leftovers.rs
+++ b/crates/burdockroad-daemon/src/coordinator/leftovers.rs
@@ -15,11 +15,11 @@
 
 /// Finds and removes the journals of processes that own nothing and are not up.
 #[derive(Debug, Default)]
-pub(super) struct Leftovers {
+pub(super) struct OrphanedJournals {
     since: BTreeMap<Process, Instant>,
 }
 
-impl Leftovers {
+impl OrphanedJournals {
     /// Looks once, and removes what has been left over for long enough.
     pub(super) async fn sweep(&mut self, takeover: &Takeover, alive: &BTreeSet<Process>) {
         let writers = match takeover.recovery.writers().await {
@@ -46,7 +46,7 @@
 }
 
 async fn remove(takeover: &Takeover, process: &Process) {
-    match takeover.remove_leftover(process).await {
+    match takeover.remove_orphaned(process).await {
         Ok(()) => log::info!("event=journal_removed host={}", process.host_id),
         Err(cause) => log::warn!(
             "event=journal_not_removed host={} reason=\"{cause}\"",
--- a/crates/burdockroad-daemon/src/coordinator/worker.rs
+++ b/crates/burdockroad-daemon/src/coordinator/worker.rs
@@ -8,7 +8,7 @@
 
 use burdockroad::{
     HostId, PartitionId,
-    membership::{Gone, Member},
+    membership::{DeadProcess, Member},
     ownership::{Candidate, Process, rebalance, rendezvous_order, takeover_rank},
 };
 use tokio::{
@@ -18,7 +18,7 @@
 };
 
 use crate::{
-    coordinator::{journal_handle::JournalHandle, leftovers::Leftovers, rejoin::rejoin},
+    coordinator::{journal_handle::JournalHandle, leftovers::OrphanedJournals, rejoin::rejoin},
     handoff::{Handoff, HandoffError},
     membership::{MembershipHandle, Standing},
     ownership::OwnershipHandle,
@@ -79,7 +79,7 @@
     handoff: Handoff,
     journal: Arc<JournalHandle>,
     fenced: Arc<Notify>,
-    leftovers: Arc<Mutex<Leftovers>>,
+    leftovers: Arc<Mutex<OrphanedJournals>>,
     started_at: Instant,
     takeovers: BTreeMap<Process, Attempt>,
     refresh: Attempt,
@@ -220,10 +220,10 @@
     }
 
     fn start_takeovers(&mut self, standing: &Standing, now: Instant) {
-        let gone: BTreeSet<&Process> = standing.gone.iter().map(|gone| &gone.process).collect();
+        let dead: BTreeSet<&Process> = standing.dead.iter().map(|dead| &dead.process).collect();
         self.takeovers
-            .retain(|process, attempt| gone.contains(process) || attempt.is_running());
-        for Gone { process, .. } in &standing.gone {
+            .retain(|process, attempt| dead.contains(process) || attempt.is_running());
+        for DeadProcess { process, .. } in &standing.dead {
             let delay = self.takeover_delay(process, standing);
             let attempt = self
                 .takeovers
@@ -239,17 +239,17 @@
         }
     }
 
-    fn takeover_delay(&self, gone: &Process, standing: &Standing) -> Duration {
+    fn takeover_delay(&self, dead: &Process, standing: &Standing) -> Duration {
         let me = self.ownership.me().host_id;
         let live = staying_hosts(standing);
-        let rank = takeover_rank(gone, &me, live);
+        let rank = takeover_rank(dead, &me, live);
         TAKEOVER_RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
     fn start_move(&mut self, standing: &Standing, now: Instant) {
         let settled = now - self.hosts_since >= REBALANCE_SETTLE_TIME;
         let taking_over = self.takeovers.values().any(Attempt::is_running);
-        if !settled || taking_over || !standing.gone.is_empty() {
+        if !settled || taking_over || !standing.dead.is_empty() {
             return;
         }
         if !self.moves.is_due(now, REBALANCE_RETRY_DELAY) {
@@ -414,13 +414,13 @@
     }
 }
 
-async fn take_over(takeover: Takeover, membership: MembershipHandle, gone: Process) {
-    match takeover.take_over(&gone).await {
+async fn take_over(takeover: Takeover, membership: MembershipHandle, dead: Process) {
+    match takeover.take_over(&dead).await {
         Ok(_) => membership.beat(),
         Err(cause) => log::warn!(
             "event=takeover_failed from={} incarnation={:016x} reason=\"{cause}\"",
-            gone.host_id,
-            gone.incarnation
+            dead.host_id,
+            dead.incarnation
         ),
     }
 }
--- a/crates/burdockroad-daemon/src/dispatch/dispatcher.rs
+++ b/crates/burdockroad-daemon/src/dispatch/dispatcher.rs
@@ -237,7 +237,7 @@
         let mut peers = self.parts.peers.clone();
         let is_unreachable = |peers: &Arc<crate::ownership::PeersView>| {
             let peer = peers.peers.get(&process.host_id);
-            !peer.is_some_and(|peer| peer.alive && peer.process == *process)
+            !peer.is_some_and(|peer| peer.live && peer.process == *process)
         };
         if peers.wait_for(is_unreachable).await.is_err() {
             std::future::pending::<()>().await;
@@ -255,7 +255,7 @@
         };
         let peers = self.parts.peers.borrow();
         match peers.peers.get(&owner.process.host_id) {
-            Some(peer) if peer.alive && peer.process == owner.process => Owner::Peer {
+            Some(peer) if peer.live && peer.process == owner.process => Owner::Peer {
                 process: owner.process.clone(),
                 address: peer.address.clone(),
             },
--- a/crates/burdockroad-daemon/src/dispatch/pools.rs
+++ b/crates/burdockroad-daemon/src/dispatch/pools.rs
@@ -285,7 +285,7 @@
             }
             is_configured
         });
-        let host_count = 1 + self.peers.peers.values().filter(|peer| peer.alive).count();
+        let host_count = 1 + self.peers.peers.values().filter(|peer| peer.live).count();
         let host_count = u32::try_from(host_count).unwrap_or(u32::MAX);
         for (pool_id, set) in &self.sets {
             let is_owner = self.ownership.owns(partition_of(pool_id));
@@ -407,7 +407,7 @@
         attained_tokens: request.attained_tokens,
         prefix_endpoint_id: request.prefix_endpoint_id,
         excluded: request.excluded,
-        latest: request.deadline.into_std(),
+        slot_deadline: request.deadline.into_std(),
     }
 }
 
@@ -416,7 +416,7 @@
         return true;
     }
     let peer = peers.peers.get(&process.host_id);
-    peer.is_some_and(|peer| peer.alive && peer.process == *process)
+    peer.is_some_and(|peer| peer.live && peer.process == *process)
 }
 
 fn refuse(reply: SlotReply, reason: String, retry_after: Duration) {
--- a/crates/burdockroad-daemon/src/edge/program_json.rs
+++ b/crates/burdockroad-daemon/src/edge/program_json.rs
@@ -2,7 +2,7 @@
 
 use std::time::SystemTime;
 
-use burdockroad::program::{Answer, Call, CallKind, Ledger, Outcome, Program, State};
+use burdockroad::program::{CallResponse, Call, CallKind, Ledger, Outcome, Program, State};
 use serde_json::{Value, json};
 
 use crate::programs::ProgramView;
@@ -70,7 +70,7 @@
     match detail {
         Detail::None => {}
         Detail::Reason(reason) => call_json["reason"] = reason.into(),
-        Detail::Answer(value) => call_json["answer"] = value,
+        Detail::CallResponse(value) => call_json["answer"] = value,
     }
     call_json
 }
@@ -79,20 +79,20 @@
 enum Detail {
     None,
     Reason(String),
-    Answer(Value),
+    CallResponse(Value),
 }
 
 fn outcome(outcome: Option<&Outcome>) -> (&'static str, Detail) {
     match outcome {
         None => ("running", Detail::None),
-        Some(Outcome::Answered(answer)) => ("answered", Detail::Answer(response_json(answer))),
+        Some(Outcome::Answered(answer)) => ("answered", Detail::CallResponse(response_json(answer))),
         Some(Outcome::NotRun) => ("not_run", Detail::None),
         Some(Outcome::Failed { reason }) => ("failed", Detail::Reason(reason.clone())),
         Some(Outcome::Unknown { reason }) => ("outcome_unknown", Detail::Reason(reason.clone())),
     }
 }
 
-fn response_json(answer: &Answer) -> Value {
+fn response_json(answer: &CallResponse) -> Value {
     match &answer.message {
         Some(message) => json_or_text(message.as_bytes()),
         None => json!({ "status": answer.status, "body": json_or_text(&answer.body) }),
--- a/crates/burdockroad-daemon/src/journal/actor.rs
+++ b/crates/burdockroad-daemon/src/journal/actor.rs
@@ -9,7 +9,7 @@
 use burdockroad::{
     ProgramId, Record, SegmentNumber,
     journal::{
-        Action, Copies, Durability, JournalError, Peer, ReadReply, TailReply, Ticket, WriteReply, Writer,
+        Action, TailBatch, Durability, JournalError, Peer, ReadReply, TailReply, Ticket, WriteReply, Writer,
     },
 };
 use burdockroad_proto::peer::ReplicateTailRequest;
@@ -218,8 +218,8 @@
         let view = Arc::clone(&self.parts.peers.borrow_and_update());
         let hosts = view.peers.len() + 1;
         let alive = alive(&view);
-        let hears_most = (alive.len() + 1) * 2 > hosts;
-        self.writer.set_peers(alive, hears_most);
+        let majority_live = (alive.len() + 1) * 2 > hosts;
+        self.writer.set_peers(alive, majority_live);
     }
 
     fn poll(&mut self, myself: &ActorRef<JournalMessage>) {
@@ -237,7 +237,7 @@
         let me = &self.parts.options.me;
         let store = Arc::clone(&self.parts.store);
         match action {
-            Action::Answer { ticket, result } => self.answer(ticket, result),
+            Action::Complete { ticket, result } => self.answer(ticket, result),
             Action::Write { segment, value } => {
                 let (me, myself) = (me.clone(), myself.clone());
                 tokio::spawn(async move {
@@ -281,7 +281,7 @@
         let _sent = waiting.reply.send(result);
     }
 
-    fn replicate(&self, to: Process, copies: Copies, myself: &ActorRef<JournalMessage>) {
+    fn replicate(&self, to: Process, copies: TailBatch, myself: &ActorRef<JournalMessage>) {
         let view = Arc::clone(&self.parts.peers.borrow());
         let peer = view.peers.get(&to.host_id);
         let address = peer
@@ -388,7 +388,7 @@
     address: &str,
     me: &Process,
     to: &Process,
-    copies: Copies,
+    copies: TailBatch,
 ) -> TailReply {
     let request = ReplicateTailRequest {
         writer: Some(host_ref(me)),
--- a/crates/burdockroad-daemon/src/journal/recovery.rs
+++ b/crates/burdockroad-daemon/src/journal/recovery.rs
@@ -148,7 +148,7 @@
             .collect();
         let asked = others.iter().map(|peer| self.seal_tail_at(peer, dead));
         let mut answers: BTreeMap<Process, TailCopy> = join_all(asked).await.into_iter().flatten().collect();
-        answers.insert(self.tails.process(), self.tails.seal_here(dead));
+        answers.insert(self.tails.process(), self.tails.seal_local(dead));
         let outcome = match tail_peer {
             None => RecoveredTail::NotKept,
             Some(tail_peer) if answers.contains_key(tail_peer) => RecoveredTail::Sealed,
--- a/crates/burdockroad-daemon/src/journal/tail.rs
+++ b/crates/burdockroad-daemon/src/journal/tail.rs
@@ -6,7 +6,7 @@
 };
 
 use async_trait::async_trait;
-use burdockroad::journal::{Copies, TailCopy, TailReply, TailTable, TailTableOptions};
+use burdockroad::journal::{TailBatch, TailCopy, TailReply, TailTable, TailTableOptions};
 use burdockroad_proto::peer::{
     HostRef, ReplicateTailRequest, ReplicateTailResponse, SealTailRequest, SealTailResponse,
 };
@@ -55,7 +55,7 @@
     }
 
     /// Seals a tail against its writer and returns what is held of it.
-    pub fn seal_here(&self, writer: &Process) -> TailCopy {
+    pub fn seal_local(&self, writer: &Process) -> TailCopy {
         let copy = self.held().table.seal(writer, Instant::now());
         log::info!(
             "event=tail_sealed writer={} incarnation={:016x} records={}",
@@ -82,13 +82,13 @@
                 ..ReplicateTailResponse::default()
             };
         };
-        let copies = Copies {
+        let copies = TailBatch {
             session: request.session,
             position: request.position,
             records: request.records.into_iter().map(Arc::from).collect(),
             stored_end: request.stored_end,
         };
-        match held.table.keep(&process_of(writer), copies) {
+        match held.table.append_batch(&process_of(writer), copies) {
             TailReply::Held(held_end) => ReplicateTailResponse {
                 held_end,
                 ..ReplicateTailResponse::default()
@@ -112,7 +112,7 @@
                 ..SealTailResponse::default()
             };
         };
-        let copy = self.seal_here(&process_of(writer));
+        let copy = self.seal_local(&process_of(writer));
         SealTailResponse {
             from,
             position: copy.position,
--- a/crates/burdockroad-daemon/src/membership/actor.rs
+++ b/crates/burdockroad-daemon/src/membership/actor.rs
@@ -9,7 +9,7 @@
 use async_trait::async_trait;
 use burdockroad::{
     HostId,
-    membership::{Gone, ListedMember, Member, Options, Sighting, Table, Target},
+    membership::{DeadProcess, ListedMember, Member, Options, HeartbeatReport, Table, Target},
     ownership::Process,
 };
 use burdockroad_proto::peer::{HeartbeatRequest, HeartbeatResponse, HostRef};
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Standing {
     /// Processes that own partitions and may be taken over.
-    pub gone: Vec<Gone>,
+    pub dead: Vec<DeadProcess>,
     /// This process and those that were heard from lately.
     pub alive: Vec<Member>,
     /// Whether the host list was read, and every host on it was heard from lately.
@@ -306,8 +306,8 @@
     }
 
     fn heartbeat(&mut self, request: &HeartbeatRequest) -> HeartbeatResponse {
-        if let Some(sighting) = request_sighting(request) {
-            self.observe(sighting, request.ownership_version);
+        if let Some(report) = request_sighting(request) {
+            self.observe(report, request.ownership_version);
         }
         let me = self.table.me();
         HeartbeatResponse {
@@ -325,11 +325,11 @@
         let Some(response) = response else {
             return;
         };
-        let Some(sighting) = response_sighting(response, &target.address) else {
+        let Some(report) = response_sighting(response, &target.address) else {
             return;
         };
-        let process = sighting.member.process.clone();
-        if self.observe(sighting, response.ownership_version) {
+        let process = report.member.process.clone();
+        if self.observe(report, response.ownership_version) {
             self.observe_document(&process, &target.address, sent_at, response);
             self.table.acknowledge(&process, sent_at.into_std());
             self.outputs.lease.set(self.table.lease_until());
@@ -349,8 +349,8 @@
         }
     }
 
-    fn observe(&mut self, sighting: Sighting, version: u64) -> bool {
-        if !self.table.observe(sighting, Instant::now().into_std()) {
+    fn observe(&mut self, report: HeartbeatReport, version: u64) -> bool {
+        if !self.table.observe(report, Instant::now().into_std()) {
             return false;
         }
         if version > self.ownership_version {
@@ -394,9 +394,9 @@
         alive.push(self.table.me().clone());
         self.publish_peers(members);
         self.outputs.standing.send_replace(Arc::new(Standing {
-            gone: self.table.gone(now),
+            dead: self.table.dead(now),
             alive,
-            complete: self.list_was_read && self.table.hears_all_listed(now),
+            complete: self.list_was_read && self.table.all_listed_live(now),
             ownership_version: self.ownership_version,
         }));
     }
--- a/crates/burdockroad-daemon/src/membership/wire.rs
+++ b/crates/burdockroad-daemon/src/membership/wire.rs
@@ -1,7 +1,7 @@
 //! Messages of the heartbeats.
 
 use burdockroad::{
-    membership::{Member, Sighting},
+    membership::{Member, HeartbeatReport},
     ownership::Process,
 };
 use burdockroad_proto::peer::{HeartbeatRequest, HeartbeatResponse, HostRef};
@@ -23,8 +23,8 @@
 }
 
 /// What a heartbeat says of its sender; none when it names no sender.
-pub(super) fn request_sighting(request: &HeartbeatRequest) -> Option<Sighting> {
-    Some(Sighting {
+pub(super) fn request_sighting(request: &HeartbeatRequest) -> Option<HeartbeatReport> {
+    Some(HeartbeatReport {
         member: Member {
             process: process_of(request.from.as_ref()?),
             address: request.peer_address.clone(),
@@ -36,8 +36,8 @@
 }
 
 /// What the answer to a heartbeat says of its sender; none when it names no sender.
-pub(super) fn response_sighting(response: &HeartbeatResponse, address: &str) -> Option<Sighting> {
-    Some(Sighting {
+pub(super) fn response_sighting(response: &HeartbeatResponse, address: &str) -> Option<HeartbeatReport> {
+    Some(HeartbeatReport {
         member: Member {
             process: process_of(response.from.as_ref()?),
             address: address.to_owned(),
--- a/crates/burdockroad-daemon/src/memory.rs
+++ b/crates/burdockroad-daemon/src/memory.rs
@@ -12,7 +12,7 @@
     ProgramId,
     config::{Endpoint, RouteKind},
     partition_of_program,
-    program::Hold,
+    program::CachedPrefix,
 };
 use bytes::Bytes;
 use http::{HeaderMap, Method};
@@ -49,7 +49,7 @@
 
 #[async_trait]
 impl PrefixReleaser for EnginePrefixCache {
-    async fn release(&self, cached_prefix: &Hold) -> bool {
+    async fn release(&self, cached_prefix: &CachedPrefix) -> bool {
         let Some(endpoint) = self.endpoint(&cached_prefix.endpoint_id) else {
             // The endpoint was removed from the document, and its cache with it.
             return true;
--- a/crates/burdockroad-daemon/src/ownership/actor.rs
+++ b/crates/burdockroad-daemon/src/ownership/actor.rs
@@ -4,7 +4,7 @@
 
 use burdockroad::{
     PartitionId,
-    ownership::{Candidate, Move, OwnershipMap, Process, first_map},
+    ownership::{Candidate, Move, OwnershipMap, Process, initial_map},
 };
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort, rpc::CallResult};
 use tokio::sync::{Notify, watch};
@@ -263,7 +263,7 @@
         if self.known.is_some() {
             return Ok(());
         }
-        let Some(map) = first_map(candidates, rand::random()) else {
+        let Some(map) = initial_map(candidates, rand::random()) else {
             return Ok(());
         };
         match self.arguments.store.swap(Expected::Absent, &map).await? {
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -18,8 +18,8 @@
 use burdockroad::{
     AccountId, PartitionId, ProgramId, Record,
     program::{
-        Answer, CallRequest, Hold, NewProgram, Outcome, Placement, Programs, ProgramsOptions, Refusal,
-        Sending, Tree, Usage,
+        CallResponse, CallRequest, CachedPrefix, NewProgram, Outcome, Placement, Programs, ProgramsOptions, Refusal,
+        PreparedCall, Tree, Usage,
     },
 };
 use ractor::{Actor, ActorRef, RpcReplyPort, SpawnErr, rpc::CallResult};
@@ -41,7 +41,7 @@
     /// Requests that an endpoint remove a program's cached prefix.
     ///
     /// Returns `true` if the endpoint has removed it, or if the endpoint itself no longer exists.
-    async fn release(&self, cached_prefix: &Hold) -> bool;
+    async fn release(&self, cached_prefix: &CachedPrefix) -> bool;
 }
 
 /// A running call of this host.
@@ -68,7 +68,7 @@
     /// Read the response of the same call, which is already running.
     Attach(Arc<ResponseLog>),
     /// Return the recorded response of the completed call.
-    Answered(Answer),
+    Answered(CallResponse),
 }
 
 /// The reason why a program or call was rejected. Nothing ran.
@@ -118,7 +118,7 @@
     SendCall(
         ProgramId,
         Placement,
-        RpcReplyPort<Result<(Sending, Appended), Refusal>>,
+        RpcReplyPort<Result<(PreparedCall, Appended), Refusal>>,
     ),
     /// Records the outcome of a call.
     SettleCall(Settlement, RpcReplyPort<Option<Appended>>),
@@ -127,7 +127,7 @@
     /// Ends a program.
     End(AccountId, ProgramId, RpcReplyPort<Result<Appended, Refusal>>),
     /// Records that an endpoint removed a cached prefix.
-    PrefixReleased(Hold),
+    PrefixReleased(CachedPrefix),
     /// Runs the time-dependent parts of the table.
     Tick,
     /// Adds trees that this host has taken over.
@@ -270,7 +270,7 @@
         &self,
         program_id: ProgramId,
         placement: Placement,
-    ) -> Result<(Sending, Appended), Refusal> {
+    ) -> Result<(PreparedCall, Appended), Refusal> {
         let response = self
             .call_actor(|port| ProgramsMessage::SendCall(program_id, placement, port))
             .await;
@@ -346,11 +346,11 @@
         self.call_actor(|port| ProgramsMessage::Import(trees, port)).await;
     }
 
-    async fn release(&self, partitions: Vec<PartitionId>, patience: Duration) -> Option<Vec<Tree>> {
+    async fn release(&self, partitions: Vec<PartitionId>, timeout: Duration) -> Option<Vec<Tree>> {
         let frozen = partitions.clone();
         self.call_actor(|port| ProgramsMessage::Freeze(frozen, port))
             .await?;
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         loop {
             let requested = partitions.clone();
             let exported = self
@@ -372,7 +372,7 @@
         self.cast(ProgramsMessage::Thaw(partitions));
     }
 
-    async fn forget(&self, partitions: Vec<PartitionId>) {
+    async fn drop_partitions(&self, partitions: Vec<PartitionId>) {
         self.call_actor(|port| ProgramsMessage::Evict(partitions, port))
             .await;
     }
--- a/crates/burdockroad-daemon/src/programs/actor.rs
+++ b/crates/burdockroad-daemon/src/programs/actor.rs
@@ -12,8 +12,8 @@
 use burdockroad::{
     AccountId, PartitionId, ProgramId, Record, partition_of_program,
     program::{
-        Action, Begun, CallRequest, Cancelled, Hold, NewProgram, Outcome, Placement, Programs, Refusal,
-        Sending, Tree,
+        Action, CallDecision, CallRequest, CancelledCall, CachedPrefix, NewProgram, Outcome, Placement, Programs, Refusal,
+        PreparedCall, Tree,
     },
 };
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
@@ -140,7 +140,7 @@
             ProgramsMessage::Export(partitions, port) => reply(port, self.export(&partitions)),
             ProgramsMessage::Thaw(partitions) => self.table.thaw(&partitions),
             ProgramsMessage::Evict(partitions, port) => {
-                let records = self.table.forget(&partitions);
+                let records = self.table.remove_partitions(&partitions);
                 self.append_detached(records);
                 reply(port, ());
             }
@@ -193,8 +193,8 @@
         Ok(self.perform(myself, actions))
     }
 
-    fn prefix_released(&mut self, cached_prefix: &Hold) {
-        let record = self.table.released(cached_prefix);
+    fn prefix_released(&mut self, cached_prefix: &CachedPrefix) {
+        let record = self.table.on_prefix_released(cached_prefix);
         self.append_detached(record.into_iter().collect());
     }
 
@@ -226,7 +226,7 @@
             return Ok(CallDisposition::Attach(Arc::clone(&active_call.log)));
         }
         match self.table.begin(request.clone(), now())? {
-            Begun::Run(usage, prefix_endpoint_id) => {
+            CallDecision::Run(usage, prefix_endpoint_id) => {
                 if let Err(error) = self.parts.journal.admit(intent_durability(request.idempotent)) {
                     self.table.withdraw(&request.program_id);
                     return Err(error.into());
@@ -238,15 +238,15 @@
                     prefix_endpoint_id,
                 })
             }
-            Begun::Attach => Err(Refusal::NotOwner.into()),
-            Begun::Answered(answer) => Ok(CallDisposition::Answered(answer)),
+            CallDecision::Attach => Err(Refusal::NotOwner.into()),
+            CallDecision::Answered(answer) => Ok(CallDisposition::Answered(answer)),
         }
     }
 
     fn reopen(&mut self, request: CallRequest, log: Arc<ResponseLog>) -> Option<RunningCall> {
         match self.table.begin(request.clone(), now()) {
-            Ok(Begun::Run(..)) => Some(self.open(request, log)),
-            Ok(Begun::Attach | Begun::Answered(_)) | Err(_) => None,
+            Ok(CallDecision::Run(..)) => Some(self.open(request, log)),
+            Ok(CallDecision::Attach | CallDecision::Answered(_)) | Err(_) => None,
         }
     }
 
@@ -261,9 +261,9 @@
         call
     }
 
-    fn send(&mut self, program_id: &ProgramId, placement: Placement) -> Result<(Sending, Appended), Refusal> {
-        let sending = match self.table.send(program_id, placement, now()) {
-            Ok(sending) => sending,
+    fn send(&mut self, program_id: &ProgramId, placement: Placement) -> Result<(PreparedCall, Appended), Refusal> {
+        let prepared = match self.table.send(program_id, placement, now()) {
+            Ok(prepared) => prepared,
             Err(refusal) => {
                 self.active_calls.remove(program_id);
                 return Err(refusal);
@@ -274,8 +274,8 @@
             .get(program_id)
             .is_some_and(|active_call| active_call.request.idempotent);
         let durability = intent_durability(idempotent);
-        let appended = self.append(vec![sending.record.clone()], durability);
-        Ok((sending, appended))
+        let appended = self.append(vec![prepared.record.clone()], durability);
+        Ok((prepared, appended))
     }
 
     fn settle(&mut self, settlement: Settlement) -> Option<Appended> {
@@ -321,13 +321,13 @@
         self.append(records, Durability::Replicated)
     }
 
-    fn cancel(&self, cancelled: &Cancelled) {
+    fn cancel(&self, cancelled: &CancelledCall) {
         if let Some(active_call) = self.active_calls.get(&cancelled.program_id) {
             active_call.stop.send_replace(true);
         }
     }
 
-    fn release_prefix(&self, myself: ActorRef<ProgramsMessage>, cached_prefix: Hold) {
+    fn release_prefix(&self, myself: ActorRef<ProgramsMessage>, cached_prefix: CachedPrefix) {
         let releaser = Arc::clone(&self.parts.releaser);
         tokio::spawn(async move {
             if releaser.release(&cached_prefix).await
@@ -343,7 +343,7 @@
     /// Removes a cached prefix that calls of a fenced table may have left at an endpoint.
     ///
     /// The programs' new owner has no record of calls that were sent after it had replayed the journal.
-    fn release_fenced_prefix(&self, cached_prefix: Hold) {
+    fn release_fenced_prefix(&self, cached_prefix: CachedPrefix) {
         let releaser = Arc::clone(&self.parts.releaser);
         tokio::spawn(async move {
             if !releaser.release(&cached_prefix).await {
--- a/crates/burdockroad-daemon/src/quota/grant_client.rs
+++ b/crates/burdockroad-daemon/src/quota/grant_client.rs
@@ -4,7 +4,7 @@
 
 use burdockroad::{
     AccountId,
-    quota::{Ask, Grant},
+    quota::{TokenRequest, Grant},
 };
 use burdockroad_proto::peer::{GrantRequest, GrantResponse, HostRef};
 
@@ -51,7 +51,7 @@
     from: &Process,
     account_id: &AccountId,
     ownership_version: u64,
-    token_request: &Ask,
+    token_request: &TokenRequest,
 ) -> GrantRequest {
     GrantRequest {
         from: Some(HostRef {
@@ -69,8 +69,8 @@
 }
 
 /// Converts a message to a token request.
-pub(super) fn from_request(request: &GrantRequest) -> Ask {
-    Ask {
+pub(super) fn from_request(request: &GrantRequest) -> TokenRequest {
+    TokenRequest {
         sequence: request.sequence,
         wanted: request.wanted,
         ahead: request.ahead,
--- a/crates/burdockroad-daemon/src/quota/table.rs
+++ b/crates/burdockroad-daemon/src/quota/table.rs
@@ -8,7 +8,7 @@
 
 use burdockroad::{
     AccountId, Epoch, PartitionId, partition_of,
-    quota::{Admission, Ask, Bucket, GRANT_LIFE, Grant, Holder, HolderId, Limits, Settled, WaiterId},
+    quota::{Admission, TokenRequest, Bucket, GRANT_LIFE, Grant, Holder, HolderId, Limits, Settled, WaiterId},
 };
 use burdockroad_proto::peer::{GrantRequest, GrantResponse, HostRef};
 use ractor::{ActorRef, RpcReplyPort};
@@ -165,7 +165,7 @@
             return;
         };
         let settled = holder.tick(now());
-        let token_request = holder.ask(now());
+        let token_request = holder.token_request(now());
         self.settle(settled);
         if let Some(token_request) = token_request {
             self.request_tokens(account_id, &token_request);
@@ -173,7 +173,7 @@
         self.schedule(account_id);
     }
 
-    fn request_tokens(&mut self, account_id: &AccountId, token_request: &Ask) {
+    fn request_tokens(&mut self, account_id: &AccountId, token_request: &TokenRequest) {
         let partition = partition_of(account_id);
         if self.view.owns(partition) {
             let own_id = self.own_id();
@@ -219,7 +219,7 @@
         &mut self,
         account_id: &AccountId,
         holder_id: &HolderId,
-        token_request: &Ask,
+        token_request: &TokenRequest,
     ) -> Option<(Grant, Epoch)> {
         let owned_since = *self.owned_partitions.get(&partition_of(account_id))?;
         let limits = self.parts.limits.limits(account_id)?;
--- a/crates/burdockroad-daemon/src/takeover.rs
+++ b/crates/burdockroad-daemon/src/takeover.rs
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// As for [`take_over`](Self::take_over); fails also when the map changed meanwhile.
-    pub async fn remove_leftover(&self, gone: &Process) -> Result<(), TakeoverError> {
+    pub async fn remove_orphaned(&self, gone: &Process) -> Result<(), TakeoverError> {
         let me = self.ownership.me();
         self.ownership.refresh().await?;
         if self.ownership.map().partitions_of(gone).is_empty() {
--- a/crates/burdockroad-daemon/src/telemetry.rs
+++ b/crates/burdockroad-daemon/src/telemetry.rs
@@ -51,7 +51,7 @@
 
 /// Why a call was refused, as it counts for the account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefusedBecause {
+pub enum RefusalReason {
     /// The account was over its rate and burst.
     OverRate,
     /// Something else was short, although the account was within its rate.
@@ -93,7 +93,7 @@
     }
 
     /// Makes telemetry whose metrics go to the recorder that is installed, if any; for embedding.
-    pub fn unrecorded() -> Self {
+    pub fn without_exporter() -> Self {
         Self::with(None)
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Counts a refusal of an account.
-    pub fn refused(&self, account_id: &AccountId, because: RefusedBecause) {
+    pub fn refused(&self, account_id: &AccountId, because: RefusalReason) {
         let label = {
             let mut accounts = self.accounts();
             accounts.table.refused(account_id, because);
@@ -138,7 +138,7 @@
     }
 
     /// Counts tokens of a prompt that an engine had to compute although it had computed them before.
-    pub fn cache_wasted(&self, account_id: &AccountId, tokens: u64) {
+    pub fn record_recomputed_tokens(&self, account_id: &AccountId, tokens: u64) {
         let label = self.accounts().labels.label(account_id);
         metrics::counter!("burdockroad_cache_wasted_tokens_total", "account" => label).increment(tokens);
     }
@@ -193,7 +193,7 @@
     }
 }
 
-impl RefusedBecause {
+impl RefusalReason {
     fn label(self) -> &'static str {
         match self {
             Self::OverRate => "over_rate",
--- a/crates/burdockroad-daemon/src/telemetry/accounts.rs
+++ b/crates/burdockroad-daemon/src/telemetry/accounts.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::telemetry::{Measure, RefusedBecause};
+use crate::telemetry::{Measure, RefusalReason};
 
 /// Longest duration that is told apart, in milliseconds.
 const DURATION_MAX_MS: u64 = 3_600_000;
@@ -61,11 +61,11 @@
         histogram.saturating_record(ms);
     }
 
-    pub(super) fn refused(&mut self, account_id: &AccountId, because: RefusedBecause) {
+    pub(super) fn refused(&mut self, account_id: &AccountId, because: RefusalReason) {
         let figures = self.figures(account_id);
         match because {
-            RefusedBecause::InsideRate => figures.refused_inside_rate += 1,
-            RefusedBecause::OverRate => figures.refused_over_rate += 1,
+            RefusalReason::InsideRate => figures.refused_inside_rate += 1,
+            RefusalReason::OverRate => figures.refused_over_rate += 1,
         }
     }
 
--- a/crates/burdockroad-daemon/tests/admin.rs
+++ b/crates/burdockroad-daemon/tests/admin.rs
@@ -6,11 +6,11 @@
 use burdockroad::{AccountId, DocumentVersion, ProgramId, config::VersionedDocument};
 use burdockroad_daemon::{
     admin::{
-        AdminHandlers, DocumentAnswer, DocumentStatus, OperatorActions, OwnershipStatus, ProgramSummary,
+        AdminHandlers, DocumentResponse, DocumentStatus, OperatorActions, OwnershipStatus, ProgramSummary,
         Readiness, Status, StatusSource, serve,
     },
     config_watch::DocumentOffer,
-    telemetry::{ACCOUNT_LABELS_MAX, Measure, RefusedBecause, Telemetry},
+    telemetry::{ACCOUNT_LABELS_MAX, Measure, RefusalReason, Telemetry},
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -127,7 +127,7 @@
 
 #[tokio::test]
 async fn serve_answers() {
-    let address = start(Telemetry::unrecorded()).await;
+    let address = start(Telemetry::without_exporter()).await;
     let cases = [
         ("GET /live", "200 OK", "live"),
         ("GET /ready", "503 Service Unavailable", "no document is in force"),
@@ -155,12 +155,12 @@
 
 #[tokio::test]
 async fn serve_takes_document() {
-    let address = start(Telemetry::unrecorded()).await;
+    let address = start(Telemetry::without_exporter()).await;
     let text = r#"{ "sites": [], "accounts": [], "routes": [], "endpoint_sets": [] }"#;
     let versioned = VersionedDocument::new(7, text).expect("the document is valid");
     let body = String::from_utf8(versioned.to_bytes()).expect("the stored form is text");
     let (_, answer) = send(address, "POST /document", &body).await;
-    let answer: DocumentAnswer = serde_json::from_str(&answer).expect("the answer is JSON");
+    let answer: DocumentResponse = serde_json::from_str(&answer).expect("the answer is JSON");
     assert_eq!(answer.version, 7);
     for refused in ["", "{}", r#"{"version":1,"text":"{}"}"#] {
         let (status, _) = send(address, "POST /document", refused).await;
@@ -175,9 +175,9 @@
     for number in 0..20 * ACCOUNT_LABELS_MAX {
         let account_id = format!("account-{number}");
         telemetry.record(&account_id, Measure::Program, Duration::from_millis(10));
-        telemetry.refused(&account_id, RefusedBecause::OverRate);
+        telemetry.refused(&account_id, RefusalReason::OverRate);
     }
-    telemetry.refused(&"starved".to_owned(), RefusedBecause::InsideRate);
+    telemetry.refused(&"starved".to_owned(), RefusalReason::InsideRate);
     telemetry.record(&"slow".to_owned(), Measure::Program, Duration::from_secs(30));
     let (_, body) = ask(address, "GET /metrics").await;
     let refused = body
--- a/crates/burdockroad-daemon/tests/call_order.rs
+++ b/crates/burdockroad-daemon/tests/call_order.rs
@@ -10,8 +10,8 @@
 use burdockroad::{
     AccountId, Record,
     config::VersionedDocument,
-    ownership::{Candidate, Process, first_map},
-    program::{Budget, Hold, NewProgram, ProgramsOptions},
+    ownership::{Candidate, Process, initial_map},
+    program::{Budget, CachedPrefix, NewProgram, ProgramsOptions},
     program_id,
     retry::{RetryBudgets, RetryOptions},
 };
@@ -111,7 +111,7 @@
 
 #[async_trait]
 impl PrefixReleaser for NoMemory {
-    async fn release(&self, _hold: &Hold) -> bool {
+    async fn release(&self, _prefix: &CachedPrefix) -> bool {
         true
     }
 }
@@ -136,7 +136,7 @@
             failure_domain: "d".to_owned(),
             weight: 1,
         };
-        let view = OwnershipView::new(me, &first_map(&[candidate], 1).unwrap(), true);
+        let view = OwnershipView::new(me, &initial_map(&[candidate], 1).unwrap(), true);
         let (_keep, ownership) = watch::channel(Arc::new(view));
         let programs = ProgramsHandle::start(ProgramsParts {
             journal: Arc::clone(&journal) as _,
@@ -160,7 +160,7 @@
             endpoints: Arc::new(HttpEndpoints::new()),
             in_force: receiver,
             retries: Arc::new(Mutex::new(RetryBudgets::new(RetryOptions::default()))),
-            telemetry: Telemetry::unrecorded(),
+            telemetry: Telemetry::without_exporter(),
             limits: CallLimits {
                 queue_timeout: Duration::from_secs(5),
                 response_max_bytes: 1_000_000,
--- a/crates/burdockroad-daemon/tests/dispatch.rs
+++ b/crates/burdockroad-daemon/tests/dispatch.rs
@@ -102,7 +102,7 @@
         address: address.to_owned(),
         failure_domain: String::new(),
         leaving: false,
-        alive: true,
+        live: true,
     };
     PeersView {
         peers: [(host_id.to_owned(), peer)].into(),
--- a/crates/burdockroad-daemon/tests/fleet/model.rs
+++ b/crates/burdockroad-daemon/tests/fleet/model.rs
@@ -179,7 +179,7 @@
             0..45 => self.call(host),
             45..60 => self.hand_off(host),
             60..70 => self.take_over(host).await,
-            70..75 => self.remove_leftover(host),
+            70..75 => self.remove_orphaned(host),
             75..80 => self.crash(host).await,
             80..90 => self.toggle_pause(host),
             _ => self.refresh(host),
@@ -258,7 +258,7 @@
         }
     }
 
-    fn remove_leftover(&mut self, host: usize) {
+    fn remove_orphaned(&mut self, host: usize) {
         let writers = self.journals.processes();
         let Some(gone) = self.dice.pick(&writers).cloned() else {
             return;
@@ -267,7 +267,7 @@
         if gone != host.me() {
             let takeover = host.takeover.clone();
             host.calls.spawn(async move {
-                let _ = takeover.remove_leftover(&gone).await;
+                let _ = takeover.remove_orphaned(&gone).await;
             });
         }
     }
--- a/crates/burdockroad-daemon/tests/fleet/programs.rs
+++ b/crates/burdockroad-daemon/tests/fleet/programs.rs
@@ -4,8 +4,8 @@
 
 use async_trait::async_trait;
 use burdockroad::{
-    ownership::{Candidate, OwnershipMap, Process, first_map},
-    program::{Budget, Hold, NewProgram, ProgramsOptions, Refusal},
+    ownership::{Candidate, OwnershipMap, Process, initial_map},
+    program::{Budget, CachedPrefix, NewProgram, ProgramsOptions, Refusal},
     program_id,
 };
 use burdockroad_daemon::{
@@ -22,7 +22,7 @@
 
 #[async_trait]
 impl PrefixReleaser for NoMemory {
-    async fn release(&self, _: &Hold) -> bool {
+    async fn release(&self, _: &CachedPrefix) -> bool {
         true
     }
 }
@@ -40,7 +40,7 @@
         failure_domain: "domain".to_owned(),
         weight: 1,
     };
-    first_map(&[candidate], 1).unwrap()
+    initial_map(&[candidate], 1).unwrap()
 }
 
 fn new_program(random: &str) -> NewProgram {
--- a/crates/burdockroad-daemon/tests/fleet/tails.rs
+++ b/crates/burdockroad-daemon/tests/fleet/tails.rs
@@ -29,5 +29,5 @@
     tails.restart(next.clone());
     assert!(tails.replicate(copies(&former)).await.other_process);
     assert!(!tails.replicate(copies(&next)).await.other_process);
-    assert_eq!(tails.seal_here(&process("writer", 1)).records.len(), 1);
+    assert_eq!(tails.seal_local(&process("writer", 1)).records.len(), 1);
 }
--- a/crates/burdockroad-daemon/tests/fleet/trees.rs
+++ b/crates/burdockroad-daemon/tests/fleet/trees.rs
@@ -48,7 +48,7 @@
             if !self.serves(&table, root_id) || table.trees.contains_key(root_id) {
                 return false;
             }
-            let tree = Tree::begin(&event).unwrap();
+            let tree = Tree::from_created(&event).unwrap();
             table.trees.insert(root_id.to_owned(), tree);
             self.append(root_id, 1, event)
         };
@@ -145,7 +145,7 @@
         table.released.retain(|partition| !partitions.contains(partition));
     }
 
-    async fn forget(&self, partitions: Vec<PartitionId>) {
+    async fn drop_partitions(&self, partitions: Vec<PartitionId>) {
         let mut table = self.table.lock().unwrap();
         table.released.retain(|partition| !partitions.contains(partition));
         let (lost, kept): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut table.trees)
--- a/crates/burdockroad-daemon/tests/journal/host.rs
+++ b/crates/burdockroad-daemon/tests/journal/host.rs
@@ -128,7 +128,7 @@
 }
 
 /// How a host sees the others, of which only some are alive.
-pub(crate) fn view(hosts: &BTreeMap<String, Host>, me: &str, alive: &[String]) -> PeersView {
+pub(crate) fn view(hosts: &BTreeMap<String, Host>, me: &str, live: &[String]) -> PeersView {
     let others = hosts.values().filter(|host| host.process.host_id != me);
     let peers = others.map(|host| {
         let peer = PeerView {
@@ -136,7 +136,7 @@
             address: host.address.to_string(),
             failure_domain: host.domain.clone(),
             leaving: false,
-            alive: alive.contains(&host.process.host_id),
+            live: live.contains(&host.process.host_id),
         };
         (host.process.host_id.clone(), peer)
     });
--- a/crates/burdockroad-daemon/tests/quota.rs
+++ b/crates/burdockroad-daemon/tests/quota.rs
@@ -84,7 +84,7 @@
         address: owner_address.to_owned(),
         failure_domain: String::new(),
         leaving: false,
-        alive: true,
+        live: true,
     };
     let peers = PeersView {
         peers: [(owner.to_owned(), peer)].into(),
--- a/crates/burdockroad-gateway/src/attempt.rs
+++ b/crates/burdockroad-gateway/src/attempt.rs
@@ -9,7 +9,7 @@
 use burdockroad::{
     EndpointId,
     gateway::{
-        Account, Endpoint, Failure, NextStep, Outcome, Placement, Query, RetryState, Route, next_step,
+        Account, Endpoint, Failure, NextStep, Outcome, Placement, PlacementQuery, RetryState, Route, next_step,
     },
 };
 use bytes::Bytes;
@@ -141,8 +141,8 @@
             };
             self.count(failure, &placement.endpoint);
             match next_step(self.route.kind, self.route.endpoints_max, failure, self.retries) {
-                NextStep::Elsewhere => {}
-                NextStep::Again => self.again_at = Some(placement.endpoint),
+                NextStep::OtherEndpoint => {}
+                NextStep::SameEndpoint => self.again_at = Some(placement.endpoint),
                 NextStep::Refuse => return Err(Refusal::NoEndpoint(FULL_RETRY)),
                 NextStep::GiveUp => return Err(self.given_up()),
             }
@@ -157,11 +157,11 @@
         self.count(Failure::Unknown, &endpoint);
         let kind = self.route.kind;
         match next_step(kind, self.route.endpoints_max, Failure::Unknown, self.retries) {
-            NextStep::Again => {
+            NextStep::SameEndpoint => {
                 self.again_at = Some(endpoint);
                 true
             }
-            NextStep::Elsewhere => true,
+            NextStep::OtherEndpoint => true,
             NextStep::Refuse | NextStep::GiveUp => false,
         }
     }
@@ -180,10 +180,10 @@
     fn leave(&mut self, outcome: Outcome) -> Option<Endpoint> {
         let endpoint = self.current.take()?;
         let mut tables = self.shared.tables();
-        tables.endpoints.end(&endpoint.id);
+        tables.endpoints.end_call(&endpoint.id);
         tables
             .endpoints
-            .note_outcome(&endpoint.id, outcome, Instant::now());
+            .record_outcome(&endpoint.id, outcome, Instant::now());
         Some(endpoint)
     }
 
@@ -195,7 +195,7 @@
                 load: 0,
             });
         }
-        let query = Query {
+        let query = PlacementQuery {
             service: &self.service,
             failure_domain: &self.shared.failure_domain,
             parts: &self.head.parts,
@@ -230,13 +230,13 @@
         self.shared
             .tables()
             .endpoints
-            .begin(&endpoint.id, &self.head.parts);
+            .start_call(&endpoint.id, &self.head.parts);
         self.current = Some(endpoint.clone());
         let sent_at = Instant::now();
         let exchanged = self.exchange(endpoint, last_event).await;
         let now = Instant::now();
         let outcome = match &exchanged {
-            Ok(_) => Outcome::Answered {
+            Ok(_) => Outcome::Responded {
                 first_byte: now.saturating_duration_since(sent_at),
             },
             Err(Failure::Full) => Outcome::Full,
@@ -245,9 +245,9 @@
         };
         if let Ok(opened) = &exchanged {
             let mut tables = self.shared.tables();
-            tables.endpoints.note_outcome(&endpoint.id, outcome, now);
+            tables.endpoints.record_outcome(&endpoint.id, outcome, now);
             if let Some(load) = opened.head.load {
-                tables.endpoints.note_load(&endpoint.id, load, now);
+                tables.endpoints.record_load(&endpoint.id, load, now);
             }
         } else {
             self.leave(outcome);
@@ -260,24 +260,24 @@
         let pooled = self.shared.pool.take(&endpoint.id, Instant::now());
         if let Some(connection) = pooled {
             match self.send(connection, request).await? {
-                Sent::Answered(opened) => return self.judge(opened),
+                Sent::Responded(opened) => return self.judge(opened),
                 Sent::Unsent(unsent) => request = unsent,
             }
         }
         metrics::counter!("burdockroad_endpoint_connections_total").increment(1);
         let connecting = connect(endpoint.address, self.time_left()).await;
         let connection = connecting.map_err(|error| match error.kind() {
-            io::ErrorKind::ConnectionRefused => Failure::Gone,
+            io::ErrorKind::ConnectionRefused => Failure::NotListening,
             _ => Failure::Unreachable,
         })?;
         match self.send(connection, request).await? {
-            Sent::Answered(opened) => self.judge(opened),
+            Sent::Responded(opened) => self.judge(opened),
             Sent::Unsent(_) => Err(Failure::Unreachable),
         }
     }
 
     async fn send(&self, mut connection: Connection, request: Request<Full<Bytes>>) -> Result<Sent, Failure> {
-        let patience = if self.route.kind.may_repeat() {
+        let patience = if self.route.kind.may_retry() {
             SILENCE_MAX.min(self.time_left())
         } else {
             self.time_left()
@@ -290,7 +290,7 @@
                     .shared
                     .dialect
                     .read_answer(response.status(), response.headers());
-                Ok(Sent::Answered(Opened {
+                Ok(Sent::Responded(Opened {
                     response,
                     head,
                     connection,
@@ -367,20 +367,20 @@
         match failure {
             Failure::Unknown => {
                 self.retries.unknown += 1;
-                self.retries.last_is_gone = false;
-                self.retries.unreached = 0;
+                self.retries.last_endpoint_removed = false;
+                self.retries.unreachable_attempts = 0;
                 if !ran_here {
                     self.run_at.push(endpoint.id.clone());
                     self.retries.endpoints_run += 1;
                 }
             }
-            Failure::Gone | Failure::WrongEndpoint | Failure::Unreachable | Failure::Full => {
+            Failure::NotListening | Failure::WrongEndpoint | Failure::Unreachable | Failure::Full => {
                 self.retries.unstarted += 1;
                 if ran_here && failure == Failure::Unreachable {
-                    self.retries.unreached += 1;
+                    self.retries.unreachable_attempts += 1;
                 }
-                if ran_here && matches!(failure, Failure::Gone | Failure::WrongEndpoint) {
-                    self.retries.last_is_gone = true;
+                if ran_here && matches!(failure, Failure::NotListening | Failure::WrongEndpoint) {
+                    self.retries.last_endpoint_removed = true;
                     self.retries.endpoints_run = self.retries.endpoints_run.saturating_sub(1);
                 }
             }
@@ -424,7 +424,7 @@
 
 /// What became of a request on a connection.
 enum Sent {
-    Answered(Opened),
+    Responded(Opened),
     /// Nothing of it was written.
     Unsent(Request<Full<Bytes>>),
 }
--- a/crates/burdockroad-gateway/src/budgets.rs
+++ b/crates/burdockroad-gateway/src/budgets.rs
@@ -13,7 +13,7 @@
 
 use burdockroad::{
     HostId, ProgramId,
-    gateway::{Beginning, Need},
+    gateway::{StartDecision, Readiness},
     ownership::rendezvous_order,
 };
 use serde::{Deserialize, Serialize};
@@ -263,7 +263,7 @@
     if first == shared.host {
         return None;
     }
-    let heard = shared.tables().allowances.is_heard(&first, Instant::now());
+    let heard = shared.tables().rate_limiter.is_live(&first, Instant::now());
     heard
         .then(|| peers.get(&first).map(|peer| peer.address))
         .flatten()
@@ -301,7 +301,7 @@
 /// Why a program that has not begun may not begin now, if so.
 fn kept_from_beginning(shared: &Shared, ask: &HoldAsk) -> Option<HoldReply> {
     let mut tables = shared.tables();
-    if tables.ledger.knows(&ask.program) {
+    if tables.ledger.is_tracked(&ask.program) {
         return None;
     }
     let now = Instant::now();
@@ -313,8 +313,8 @@
         .gate
         .decide(&ask.program, ask.load_per_slot, ask.priority, rand::random(), now);
     match beginning {
-        Beginning::Admitted => None,
-        Beginning::Refused { retry_after } => Some(HoldReply::Later(retry_after)),
+        StartDecision::Admitted => None,
+        StartDecision::Refused { retry_after } => Some(HoldReply::Later(retry_after)),
     }
 }
 
@@ -328,7 +328,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         let ask = self.ask;
-        self.shared.tables().ledger.leave(&ask.program, ask.most_tokens);
+        self.shared.tables().ledger.remove_waiter(&ask.program, ask.most_tokens);
     }
 }
 
@@ -340,10 +340,10 @@
     }
     let begins = {
         let mut tables = shared.tables();
-        let begins = !tables.ledger.knows(program);
+        let begins = !tables.ledger.is_tracked(program);
         tables
             .ledger
-            .enter(program, ask.budget_tokens, ask.most_tokens, keeps, Instant::now());
+            .add_waiter(program, ask.budget_tokens, ask.most_tokens, keeps, Instant::now());
         begins
     };
     let _waiting = Waiting { shared, ask };
@@ -353,20 +353,20 @@
         let need = shared.tables().ledger.take(program, ask.most_tokens);
         let patience = wait_ends_at.saturating_duration_since(Instant::now());
         match need {
-            Need::Ready => return HoldReply::Held { begins },
-            Need::Spent => return HoldReply::Spent,
-            Need::Room if patience.is_zero() => return HoldReply::NoRoom,
-            Need::Write if store_is_lost(shared) => return HoldReply::StoreLost,
-            Need::Write if patience.is_zero() => return HoldReply::NoStore,
-            Need::Room => {
+            Readiness::Ready => return HoldReply::Held { begins },
+            Readiness::Spent => return HoldReply::Spent,
+            Readiness::AwaitRoom if patience.is_zero() => return HoldReply::NoRoom,
+            Readiness::AwaitWrite if store_is_lost(shared) => return HoldReply::StoreLost,
+            Readiness::AwaitWrite if patience.is_zero() => return HoldReply::NoStore,
+            Readiness::AwaitRoom => {
                 // Other hosts give back in the store, calls of this host by the notice.
                 let _ended = timeout(patience.min(ROOM_PAUSE), changed).await;
-                let wants_look = shared.tables().ledger.wants_look(program, Instant::now());
-                if wants_look {
+                let should_poll = shared.tables().ledger.should_poll(program, Instant::now());
+                if should_poll {
                     look_again(shared, program).await;
                 }
             }
-            Need::Write => {
+            Readiness::AwaitWrite => {
                 shared.reservation_wanted.notify_one();
                 // A wait that ends without a change is seen to by the next round.
                 let _ended = timeout(patience, changed).await;
--- a/crates/burdockroad-gateway/src/call.rs
+++ b/crates/burdockroad-gateway/src/call.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use burdockroad::gateway::{Account, Admission, CallerLimits, Directory, Lookup, Route, Target};
+use burdockroad::gateway::{Account, Admission, CallerLimits, Directory, AccountLookup, Route, Target};
 use bytes::Bytes;
 use http::{Request, Response, header, request::Parts};
 use http_body::Body;
@@ -123,9 +123,9 @@
         .ok_or(Refusal::BadHead("host"))?;
     let route = directory.route(host, parts.uri.path()).ok_or(Refusal::NoRoute)?;
     let account = match directory.account(route, head.key.as_deref()) {
-        Lookup::Account(account) => Some(account),
-        Lookup::Anonymous => None,
-        Lookup::Unknown => return Err(Refusal::UnknownKey),
+        AccountLookup::Account(account) => Some(account),
+        AccountLookup::Anonymous => None,
+        AccountLookup::Unknown => return Err(Refusal::UnknownKey),
     };
     let standing = match &account {
         Some(account) => count_in(&mut tables, head, route, account)?,
@@ -154,9 +154,9 @@
 ) -> Result<Standing, Refusal> {
     let now = Instant::now();
     let program = head.program.as_ref();
-    let unknown = program.filter(|program| !tables.programs.is_known(&program.id, now));
+    let unknown = program.filter(|program| !tables.programs.is_running(&program.id, now));
     if route.kind.is_stream() && unknown.is_some_and(|program| program.budget_tokens.is_some()) {
-        let begins_after = match tables.allowances.may_begin(&account.name, now) {
+        let begins_after = match tables.rate_limiter.may_start_program(&account.name, now) {
             Admission::Admitted => None,
             Admission::Refused { retry_after } => Some(retry_after),
         };
@@ -168,11 +168,11 @@
 
 fn count(tables: &mut Tables, head: &CallHead, account: &Account, begins: bool) -> Result<(), Refusal> {
     let now = Instant::now();
-    if let Admission::Refused { retry_after } = tables.allowances.admit(&account.name, begins, now) {
+    if let Admission::Refused { retry_after } = tables.rate_limiter.admit(&account.name, begins, now) {
         return Err(Refusal::OverRate(retry_after));
     }
     if let Some(program) = &head.program {
-        tables.programs.note(&program.id, now);
+        tables.programs.record_call(&program.id, now);
     }
     Ok(())
 }
--- a/crates/burdockroad-gateway/src/call/record.rs
+++ b/crates/burdockroad-gateway/src/call/record.rs
@@ -69,7 +69,7 @@
         failure: Failure,
     ) {
         let name = match failure {
-            Failure::Gone => "gone",
+            Failure::NotListening => "gone",
             Failure::Unreachable => "unreachable",
             Failure::Full => "full",
             Failure::WrongEndpoint => "wrong_endpoint",
--- a/crates/burdockroad-gateway/src/feed.rs
+++ b/crates/burdockroad-gateway/src/feed.rs
@@ -50,7 +50,7 @@
         }
         let accounts = directory.document().accounts.iter().flatten();
         let rates = accounts.map(|account| (&account.name, account.rate_per_s, account.burst));
-        tables.allowances.set_accounts(rates);
+        tables.rate_limiter.set_accounts(rates);
         tables.directory = Some(directory);
         tables.directory_at = Some(Instant::now());
         drop(tables);
@@ -194,8 +194,8 @@
         }
         expire_holds(&shared, now);
         let mut tables = shared.tables();
-        tables.programs.forget_old(now);
-        tables.gate.forget_old(now);
+        tables.programs.evict_expired(now);
+        tables.gate.evict_expired(now);
         drop(tables);
         shared.pool.retire(now);
     }
--- a/crates/burdockroad-gateway/src/follow.rs
+++ b/crates/burdockroad-gateway/src/follow.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 
-use burdockroad::gateway::{HostPlace, has_to_watch};
+use burdockroad::gateway::{HostLocation, should_watch};
 use burdockroad_daemon::platform::{Entry, Revision, StoreError};
 use serde::{Deserialize, Serialize};
 use tokio::time::{sleep, timeout};
@@ -114,7 +114,7 @@
     if now < shared.started_at + FIRST_REPORTS {
         return false;
     }
-    let mut heard = vec![HostPlace {
+    let mut heard = vec![HostLocation {
         host: shared.host.clone(),
         failure_domain: shared.failure_domain.clone(),
     }];
@@ -122,15 +122,15 @@
     let tables = shared.tables();
     let others = peers
         .iter()
-        .filter(|(host, _)| tables.allowances.is_heard(host, now));
-    heard.extend(others.map(|(host, peer)| HostPlace {
+        .filter(|(host, _)| tables.rate_limiter.is_live(host, now));
+    heard.extend(others.map(|(host, peer)| HostLocation {
         host: host.clone(),
         failure_domain: peer.failure_domain.clone(),
     }));
     let told = tables.told_ranges.get(prefix);
     let told_age = told.map(|told| now.saturating_duration_since(told.heard_at));
     drop(tables);
-    has_to_watch(&shared.host, &heard, told_age)
+    should_watch(&shared.host, &heard, told_age)
 }
 
 /// How far this host knows the ranges that it watches, and of which the store has answered of late.
--- a/crates/burdockroad-gateway/src/hosts.rs
+++ b/crates/burdockroad-gateway/src/hosts.rs
@@ -91,7 +91,7 @@
         let hosts = peers.len() + 1;
         let changed = tables.hosts != hosts;
         tables.hosts = hosts;
-        tables.allowances.set_peers(peers);
+        tables.rate_limiter.set_peers(peers);
         if changed {
             tables.ledger.release_idle(Instant::now());
         }
--- a/crates/burdockroad-gateway/src/relay.rs
+++ b/crates/burdockroad-gateway/src/relay.rs
@@ -112,7 +112,7 @@
     }
 
     /// Takes another host's word on whether the store serves it.
-    pub(crate) fn note_peer(&self, address: SocketAddr, served: bool, now: Instant) {
+    pub(crate) fn record_peer(&self, address: SocketAddr, served: bool, now: Instant) {
         let mut state = self.state();
         if served {
             state.served.insert(address, now);
--- a/crates/burdockroad-gateway/src/reports.rs
+++ b/crates/burdockroad-gateway/src/reports.rs
@@ -14,7 +14,7 @@
 
 use burdockroad::{
     EndpointId, HostId,
-    gateway::{EndpointCalls, HostPlace, HostUse, UseReport, report_targets},
+    gateway::{EndpointCalls, HostLocation, AccountUsage, UsageReport, report_targets},
 };
 use burdockroad_daemon::platform::Revision;
 use serde::{Deserialize, Serialize};
@@ -80,7 +80,7 @@
     #[serde(rename = "r")]
     running_per_s: f32,
     #[serde(rename = "b")]
-    begun_per_s: f32,
+    started_per_s: f32,
     #[serde(rename = "l")]
     level: f32,
 }
@@ -122,9 +122,9 @@
 /// Hosts of this failure domain, and those that pass reports on in the others.
 fn addresses(shared: &Shared, turn: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
     let peers = shared.peers.borrow();
-    let places: Vec<HostPlace> = peers
+    let places: Vec<HostLocation> = peers
         .iter()
-        .map(|(host, peer)| HostPlace {
+        .map(|(host, peer)| HostLocation {
             host: host.clone(),
             failure_domain: peer.failure_domain.clone(),
         })
@@ -181,13 +181,13 @@
     let Some(address) = address else {
         return;
     };
-    shared.store.note_peer(address, report.store_serves, now);
+    shared.store.record_peer(address, report.store_serves, now);
     let mut tables = shared.tables();
     if let Some(in_flight) = report.calls() {
-        tables.endpoints.note_peer(&report.host, &in_flight, now);
+        tables.endpoints.record_peer(&report.host, &in_flight, now);
     }
     let told_more = tables.note_ranges(&report.ranges, address, now);
-    tables.allowances.note_report(&report.decode(), now);
+    tables.rate_limiter.record_report(&report.decode(), now);
     drop(tables);
     if told_more {
         shared.range_told.notify_waiters();
@@ -225,20 +225,20 @@
         Some(told.collect())
     }
 
-    fn decode(self) -> UseReport {
+    fn decode(self) -> UsageReport {
         let accounts = self.accounts.into_iter();
-        let accounts = accounts.map(|used| HostUse {
+        let accounts = accounts.map(|used| AccountUsage {
             account: used.account,
             admitted: used.admitted,
             demand_per_s: f64::from(used.demand_per_s),
             running_per_s: f64::from(used.running_per_s),
-            begun_per_s: f64::from(used.begun_per_s),
+            started_per_s: f64::from(used.started_per_s),
             level: f64::from(used.level),
         });
-        UseReport {
+        UsageReport {
             host: self.host,
             incarnation: self.incarnation,
-            running_for: Duration::from_millis(self.running_ms),
+            uptime: Duration::from_millis(self.running_ms),
             accounts: accounts.collect(),
         }
     }
@@ -251,7 +251,7 @@
     let store_serves = shared.store.is_served();
     let mut tables = shared.tables();
     let now = Instant::now();
-    let report = tables.allowances.report(&shared.host, shared.incarnation, now);
+    let report = tables.rate_limiter.report(&shared.host, shared.incarnation, now);
     let in_flight = tables.endpoints.all_in_flight();
     drop(tables);
     let used = report.accounts.iter().filter(|used| used.demand_per_s > 0.01);
@@ -285,11 +285,11 @@
     chunks
 }
 
-fn wire_report(host: &HostId, report: &UseReport, store_serves: bool, accounts: Vec<WireUse>) -> WireReport {
+fn wire_report(host: &HostId, report: &UsageReport, store_serves: bool, accounts: Vec<WireUse>) -> WireReport {
     WireReport {
         host: host.clone(),
         incarnation: report.incarnation,
-        running_ms: u64::try_from(report.running_for.as_millis()).unwrap_or(u64::MAX),
+        running_ms: u64::try_from(report.uptime.as_millis()).unwrap_or(u64::MAX),
         store_serves,
         in_flight: None,
         ranges: Vec::new(),
@@ -316,13 +316,13 @@
 }
 
 #[expect(clippy::cast_possible_truncation, reason = "demand and level are estimates")]
-fn wire_use(used: &HostUse) -> WireUse {
+fn wire_use(used: &AccountUsage) -> WireUse {
     WireUse {
         account: used.account.clone(),
         admitted: used.admitted,
         demand_per_s: used.demand_per_s as f32,
         running_per_s: used.running_per_s as f32,
-        begun_per_s: used.begun_per_s as f32,
+        started_per_s: used.started_per_s as f32,
         level: used.level as f32,
     }
 }
--- a/crates/burdockroad-gateway/src/reservations.rs
+++ b/crates/burdockroad-gateway/src/reservations.rs
@@ -8,7 +8,7 @@
 
 use burdockroad::{
     Incarnation, ProgramId,
-    gateway::{Answer, BudgetWrite, Holder, StoredBudget, Versioned},
+    gateway::{StoreResponse, BudgetWrite, HostReservation, StoredBudget, VersionedBudget},
 };
 use burdockroad_daemon::platform::{Entry, StoreError};
 use bytes::Bytes;
@@ -71,7 +71,7 @@
     };
     let entry = snapshot.entries.iter().find(|entry| entry.key == key);
     let found = entry.map(|entry| versioned(shared, entry));
-    shared.tables().ledger.complete(program, Answer::Found(found));
+    shared.tables().ledger.complete(program, StoreResponse::Found(found));
 }
 
 /// Writes reservations as long as the host runs.
@@ -107,7 +107,7 @@
 impl Writer {
     async fn write_all(&mut self) {
         loop {
-            self.forget_idle();
+            self.evict_idle();
             let writes = self.shared.tables().ledger.next_writes(BATCH_MAX);
             if writes.is_empty() {
                 return;
@@ -137,13 +137,13 @@
         }
     }
 
-    fn forget_idle(&mut self) {
+    fn evict_idle(&mut self) {
         let now = Instant::now();
         if now < self.forgot_at + FORGET_INTERVAL {
             return;
         }
         self.forgot_at = now;
-        self.shared.tables().ledger.forget_idle(now);
+        self.shared.tables().ledger.evict_idle(now);
     }
 
     async fn write(&mut self, budgets: &[BudgetWrite]) -> Result<Written, StoreError> {
@@ -198,26 +198,26 @@
         }
         for write in writes {
             let answer = match written {
-                Ok(Written::Done(revision)) => Answer::Written(*revision),
+                Ok(Written::Done(revision)) => StoreResponse::Written(*revision),
                 Ok(Written::Conflict(_)) => self.found(write, &states),
-                Ok(Written::LeaseEnded) | Err(_) => Answer::Unsettled,
+                Ok(Written::LeaseEnded) | Err(_) => StoreResponse::Indeterminate,
             };
             self.shared.tables().ledger.complete(&write.program, answer);
         }
     }
 
     /// What a refused write means for one of its programs; another's key may have been the reason.
-    fn found(&self, write: &BudgetWrite, states: &HashMap<&str, Option<&Entry>>) -> Answer {
+    fn found(&self, write: &BudgetWrite, states: &HashMap<&str, Option<&Entry>>) -> StoreResponse {
         let key = budget_key(&write.program);
         match states.get(key.as_str()) {
-            Some(entry) => Answer::Found(entry.map(|entry| versioned(&self.shared, entry))),
-            None => Answer::Unsettled,
+            Some(entry) => StoreResponse::Found(entry.map(|entry| versioned(&self.shared, entry))),
+            None => StoreResponse::Indeterminate,
         }
     }
 }
 
 /// Reads a stored budget; one that cannot be read counts as spent.
-fn versioned(shared: &Shared, entry: &Entry) -> Versioned {
+fn versioned(shared: &Shared, entry: &Entry) -> VersionedBudget {
     let budget = match serde_json::from_slice::<WireBudget>(&entry.value) {
         Ok(wire) => wire.decode(),
         Err(error) => {
@@ -232,7 +232,7 @@
             }
         }
     };
-    Versioned {
+    VersionedBudget {
         budget,
         revision: entry.revision,
     }
@@ -252,7 +252,7 @@
     }
 
     fn decode(self) -> StoredBudget {
-        let holders = self.holders.into_iter().map(|holder| Holder {
+        let holders = self.holders.into_iter().map(|holder| HostReservation {
             incarnation: holder.incarnation,
             held_tokens: holder.held_tokens,
             write_mark: holder.write_mark,
--- a/crates/burdockroad-gateway/src/shared.rs
+++ b/crates/burdockroad-gateway/src/shared.rs
@@ -11,7 +11,7 @@
 
 use burdockroad::{
     EndpointId, HostId, Incarnation,
-    gateway::{Allowances, BeginGate, Directory, EndpointTable, Ledger, LedgerOptions, RecentPrograms},
+    gateway::{RateLimiter, ProgramStartGate, Directory, EndpointTable, Ledger, LedgerOptions, RunningPrograms},
 };
 use tokio::sync::{Notify, watch};
 
@@ -57,7 +57,7 @@
     pub(crate) directory: Option<Arc<Directory>>,
     pub(crate) directory_at: Option<Instant>,
     pub(crate) endpoints: EndpointTable,
-    pub(crate) allowances: Allowances,
+    pub(crate) rate_limiter: RateLimiter,
     pub(crate) ledger: Ledger,
     /// Hosts that serve, this one included; 0 before they were read.
     pub(crate) hosts: usize,
@@ -76,9 +76,9 @@
     /// How far hosts that watch know them, by prefix.
     pub(crate) told_ranges: HashMap<String, ToldRange>,
     /// Which programs may begin while a service is full.
-    pub(crate) gate: BeginGate,
+    pub(crate) gate: ProgramStartGate,
     /// Programs whose calls were admitted lately.
-    pub(crate) programs: RecentPrograms,
+    pub(crate) programs: RunningPrograms,
     /// Endpoints whose entries may have lapsed with the store away.
     pub(crate) missing_endpoints: MissingEndpoints,
 }
@@ -115,7 +115,7 @@
                 directory: None,
                 directory_at: None,
                 endpoints: EndpointTable::new(),
-                allowances: Allowances::new(now),
+                rate_limiter: RateLimiter::new(now),
                 ledger: Ledger::new(LedgerOptions::default(), incarnation),
                 hosts: 0,
                 store_lost_at: None,
@@ -125,8 +125,8 @@
                 ranges: HashMap::new(),
                 range_answered_at: HashMap::new(),
                 told_ranges: HashMap::new(),
-                gate: BeginGate::default(),
-                programs: RecentPrograms::default(),
+                gate: ProgramStartGate::default(),
+                programs: RunningPrograms::default(),
                 missing_endpoints: MissingEndpoints::new(),
             }),
         }
--- a/crates/burdockroad-gateway/src/stream.rs
+++ b/crates/burdockroad-gateway/src/stream.rs
@@ -151,7 +151,7 @@
 
     async fn step(&mut self) -> Step {
         let time_left = self.call.time_left();
-        let patience = if self.call.route.kind.may_repeat() {
+        let patience = if self.call.route.kind.may_retry() {
             time_left.min(EVENT_SILENCE_MAX)
         } else {
             time_left
@@ -169,7 +169,7 @@
             self.call.finish(connection, self.keep_alive);
         }
         self.call.record.complete = true;
-        self.events.take_rest()
+        self.events.take_remainder()
     }
 
     async fn resume(&mut self) -> Result<(), Refusal> {
@@ -180,7 +180,7 @@
         if !self.call.note_broken() {
             return Err(Refusal::UnknownOutcome);
         }
-        self.events.drop_partial();
+        self.events.discard_partial();
         let opened = self.call.open(self.events.last_id()).await?;
         if !opened.response.status().is_success() {
             return Err(Refusal::UnknownOutcome);
--- a/crates/burdockroad-site/src/bin/measure/driver.rs
+++ b/crates/burdockroad-site/src/bin/measure/driver.rs
@@ -188,7 +188,7 @@
             prompt_tokens: row.context_tokens + row.program.turns[row.turn].added_tokens,
             attained_tokens: row.attained_tokens,
             last_endpoint: row.last_endpoint,
-            latest: now + PATIENCE,
+            slot_deadline: now + PATIENCE,
         };
         let decided = self.policy.submit(asked, now);
         self.carry_out(decided);
--- a/crates/burdockroad-site/src/bin/measure/policies.rs
+++ b/crates/burdockroad-site/src/bin/measure/policies.rs
@@ -18,7 +18,7 @@
     pub(crate) prompt_tokens: u64,
     pub(crate) attained_tokens: u64,
     pub(crate) last_endpoint: Option<usize>,
-    pub(crate) latest: Instant,
+    pub(crate) slot_deadline: Instant,
 }
 
 /// A call that was given a slot.
@@ -88,7 +88,7 @@
             attained_tokens: asked.attained_tokens,
             prefix_endpoint_id: asked.last_endpoint.map(endpoint_id),
             excluded: Vec::new(),
-            latest: asked.latest,
+            slot_deadline: asked.slot_deadline,
         };
         let mut decided = Decided::default();
         match self.pool.submit(call, now) {
@@ -144,7 +144,7 @@
     }
 
     fn ended(&mut self, program: usize) {
-        self.pool.forget_program(&program_id(program));
+        self.pool.evict_program(&program_id(program));
     }
 }
 
--- a/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use burdockroad::quota::{Admission, Ask, Bucket, GRANT_LIFE, Grant, Holder, Limits, Settled};
+use burdockroad::quota::{Admission, TokenRequest, Bucket, GRANT_LIFE, Grant, Holder, Limits, Settled};
 
 use crate::load::Generator;
 
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Call { host: usize },
-    Ask { host: usize, owner: usize, ask: usize },
+    TokenRequest { host: usize, owner: usize, token_request: usize },
     Answer { host: usize, answer: usize },
     Tick { host: usize },
     Fault(Fault),
@@ -80,7 +80,7 @@
     owner_paused_until: Vec<Instant>,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
     sequence: u64,
-    asks: Vec<Ask>,
+    asks: Vec<TokenRequest>,
     answers: Vec<(u64, Option<Grant>)>,
     generator: Generator,
     next_waiter_id: u64,
@@ -143,7 +143,7 @@
             | Event::Answer { host, .. }
             | Event::Tick { host }
             | Event::Learn { host, .. } => self.paused_until[host],
-            Event::Ask { owner, .. } => self.owner_paused_until[owner],
+            Event::TokenRequest { owner, .. } => self.owner_paused_until[owner],
             Event::Fault(_) | Event::Takeover => return None,
         };
         (until > self.now).then_some(until)
@@ -152,7 +152,7 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Call { host } => self.admit(host),
-            Event::Ask { host, owner, ask } => self.asked(host, owner, ask),
+            Event::TokenRequest { host, owner, token_request } => self.asked(host, owner, token_request),
             Event::Answer { host, answer } => self.answered(host, answer),
             Event::Tick { host } => self.tick(host),
             Event::Fault(fault) => self.fail(fault),
@@ -181,11 +181,11 @@
     fn serve(&mut self, host: usize) {
         let settled = self.holders[host].tick(self.now);
         self.count_all(&settled);
-        if let Some(ask) = self.holders[host].ask(self.now) {
+        if let Some(token_request) = self.holders[host].token_request(self.now) {
             let owner = self.known_owner[host];
-            self.asks.push(ask);
-            let ask = self.asks.len() - 1;
-            self.at(self.now + LATENCY, Event::Ask { host, owner, ask });
+            self.asks.push(token_request);
+            let token_request = self.asks.len() - 1;
+            self.at(self.now + LATENCY, Event::TokenRequest { host, owner, token_request });
         }
         if let Some(wake_at) = self.holders[host].wake_at() {
             let wake_at = wake_at.max(self.now + Duration::from_millis(1));
@@ -196,15 +196,15 @@
         }
     }
 
-    fn asked(&mut self, host: usize, owner: usize, ask: usize) {
+    fn asked(&mut self, host: usize, owner: usize, token_request: usize) {
         let row = &mut self.owners[owner];
         let cut = row.cut_until.is_some_and(|until| self.now < until) && host.is_multiple_of(2);
         if row.killed || cut {
             return;
         }
         let holds = row.lease_until.is_none_or(|until| self.now < until);
-        let grant = holds.then(|| row.bucket.grant(&host.to_string(), &self.asks[ask], self.now));
-        self.answers.push((self.asks[ask].sequence, grant));
+        let grant = holds.then(|| row.bucket.grant(&host.to_string(), &self.asks[token_request], self.now));
+        self.answers.push((self.asks[token_request].sequence, grant));
         let answer = self.answers.len() - 1;
         self.at(self.now + LATENCY, Event::Answer { host, answer });
     }
--- a/crates/burdockroad/examples/embed.rs
+++ b/crates/burdockroad/examples/embed.rs
@@ -8,7 +8,7 @@
 use burdockroad::{
     Record,
     program::{
-        Answer, Begun, Budget, CallKind, CallRequest, NewProgram, Outcome, Placement, Programs,
+        Answer, CallDecision, Budget, CallKind, CallRequest, NewProgram, Outcome, Placement, Programs,
         ProgramsOptions, Replay,
     },
     quota::{Admission, Bucket, Holder, Limits},
@@ -64,13 +64,13 @@
     number: u32,
 ) -> Result<[Record; 2], Box<dyn std::error::Error>> {
     let now = SystemTime::now();
-    let Begun::Run(..) = programs.begin(request(program_id, number), now)? else {
+    let CallDecision::Run(..) = programs.begin(request(program_id, number), now)? else {
         return Err("the call has run before".into());
     };
     let placement = Placement {
         pool_id: "engines".to_owned(),
         endpoint_id: "engine-1".to_owned(),
-        wanted_tokens: 20,
+        max_tokens: 20,
     };
     let sending = programs.send(&program_id.to_owned(), placement, now)?;
     let answer = Answer {
@@ -125,9 +125,9 @@
             std::thread::sleep(Duration::from_millis(10));
             let now = Instant::now();
             let mut settled = self.holder.tick(now);
-            if let Some(ask) = self.holder.ask(now) {
-                let grant = self.bucket.grant(&"this-host".to_owned(), &ask, now);
-                settled.extend(self.holder.answered(ask.sequence, grant, now));
+            if let Some(token_request) = self.holder.token_request(now) {
+                let grant = self.bucket.grant(&"this-host".to_owned(), &token_request, now);
+                settled.extend(self.holder.answered(token_request.sequence, grant, now));
             }
             admitted = settled.iter().any(|call| call.admission == Admission::Admitted);
         }
--- a/crates/burdockroad/src/dispatch/pool.rs
+++ b/crates/burdockroad/src/dispatch/pool.rs
@@ -261,7 +261,7 @@
     }
 
     /// Forgets what endpoints hold for a program that has ended.
-    pub fn forget_program(&mut self, program_id: &str) {
+    pub fn evict_program(&mut self, program_id: &str) {
         for row in self.endpoints.values_mut() {
             row.residents.remove(program_id);
         }
--- a/crates/burdockroad/src/gateway.rs
+++ b/crates/burdockroad/src/gateway.rs
@@ -5,9 +5,9 @@
 //!
 //! * [`Document`] is the configuration in force, and [`Directory`] finds a call's route and account in it.
 //! * [`Ledger`] holds tokens of a program's budget before its calls run.
-//! * [`Allowances`] share an account's rate among the hosts that admit its calls.
+//! * [`RateLimiter`] share an account's rate among the hosts that admit its calls.
 //! * [`EndpointTable`] chooses the endpoint of a call.
-//! * [`has_to_watch`] and [`report_targets`] say who watches the store, and who is told what.
+//! * [`should_watch`] and [`report_targets`] say who watches the store, and who is told what.
 //! * [`next_step`] says what follows a failed attempt.
 //! * [`EventBuffer`] cuts an event stream into whole events.
 
@@ -23,14 +23,14 @@
 mod spread;
 
 pub use self::{
-    allowance::{Admission, Allowances, HostUse, UseReport},
-    begin::{BeginGate, Beginning},
+    allowance::{Admission, RateLimiter, AccountUsage, UsageReport},
+    begin::{ProgramStartGate, Beginning},
     budget::{Answer, BudgetWrite, Holder, Ledger, LedgerOptions, Need, StoredBudget, Versioned},
     directory::{Directory, Lookup},
     document::{Account, CallerLimits, Document, EngineInfo, Route, RouteKind, Service, Target},
     events::EventBuffer,
     placement::{Endpoint, EndpointCalls, EndpointTable, LoadReading, Outcome, Placement, PromptPart, Query},
-    recent::RecentPrograms,
+    recent::RunningPrograms,
     retry::{Failure, NextStep, RetryState, next_step},
-    spread::{HostPlace, has_to_watch, report_targets, watchers},
+    spread::{HostLocation, should_watch, report_targets, watchers},
 };
--- a/crates/burdockroad/src/gateway/allowance.rs
+++ b/crates/burdockroad/src/gateway/allowance.rs
@@ -35,7 +35,7 @@
 
 /// What one host admitted so far; reports are cumulative, so that a lost one does no harm.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct UseReport {
+pub struct UsageReport {
     /// Which host.
     pub host: HostId,
     /// Start of the host's process, so that counts which began anew are told apart.
@@ -43,12 +43,12 @@
     /// Time since that start.
     pub running_for: Duration,
     /// Its accounts.
-    pub accounts: Vec<HostUse>,
+    pub accounts: Vec<AccountUsage>,
 }
 
 /// One account's calls at one host.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HostUse {
+pub struct AccountUsage {
     /// Which account.
     pub account: AccountId,
     /// Calls admitted since the host's start.
@@ -58,14 +58,14 @@
     /// Part of them that belongs to programs under way.
     pub running_per_s: f64,
     /// Programs begun a second.
-    pub begun_per_s: f64,
+    pub started_per_s: f64,
     /// Calls that the host believes may still be admitted by all hosts together.
     pub level: f64,
 }
 
 /// The rates of all accounts, as one host keeps them.
 #[derive(Debug)]
-pub struct Allowances {
+pub struct RateLimiter {
     peers: HashMap<HostId, PeerRow>,
     rows: HashMap<AccountId, Row>,
     started_at: Instant,
@@ -83,7 +83,7 @@
     heard_at: Option<Instant>,
 }
 
-impl Allowances {
+impl RateLimiter {
     /// Makes empty buckets: what was admitted before a restart is not known, so nothing is given at once.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -140,7 +140,7 @@
     }
 
     /// Whether the account's rate lets another program begin; nothing is counted.
-    pub fn may_begin(&mut self, account: &AccountId, now: Instant) -> Admission {
+    pub fn may_start_program(&mut self, account: &AccountId, now: Instant) -> Admission {
         let hosts = self.peers.len() + 1;
         let silent = self.silent(now);
         let Some(row) = self.rows.get_mut(account) else {
@@ -153,7 +153,7 @@
     }
 
     /// Counts in what another host admitted.
-    pub fn note_report(&mut self, report: &UseReport, now: Instant) {
+    pub fn note_report(&mut self, report: &UsageReport, now: Instant) {
         let Some(peer) = self.peers.get_mut(&report.host) else {
             return;
         };
@@ -186,7 +186,7 @@
     }
 
     /// What this host admitted so far.
-    pub fn report(&mut self, host: &HostId, incarnation: u64, now: Instant) -> UseReport {
+    pub fn report(&mut self, host: &HostId, incarnation: u64, now: Instant) -> UsageReport {
         let hosts = self.peers.len() + 1;
         let silent = self.silent(now);
         let mut accounts = Vec::with_capacity(self.rows.len());
@@ -194,7 +194,7 @@
             row.refill(hosts, silent, now);
             accounts.push(row.report(account));
         }
-        UseReport {
+        UsageReport {
             host: host.clone(),
             incarnation,
             running_for: now.saturating_duration_since(self.started_at),
@@ -203,19 +203,19 @@
     }
 
     /// Whether a host was heard of lately.
-    pub fn is_heard(&self, host: &str, now: Instant) -> bool {
+    pub fn is_live(&self, host: &str, now: Instant) -> bool {
         let peer = self.peers.get(host);
-        peer.is_some_and(|peer| peer.is_heard(now))
+        peer.is_some_and(|peer| peer.is_live(now))
     }
 
     /// Hosts that may admit calls without this one hearing of it.
     fn silent(&self, now: Instant) -> usize {
-        self.peers.values().filter(|peer| !peer.is_heard(now)).count()
+        self.peers.values().filter(|peer| !peer.is_live(now)).count()
     }
 }
 
 impl PeerRow {
-    fn is_heard(&self, now: Instant) -> bool {
+    fn is_live(&self, now: Instant) -> bool {
         self.heard_at.is_some_and(|at| now < at + SILENT_AFTER)
     }
 }
--- a/crates/burdockroad/src/gateway/allowance/row.rs
+++ b/crates/burdockroad/src/gateway/allowance/row.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use super::{Admission, HostUse, PeerRow, UseReport};
+use super::{Admission, AccountUsage, PeerRow, UsageReport};
 use crate::ids::{AccountId, HostId};
 
 /// Time over which demand is averaged, in seconds.
@@ -72,7 +72,7 @@
     admitted: u64,
     demand_per_s: f64,
     running_per_s: f64,
-    begun_per_s: f64,
+    started_per_s: f64,
     peers: HashMap<HostId, PeerUse>,
 }
 
@@ -89,7 +89,7 @@
             admitted: 0,
             demand_per_s: 0.0,
             running_per_s: 0.0,
-            begun_per_s: 0.0,
+            started_per_s: 0.0,
             peers: HashMap::new(),
         }
     }
@@ -107,13 +107,13 @@
         }
     }
 
-    pub(super) fn report(&self, account: &AccountId) -> HostUse {
-        HostUse {
+    pub(super) fn report(&self, account: &AccountId) -> AccountUsage {
+        AccountUsage {
             account: account.clone(),
             admitted: self.admitted,
             demand_per_s: self.demand_per_s,
             running_per_s: self.running_per_s,
-            begun_per_s: self.begun_per_s,
+            started_per_s: self.started_per_s,
             level: self.level,
         }
     }
@@ -132,7 +132,7 @@
         let fading = (-elapsed_s / DEMAND_WINDOW_S).exp();
         self.demand_per_s *= fading;
         self.running_per_s *= fading;
-        self.begun_per_s *= fading;
+        self.started_per_s *= fading;
     }
 
     /// Notes that all other hosts were heard of, so that the level is known again.
@@ -187,7 +187,7 @@
         } else {
             self.own_level -= 1.0;
         }
-        self.begun_per_s += 1.0 / DEMAND_WINDOW_S;
+        self.started_per_s += 1.0 / DEMAND_WINDOW_S;
         self.count()
     }
 
@@ -221,7 +221,7 @@
     /// Both fade over the same time, so that a program counts the same at any age.
     fn needed_per_s(&self) -> f64 {
         let others: f64 = self.peers.values().map(|used| used.needed_per_s).sum();
-        self.running_per_s + self.begun_per_s * PROGRAM_CALLS_PER_S + others
+        self.running_per_s + self.started_per_s * PROGRAM_CALLS_PER_S + others
     }
 
     /// Level below which reports come too late to keep the hosts from overdrawing the bucket by more than
@@ -240,7 +240,7 @@
 
     /// Counts what a peer admitted since its report before; of a process that was there first, what it
     /// admitted before it was heard of is not this host's to count.
-    pub(super) fn note_peer(&mut self, report: &UseReport, used: &HostUse, began_later: bool) {
+    pub(super) fn note_peer(&mut self, report: &UsageReport, used: &AccountUsage, began_later: bool) {
         let before = self.peers.get(&report.host);
         let known = match before {
             Some(before) if before.incarnation == report.incarnation => before.admitted,
@@ -252,7 +252,7 @@
             incarnation: report.incarnation,
             admitted: used.admitted,
             demand_per_s: used.demand_per_s,
-            needed_per_s: used.running_per_s + used.begun_per_s * PROGRAM_CALLS_PER_S,
+            needed_per_s: used.running_per_s + used.started_per_s * PROGRAM_CALLS_PER_S,
         };
         self.peers.insert(report.host.clone(), told);
     }
--- a/crates/burdockroad/src/gateway/begin.rs
+++ b/crates/burdockroad/src/gateway/begin.rs
@@ -43,11 +43,11 @@
 
 /// Programs that were kept from beginning lately.
 #[derive(Clone, Debug, Default)]
-pub struct BeginGate {
+pub struct ProgramStartGate {
     refused_at: HashMap<ProgramId, Instant>,
 }
 
-impl BeginGate {
+impl ProgramStartGate {
     /// Decides whether a program may begin at a service with `load` calls for each slot.
     ///
     /// `spread` is a random number from 0 to 1 that parts those who come back.
--- a/crates/burdockroad/src/gateway/budget.rs
+++ b/crates/burdockroad/src/gateway/budget.rs
@@ -146,7 +146,7 @@
             .or_insert_with(|| Row::new(budget_tokens, now));
         row.budget_tokens = budget_tokens;
         row.keeps = keeps;
-        row.wanted_tokens += most_tokens;
+        row.max_tokens += most_tokens;
         row.call_tokens = most_tokens;
         row.touched_at = now;
     }
@@ -154,7 +154,7 @@
     /// Ends a wait that [`enter`](Self::enter) began.
     pub fn leave(&mut self, program: &ProgramId, most_tokens: u64) {
         if let Some(row) = self.rows.get_mut(program) {
-            row.wanted_tokens = row.wanted_tokens.saturating_sub(most_tokens);
+            row.max_tokens = row.max_tokens.saturating_sub(most_tokens);
         }
     }
 
@@ -266,7 +266,7 @@
     pub fn forget_idle(&mut self, now: Instant) {
         let keep = self.options.keep;
         self.rows.retain(|_, row| {
-            row.queued || row.running_tokens > 0 || row.wanted_tokens > 0 || now < row.touched_at + keep
+            row.queued || row.running_tokens > 0 || row.max_tokens > 0 || now < row.touched_at + keep
         });
     }
 
--- a/crates/burdockroad/src/gateway/budget/row.rs
+++ b/crates/burdockroad/src/gateway/budget/row.rs
@@ -23,7 +23,7 @@
     /// Tokens that ended calls handed out and that no write has yet counted; part of what is held.
     pub(super) used_tokens: u64,
     /// The most of calls that wait.
-    pub(super) wanted_tokens: u64,
+    pub(super) max_tokens: u64,
     /// The most of the latest call.
     pub(super) call_tokens: u64,
     /// Whether this host keeps the program's account.
@@ -56,7 +56,7 @@
             held_tokens: 0,
             running_tokens: 0,
             used_tokens: 0,
-            wanted_tokens: 0,
+            max_tokens: 0,
             call_tokens: 0,
             keeps: false,
             pending: None,
@@ -115,7 +115,7 @@
             return Some(pending.clone());
         }
         let room = self.room_tokens();
-        let wanted = self.wanted_tokens.min(room);
+        let wanted = self.max_tokens.min(room);
         let ahead = if self.keeps { room / 2 } else { 0 };
         let held_tokens = self.running_tokens + wanted.max(ahead);
         if held_tokens == self.held_tokens && self.used_tokens == 0 {
--- a/crates/burdockroad/src/gateway/recent.rs
+++ b/crates/burdockroad/src/gateway/recent.rs
@@ -12,11 +12,11 @@
 
 /// Programs whose calls were admitted lately.
 #[derive(Clone, Debug, Default)]
-pub struct RecentPrograms {
+pub struct RunningPrograms {
     seen_at: HashMap<ProgramId, Instant>,
 }
 
-impl RecentPrograms {
+impl RunningPrograms {
     /// Whether a call of the program was admitted lately.
     pub fn is_known(&self, program: &str, now: Instant) -> bool {
         let seen_at = self.seen_at.get(program);
--- a/crates/burdockroad/src/gateway/spread.rs
+++ b/crates/burdockroad/src/gateway/spread.rs
@@ -19,7 +19,7 @@
 
 /// A host and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HostPlace {
+pub struct HostLocation {
     /// The host.
     pub host: HostId,
     /// Its failure domain.
@@ -29,7 +29,7 @@
 /// The hosts that watch the store for all, out of those that are heard of.
 ///
 /// They stand in different failure domains as far as there are enough of these.
-pub fn watchers(heard: &[HostPlace]) -> Vec<HostId> {
+pub fn watchers(heard: &[HostLocation]) -> Vec<HostId> {
     let ranked = rendezvous_order(WATCH_NAME, heard.iter().map(|place| place.host.clone()));
     let mut domains = BTreeSet::new();
     let (mut first, rest): (Vec<HostId>, Vec<HostId>) = ranked.into_iter().partition(|host| {
@@ -46,21 +46,21 @@
 ///
 /// `heard` are the hosts that are heard of, this one included; `told_age` is the time since a host told that
 /// it watches, none when none did.
-pub fn has_to_watch(host: &HostId, heard: &[HostPlace], told_age: Option<Duration>) -> bool {
+pub fn should_watch(host: &HostId, heard: &[HostLocation], told_age: Option<Duration>) -> bool {
     let is_told = told_age.is_some_and(|age| age < TOLD_AGE_MAX);
     !is_told || watchers(heard).contains(host)
 }
 
 /// The hosts that a report is sent to: all of the sender's failure domain, and one of each other, which
 /// passes it on there. Turn after turn it is another one, so that a dead one costs few reports.
-pub fn report_targets(failure_domain: &str, others: &[HostPlace], turn: usize) -> Vec<HostId> {
-    let (near, far): (Vec<&HostPlace>, Vec<&HostPlace>) = others
+pub fn report_targets(failure_domain: &str, others: &[HostLocation], turn: usize) -> Vec<HostId> {
+    let (near, far): (Vec<&HostLocation>, Vec<&HostLocation>) = others
         .iter()
         .partition(|place| place.failure_domain == failure_domain);
     let mut targets: Vec<HostId> = near.into_iter().map(|place| place.host.clone()).collect();
     let domains: BTreeSet<&str> = far.iter().map(|place| place.failure_domain.as_str()).collect();
     for domain in domains {
-        let within: Vec<&&HostPlace> = far
+        let within: Vec<&&HostLocation> = far
             .iter()
             .filter(|place| place.failure_domain == domain)
             .collect();
--- a/crates/burdockroad/src/ownership.rs
+++ b/crates/burdockroad/src/ownership.rs
@@ -10,6 +10,6 @@
 
 pub use self::{
     map::{Move, Owner, OwnershipMap, Process},
-    plan::{Candidate, first_map, rebalance, takeover_moves},
+    plan::{Candidate, initial_map, rebalance, takeover_moves},
     rank::{rendezvous_order, takeover_rank},
 };
--- a/crates/burdockroad/src/ownership/plan.rs
+++ b/crates/burdockroad/src/ownership/plan.rs
@@ -28,7 +28,7 @@
 /// The map of a system that has none yet.
 ///
 /// None when no candidate has a weight.
-pub fn first_map(candidates: &[Candidate], change_id: u64) -> Option<OwnershipMap> {
+pub fn initial_map(candidates: &[Candidate], change_id: u64) -> Option<OwnershipMap> {
     let mut table = holdings(candidates, &OwnershipMap::default());
     let total = usize::from(PARTITIONS);
     assign_shares(&mut table, total);
--- a/crates/burdockroad/src/program.rs
+++ b/crates/burdockroad/src/program.rs
@@ -19,7 +19,7 @@
     record::{Answer, CallKind, Event, Hold, Intent, Outcome, Record, RequestDigest},
     refusal::{Refusal, Shortage},
     replay::Replay,
-    request::{Action, Begun, CallRequest, Cancelled, NewProgram, Placement, ProgramsOptions, Sending},
+    request::{Action, CallDecision, CallRequest, Cancelled, NewProgram, Placement, ProgramsOptions, PreparedCall},
     table::Programs,
     tree::{Call, Program, State, Tree, Usage},
 };
--- a/crates/burdockroad/src/program/checks.rs
+++ b/crates/burdockroad/src/program/checks.rs
@@ -5,7 +5,7 @@
 use crate::{
     ids::CallNumber,
     program::{
-        Begun, Call, CallKind, CallRequest, Hold, Outcome, Program, Refusal, Shortage, State, Tree, Usage,
+        CallDecision, Call, CallKind, CallRequest, Hold, Outcome, Program, Refusal, Shortage, State, Tree, Usage,
         table::OpenCall,
     },
 };
@@ -17,7 +17,7 @@
     open: &OpenCall,
     program: &Program,
     request: &CallRequest,
-) -> Result<Begun, Refusal> {
+) -> Result<CallDecision, Refusal> {
     let number = open.request.number;
     if request.number < number {
         return repeat_of_ended(program.call(request.number), request);
@@ -28,10 +28,10 @@
     if request.digest != open.request.digest {
         return Err(Refusal::DifferentRequest);
     }
-    Ok(Begun::Attach)
+    Ok(CallDecision::Attach)
 }
 
-pub(super) fn repeat_of_ended(call: Option<&Call>, request: &CallRequest) -> Result<Begun, Refusal> {
+pub(super) fn repeat_of_ended(call: Option<&Call>, request: &CallRequest) -> Result<CallDecision, Refusal> {
     let Some(call) = call else {
         return Err(Refusal::WrongNumber { expected: 1 });
     };
@@ -39,11 +39,11 @@
         return Err(Refusal::DifferentRequest);
     }
     match &call.outcome {
-        Some(Outcome::Answered(answer)) => Ok(Begun::Answered(answer.clone())),
+        Some(Outcome::Answered(answer)) => Ok(CallDecision::Answered(answer.clone())),
         Some(Outcome::Unknown { reason }) => Err(Refusal::OutcomeUnknown {
             reason: reason.clone(),
         }),
-        Some(Outcome::NotRun | Outcome::Failed { .. }) | None => Ok(Begun::Attach),
+        Some(Outcome::NotRun | Outcome::Failed { .. }) | None => Ok(CallDecision::Attach),
     }
 }
 
--- a/crates/burdockroad/src/program/request.rs
+++ b/crates/burdockroad/src/program/request.rs
@@ -63,7 +63,7 @@
 
 /// What to do with a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Begun {
+pub enum CallDecision {
     /// Run it.
     Run(Usage, Option<EndpointId>),
     /// It runs already, for an earlier try of the caller.
@@ -80,12 +80,12 @@
     /// The endpoint.
     pub endpoint_id: EndpointId,
     /// Tokens that the engine may generate at most; 0 for a service.
-    pub wanted_tokens: u64,
+    pub max_tokens: u64,
 }
 
 /// A call that may be sent once its record is durable.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sending {
+pub struct PreparedCall {
     /// The intent.
     pub record: Record,
     /// All messages of the conversation, as JSON texts.
--- a/crates/burdockroad/src/program/table.rs
+++ b/crates/burdockroad/src/program/table.rs
@@ -9,8 +9,8 @@
     error::Result,
     ids::{AccountId, EndpointId, PartitionId, ProgramId, partition_of_program},
     program::{
-        Action, Begun, CallRequest, Cancelled, Event, Hold, Intent, NewProgram, Outcome, Placement, Program,
-        ProgramsOptions, Record, Refusal, Sending, State, Tree,
+        Action, CallDecision, CallRequest, Cancelled, Event, Hold, Intent, NewProgram, Outcome, Placement, Program,
+        ProgramsOptions, Record, Refusal, PreparedCall, State, Tree,
         checks::{
             check_active, check_budget, check_history, check_next, is_in_use, prompt, repeat_of_ended,
             repeat_of_open, usage,
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// Refuses a call that is out of order, over the budget, or not the program's.
-    pub fn begin(&mut self, request: CallRequest, now: SystemTime) -> std::result::Result<Begun, Refusal> {
+    pub fn begin(&mut self, request: CallRequest, now: SystemTime) -> std::result::Result<CallDecision, Refusal> {
         let (tree, program) = self.get(&request.account_id, &request.program_id)?;
         if let Some(open) = self.open.get(&request.program_id) {
             return repeat_of_open(open, program, &request);
@@ -145,7 +145,7 @@
         check_next(program, request.number)?;
         check_budget(tree, request.kind, now)?;
         check_history(tree, &request, self.options.history_max_bytes)?;
-        let begun = Begun::Run(usage(tree, program), program.prefix_endpoint_id().cloned());
+        let begun = CallDecision::Run(usage(tree, program), program.prefix_endpoint_id().cloned());
         self.check_partition(&request.program_id)?;
         self.open
             .insert(request.program_id.clone(), OpenCall { request, sent: false });
@@ -163,7 +163,7 @@
         program_id: &ProgramId,
         placement: Placement,
         now: SystemTime,
-    ) -> std::result::Result<Sending, Refusal> {
+    ) -> std::result::Result<PreparedCall, Refusal> {
         let Some(open) = self.open.get(program_id) else {
             return Err(Refusal::UnknownProgram);
         };
@@ -339,11 +339,11 @@
         check_budget(tree, request.kind, now)
     }
 
-    fn record_intent(&mut self, request: CallRequest, placement: Placement, now: SystemTime) -> Sending {
+    fn record_intent(&mut self, request: CallRequest, placement: Placement, now: SystemTime) -> PreparedCall {
         let program_id = request.program_id.clone();
         let root_id = self.roots[&program_id].clone();
         let tree = &self.trees[&root_id];
-        let reserved_tokens = placement.wanted_tokens.min(tree.ledger.free_tokens());
+        let reserved_tokens = placement.max_tokens.min(tree.ledger.free_tokens());
         let time_left = tree.ledger.time_left(now);
         let prompt = prompt(tree, &request);
         let intent = Intent {
@@ -369,7 +369,7 @@
         if let Some(open) = self.open.get_mut(&program_id) {
             open.sent = true;
         }
-        Sending {
+        PreparedCall {
             record,
             prompt,
             reserved_tokens,
--- a/crates/burdockroad/src/retry.rs
+++ b/crates/burdockroad/src/retry.rs
@@ -19,9 +19,9 @@
     /// Tries of one call, the first included.
     pub attempts_max: u32,
     /// Longest wait before the first retry; each further one may wait twice as long.
-    pub first_back_off: Duration,
+    pub initial_backoff: Duration,
     /// Longest wait before any retry.
-    pub longest_back_off: Duration,
+    pub max_backoff: Duration,
     /// Budgets that are kept; beyond it, those that are full are forgotten.
     pub budgets_max: usize,
 }
@@ -32,8 +32,8 @@
             retries_per_call: 0.2,
             burst: 10.0,
             attempts_max: 3,
-            first_back_off: Duration::from_millis(20),
-            longest_back_off: Duration::from_secs(1),
+            initial_backoff: Duration::from_millis(20),
+            max_backoff: Duration::from_secs(1),
             budgets_max: 100_000,
         }
     }
@@ -110,9 +110,9 @@
         let doubled = 1_u32.checked_shl(attempts.saturating_sub(1)).unwrap_or(u32::MAX);
         let longest = self
             .options
-            .first_back_off
+            .initial_backoff
             .saturating_mul(doubled)
-            .min(self.options.longest_back_off);
+            .min(self.options.max_backoff);
         longest.mul_f64(rng.random_range(0.0..=1.0))
     }
 
--- a/crates/burdockroad/tests/gateway_allowance.rs
+++ b/crates/burdockroad/tests/gateway_allowance.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use burdockroad::gateway::{Admission, Allowances, HostUse, UseReport};
+use burdockroad::gateway::{Admission, RateLimiter, AccountUsage, UsageReport};
 
 const HOSTS: usize = 7;
 /// Calls a second, and calls at once.
@@ -14,7 +14,7 @@
 const REPORT_STEPS: u64 = 30;
 
 struct Hosts {
-    tables: Vec<Allowances>,
+    tables: Vec<RateLimiter>,
     account: String,
     now: Instant,
     steps: u64,
@@ -27,7 +27,7 @@
         let now = Instant::now();
         let account = "account".to_owned();
         let tables = (0..HOSTS).map(|this| {
-            let mut allowances = Allowances::new(now);
+            let mut allowances = RateLimiter::new(now);
             allowances.set_peers((0..HOSTS).filter(|other| *other != this).map(name));
             allowances.set_accounts([(&account, RATE_PER_S, BURST)]);
             allowances
@@ -70,7 +70,7 @@
 
     /// Starts a host's process anew.
     fn restart(&mut self, host: usize) {
-        let mut allowances = Allowances::new(self.now);
+        let mut allowances = RateLimiter::new(self.now);
         allowances.set_peers((0..HOSTS).filter(|other| *other != host).map(name));
         allowances.set_accounts([(&self.account, RATE_PER_S, BURST)]);
         self.tables[host] = allowances;
@@ -181,17 +181,17 @@
 fn note_report_of_a_restarted_peer_counts_all_of_its_calls() {
     let mut now = Instant::now();
     let account = "account".to_owned();
-    let mut allowances = Allowances::new(now);
+    let mut allowances = RateLimiter::new(now);
     allowances.set_peers([name(1)]);
     allowances.set_accounts([(&account, RATE_PER_S, BURST)]);
-    let used = |admitted| HostUse {
+    let used = |admitted| AccountUsage {
         account: account.clone(),
         admitted,
         demand_per_s: 1.0,
         level: 0.0,
-        ..HostUse::default()
+        ..AccountUsage::default()
     };
-    let report = |incarnation, running_for, accounts| UseReport {
+    let report = |incarnation, running_for, accounts| UsageReport {
         host: name(1),
         incarnation,
         running_for,
@@ -222,7 +222,7 @@
 #[test]
 fn admit_without_a_rate_always_admits() {
     let now = Instant::now();
-    let mut allowances = Allowances::new(now);
+    let mut allowances = RateLimiter::new(now);
     for _ in 0..1000 {
         assert_eq!(
             allowances.admit(&"other".to_owned(), true, now),
--- a/crates/burdockroad/tests/gateway_placement.rs
+++ b/crates/burdockroad/tests/gateway_placement.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use burdockroad::gateway::{
-    BeginGate, Beginning, Endpoint, EndpointCalls, EndpointTable, Failure, NextStep, Outcome, PromptPart,
+    ProgramStartGate, Beginning, Endpoint, EndpointCalls, EndpointTable, Failure, NextStep, Outcome, PromptPart,
     Query, RetryState, RouteKind, next_step,
 };
 
@@ -241,7 +241,7 @@
     const CALLS: u32 = 4;
     const CALL_STEPS: u32 = 10;
     const IN_TIME_STEPS: u32 = 60;
-    let mut gate = BeginGate::default();
+    let mut gate = ProgramStartGate::default();
     let mut running: Vec<(u32, u32)> = Vec::new();
     let mut in_time = 0;
     let begun_at = Instant::now();
@@ -281,7 +281,7 @@
 #[test]
 fn decide_prefers_urgent_and_returning_programs() {
     let now = Instant::now();
-    let mut gate = BeginGate::default();
+    let mut gate = ProgramStartGate::default();
     let program = "program".to_owned();
     assert!(matches!(
         gate.decide(&program, 0.87, 1, 0.0, now),
--- a/crates/burdockroad/tests/gateway_spread.rs
+++ b/crates/burdockroad/tests/gateway_spread.rs
@@ -2,10 +2,10 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use burdockroad::gateway::{HostPlace, has_to_watch, report_targets, watchers};
+use burdockroad::gateway::{HostLocation, should_watch, report_targets, watchers};
 
-fn places(domains: usize, each: usize) -> Vec<HostPlace> {
-    let hosts = (0..domains * each).map(|index| HostPlace {
+fn places(domains: usize, each: usize) -> Vec<HostLocation> {
+    let hosts = (0..domains * each).map(|index| HostLocation {
         host: format!("host-{index}"),
         failure_domain: format!("domain-{}", index % domains),
     });
@@ -29,7 +29,7 @@
 fn watchers_without_one_that_is_lost_keep_the_others() {
     let hosts = places(3, 3);
     let before = watchers(&hosts);
-    let left: Vec<HostPlace> = hosts
+    let left: Vec<HostLocation> = hosts
         .into_iter()
         .filter(|place| place.host != before[0])
         .collect();
@@ -51,10 +51,10 @@
     let chosen = watchers(&heard);
     let other = heard.iter().find(|place| !chosen.contains(&place.host));
     let other = &other.expect("some hosts do not watch").host;
-    assert!(!has_to_watch(other, &heard, Some(Duration::from_millis(150))));
-    assert!(has_to_watch(other, &heard, Some(Duration::from_secs(1))));
-    assert!(has_to_watch(other, &heard, None));
-    assert!(has_to_watch(&chosen[0], &heard, Some(Duration::ZERO)));
+    assert!(!should_watch(other, &heard, Some(Duration::from_millis(150))));
+    assert!(should_watch(other, &heard, Some(Duration::from_secs(1))));
+    assert!(should_watch(other, &heard, None));
+    assert!(should_watch(&chosen[0], &heard, Some(Duration::ZERO)));
 }
 
 #[test]
--- a/crates/burdockroad/tests/ownership.rs
+++ b/crates/burdockroad/tests/ownership.rs
@@ -5,7 +5,7 @@
 use burdockroad::{
     PARTITIONS,
     ownership::{
-        Candidate, Move, OwnershipMap, Process, first_map, rebalance, takeover_moves, takeover_rank,
+        Candidate, Move, OwnershipMap, Process, initial_map, rebalance, takeover_moves, takeover_rank,
     },
 };
 use proptest::prelude::*;
@@ -37,7 +37,7 @@
 fn first_map_shares_evenly() {
     for hosts in 1..=7 {
         let candidates: Vec<Candidate> = (0..hosts).map(|host| candidate(host, 1)).collect();
-        let map = first_map(&candidates, 9).unwrap();
+        let map = initial_map(&candidates, 9).unwrap();
         let counts = counts(&map);
         assert_eq!((map.version, counts.len()), (1, hosts));
         let (low, high) = (counts.values().min().unwrap(), counts.values().max().unwrap());
@@ -48,13 +48,13 @@
 
 #[test]
 fn first_map_no_candidate() {
-    assert_eq!(first_map(&[], 9), None);
-    assert_eq!(first_map(&[candidate(0, 0)], 9), None);
+    assert_eq!(initial_map(&[], 9), None);
+    assert_eq!(initial_map(&[candidate(0, 0)], 9), None);
 }
 
 #[test]
 fn with_moves_other_owner() {
-    let map = first_map(&[candidate(0, 1)], 9).unwrap();
+    let map = initial_map(&[candidate(0, 1)], 9).unwrap();
     let step = Move {
         partition: 3,
         from: process(1),
@@ -65,14 +65,14 @@
 
 #[test]
 fn encode_round_trip() {
-    let map = first_map(&[candidate(0, 1), candidate(1, 2)], 9).unwrap();
+    let map = initial_map(&[candidate(0, 1), candidate(1, 2)], 9).unwrap();
     assert_eq!(OwnershipMap::decode(&map.encode().unwrap()).unwrap(), map);
     OwnershipMap::decode(b"{}").unwrap_err();
 }
 
 #[test]
 fn takeover_moves_all_with_new_epochs() {
-    let map = first_map(&[candidate(0, 1), candidate(1, 1)], 9).unwrap();
+    let map = initial_map(&[candidate(0, 1), candidate(1, 1)], 9).unwrap();
     let moves = takeover_moves(&map, &process(0), &process(1));
     let next = map.with_moves(&moves, 10).unwrap();
     assert_eq!(next.partitions_of(&process(1)).len(), usize::from(PARTITIONS));
@@ -98,7 +98,7 @@
     fn rebalance_join_and_leave(before in 1..8usize, weights in prop::collection::vec(0..3u32, 8)) {
         prop_assume!(weights.iter().any(|&weight| weight > 0));
         let old: Vec<Candidate> = (0..before).map(|host| candidate(host, 1)).collect();
-        let map = first_map(&old, 9).unwrap();
+        let map = initial_map(&old, 9).unwrap();
         let new: Vec<Candidate> = weights
             .iter()
             .enumerate()
--- a/crates/burdockroad/tests/program_rules.rs
+++ b/crates/burdockroad/tests/program_rules.rs
@@ -8,7 +8,7 @@
 use burdockroad::{
     Record,
     program::{
-        Action, Answer, Begun, Budget, CallKind, CallRequest, Event, NewProgram, Outcome, Placement,
+        Action, Answer, CallDecision, Budget, CallKind, CallRequest, Event, NewProgram, Outcome, Placement,
         Programs, ProgramsOptions, Refusal, Replay, Shortage, Tree,
     },
 };
@@ -72,11 +72,11 @@
     }
 }
 
-fn placement(endpoint: u8, wanted_tokens: u64) -> Placement {
+fn placement(endpoint: u8, max_tokens: u64) -> Placement {
     Placement {
         pool_id: "planner".to_owned(),
         endpoint_id: format!("engine-{endpoint}"),
-        wanted_tokens,
+        max_tokens,
     }
 }
 
@@ -108,7 +108,7 @@
         text: u8,
         idempotent: bool,
         endpoint: u8,
-        wanted_tokens: u64,
+        max_tokens: u64,
     },
     Settle {
         child: bool,
@@ -138,13 +138,13 @@
         1..60_u64,
     )
         .prop_map(
-            |(child, ahead, text, idempotent, endpoint, wanted_tokens)| Step::Call {
+            |(child, ahead, text, idempotent, endpoint, max_tokens)| Step::Call {
                 child,
                 ahead,
                 text,
                 idempotent,
                 endpoint,
-                wanted_tokens,
+                max_tokens,
             },
         );
     prop_oneof![
@@ -202,13 +202,13 @@
                 text,
                 idempotent,
                 endpoint,
-                wanted_tokens,
+                max_tokens,
             } => {
                 let id = name(child);
                 let number = self.seen[id].sent.last().map_or(0, |sent| sent.0) + ahead;
                 self.call(
                     call(id, number, text, idempotent),
-                    placement(endpoint, wanted_tokens),
+                    placement(endpoint, max_tokens),
                 );
             }
             Step::Settle {
@@ -227,7 +227,7 @@
     fn call(&mut self, request: CallRequest, placement: Placement) {
         let id = request.program_id.clone();
         let (number, idempotent, text) = (request.number, request.idempotent, request.digest[0]);
-        let Ok(Begun::Run(..)) = self.programs.begin(request, self.now) else {
+        let Ok(CallDecision::Run(..)) = self.programs.begin(request, self.now) else {
             return;
         };
         let Ok(sending) = self.programs.send(&id, placement, self.now) else {
@@ -424,7 +424,7 @@
     programs
         .begin(call(ROOT, 1, 7, true), start())
         .expect("the first call");
-    assert_eq!(programs.begin(call(ROOT, 1, 7, true), start()), Ok(Begun::Attach));
+    assert_eq!(programs.begin(call(ROOT, 1, 7, true), start()), Ok(CallDecision::Attach));
     assert_eq!(
         programs.begin(call(ROOT, 1, 8, true), start()),
         Err(Refusal::DifferentRequest)
@@ -434,7 +434,7 @@
         .expect("within the budget");
     programs.settle(&root, answer(ROOT, 1), 4).expect("an open call");
     let repeated = programs.begin(call(ROOT, 1, 7, true), start());
-    assert!(matches!(repeated, Ok(Begun::Answered(_))), "{repeated:?}");
+    assert!(matches!(repeated, Ok(CallDecision::Answered(_))), "{repeated:?}");
     assert_eq!(
         programs.begin(call(ROOT, 1, 8, true), start()),
         Err(Refusal::DifferentRequest)
@@ -520,7 +520,7 @@
         "{repeated:?}"
     );
     let retried = successor.begin(call(CHILD, 1, 0, true), start());
-    assert!(matches!(retried, Ok(Begun::Run(..))), "{retried:?}");
+    assert!(matches!(retried, Ok(CallDecision::Run(..))), "{retried:?}");
 }
 
 #[test]
--- a/crates/burdockroad/tests/retry.rs
+++ b/crates/burdockroad/tests/retry.rs
@@ -70,8 +70,8 @@
     let budgets = RetryBudgets::new(options);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for attempts in [1, 2, 3, 40] {
-        let doubled = options.first_back_off * 2_u32.pow(attempts.min(10) - 1);
-        let longest = doubled.min(options.longest_back_off);
+        let doubled = options.initial_backoff * 2_u32.pow(attempts.min(10) - 1);
+        let longest = doubled.min(options.max_backoff);
         let waits: Vec<Duration> = (0..200).map(|_| budgets.back_off(attempts, &mut rng)).collect();
         assert!(
             waits.iter().all(|wait| *wait <= longest),
