--- a/crates/burdockroad-daemon/src/daemon.rs
+++ b/crates/burdockroad-daemon/src/daemon.rs
@@ -30,7 +30,7 @@
     endpoint::{Endpoints, HttpEndpoints},
     http::{CallerServer, CallerServerParts},
     journal::{StoreRecovery, TailStore, Trees},
-    memory::{EngineMemory, MemoryAudit},
+    memory::{EnginePrefixCache, PrefixCacheAudit},
     peer::{self, PeerClients, PeerHandlers},
     platform::{self, PlatformError, SharedKeyValue},
     programs::{ProgramsHandle, ProgramsParts},
@@ -111,7 +111,7 @@
     peers: PeerServer,
     programs: Arc<ProgramsHandle>,
     config: ConfigWatch,
-    audit: MemoryAudit,
+    audit: PrefixCacheAudit,
     ticker: JoinHandle<()>,
 }
 
@@ -183,7 +183,7 @@
             limits: components.settings.limits.clone(),
         };
         let callers = CallerServer::start(caller_listener, parts);
-        let audit = MemoryAudit::start(
+        let audit = PrefixCacheAudit::start(
             components.engine_memory(),
             components.views.ownership(),
             ProgramsHandle::clone(&programs),
@@ -280,8 +280,8 @@
         Ok(ProgramsHandle::start(parts).await?)
     }
 
-    fn engine_memory(&self) -> EngineMemory {
-        EngineMemory {
+    fn engine_memory(&self) -> EnginePrefixCache {
+        EnginePrefixCache {
             endpoints: Arc::clone(&self.endpoints),
             in_force: self.in_force.clone(),
         }
@@ -400,7 +400,7 @@
     fn call_limits(&self) -> CallLimits {
         CallLimits {
             queue_timeout: Duration::from_secs(self.settings.limits.queue_timeout_s),
-            answer_max_bytes: RESPONSE_MAX_BYTES,
+            response_max_bytes: RESPONSE_MAX_BYTES,
         }
     }
 }
--- a/crates/burdockroad-daemon/src/daemon/operators.rs
+++ b/crates/burdockroad-daemon/src/daemon/operators.rs
@@ -94,7 +94,7 @@
             ownership: OwnershipStatus {
                 version: view.version,
                 partitions: view.own_partitions().len(),
-                open_programs: self.programs.kept_trees(),
+                open_programs: self.programs.owned_tree_count(),
                 peers_heard: live.map(|(host_id, _)| host_id.clone()).collect(),
             },
             endpoints: Vec::new(),
--- a/crates/burdockroad-daemon/src/membership/lease.rs
+++ b/crates/burdockroad-daemon/src/membership/lease.rs
@@ -34,7 +34,7 @@
 }
 
 impl OwnerLease for Lease {
-    fn holds(&self, now: Instant) -> bool {
+    fn is_valid(&self, now: Instant) -> bool {
         let expires_at = *self.expires_at.lock().unwrap_or_else(PoisonError::into_inner);
         expires_at.is_ok_and(|expires_at| expires_at.is_none_or(|expires_at| now < expires_at))
     }
--- a/crates/burdockroad-daemon/tests/dispatch.rs
+++ b/crates/burdockroad-daemon/tests/dispatch.rs
@@ -64,7 +64,7 @@
         true
     }
 
-    fn leaving_hosts(&self) -> BTreeSet<HostId> {
+    fn draining_hosts(&self) -> BTreeSet<HostId> {
         BTreeSet::new()
     }
 }
