--- a/crates/burdockroad-daemon/tests/dispatch.rs
+++ b/crates/burdockroad-daemon/tests/dispatch.rs
@@ -166,7 +166,7 @@
         attained_tokens: 0,
         prefix_endpoint_id: None,
         excluded: Vec::new(),
-        slot_deadline: Instant::now() + patience,
+        deadline: Instant::now() + patience,
     }
 }
 
