--- a/crates/burdockroad/tests/gateway_budget.rs
+++ b/crates/burdockroad/tests/gateway_budget.rs
@@ -313,5 +313,5 @@
     });
     let stored = cluster.store.stored.expect("the budget is stored").budget;
     assert_eq!(stored.spent_tokens, 10);
-    assert_eq!(stored.held_tokens(), 0);
+    assert_eq!(stored.reserved_tokens(), 0);
 }
