--- a/crates/burdockroad/src/gateway.rs
+++ b/crates/burdockroad/src/gateway.rs
@@ -1,12 +1,12 @@
 //! Decision logic for calls whose requests carry the whole program history.
 //!
-//! A gateway host forwards each call of a program to an endpoint. The only state that it keeps for a call is
-//! the remaining budget of the call's program. These modules make the decisions; they open no sockets and
-//! read no clock:
+//! A gateway host forwards each call of a program to an endpoint. It stores no history of the program, only
+//! its remaining budget. These modules make the decisions; they open no sockets and read no clock:
 //!
 //! * [`Document`] is the active configuration. [`Directory`] looks up a call's route and account in it.
 //! * [`Ledger`] reserves tokens of a program's budget before its calls run.
 //! * [`RateLimiter`] shares an account's rate among the hosts that admit its calls.
+//! * [`ProgramStartGate`] refuses new programs while a service is congested.
 //! * [`EndpointTable`] chooses the endpoint of a call.
 //! * [`should_watch`] selects the hosts that watch the store, and [`report_targets`] the recipients of a
 //!   report.
--- a/crates/burdockroad/src/gateway/budget.rs
+++ b/crates/burdockroad/src/gateway/budget.rs
@@ -19,10 +19,10 @@
 /// Timing options of a [`Ledger`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LedgerOptions {
-    /// Delay after a call's end before returned tokens get a write of their own. Until then, the program's
-    /// next write includes them.
+    /// Time after a call's end for which its unused tokens wait to be included in the program's next write.
+    /// After that, a separate write returns them.
     pub settle_after: Duration,
-    /// Minimum interval between two polls of the store for tokens returned by other hosts.
+    /// Minimum interval between two reads of the same budget to find tokens that other hosts have returned.
     pub poll_interval: Duration,
     /// Idle time after which a program's row is evicted. Tokens still reserved for it count as spent.
     pub retention: Duration,
@@ -47,7 +47,7 @@
     pub reservations: Vec<HostReservation>,
 }
 
-/// Tokens reserved by one host.
+/// Reservation of one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostReservation {
     /// Incarnation of the host's process.
@@ -74,10 +74,11 @@
     Ready,
     /// The call must wait for a write to complete, then retry.
     AwaitWrite,
-    /// The call must wait until running calls of this or another host return tokens, then retry.
-    AwaitRoom,
+    /// All remaining tokens are reserved. The call must wait until running calls of this or another host
+    /// return tokens, then retry.
+    AwaitTokens,
     /// The remaining budget is smaller than the call's maximum.
-    Spent,
+    Exhausted,
 }
 
 /// Conditional write to the store.
@@ -96,7 +97,7 @@
 pub enum StoreResponse {
     /// The write succeeded with this revision.
     Written(i64),
-    /// The key has this value. A pending write was not applied unless this value contains it.
+    /// The key has this value, which contains the host's pending write only if that write was applied.
     Found(Option<VersionedBudget>),
     /// The request failed; a write may still take effect.
     Indeterminate,
@@ -132,8 +133,8 @@
     /// Adds a waiting call that needs `max_tokens` of its program's budget;
     /// [`remove_waiter`](Self::remove_waiter) removes it.
     ///
-    /// `owns_budget` is set if this host owns the program's budget. It then reserves half of the remaining
-    /// budget ahead of need, and keeps tokens returned by calls reserved for the next ones.
+    /// `owns_budget` is true if this host owns the program's budget. It then reserves half of the remaining
+    /// budget ahead of need, and keeps the unused tokens of its calls reserved for later calls.
     pub fn add_waiter(
         &mut self,
         program: &ProgramId,
@@ -160,7 +161,8 @@
         }
     }
 
-    /// Takes tokens for a waiting call if the host has enough reserved; queues a write otherwise.
+    /// Takes tokens for a waiting call if the host has enough reserved. Otherwise, queues a write that
+    /// reserves more, if the budget has enough tokens that no host has reserved.
     pub fn take(&mut self, program: &ProgramId, max_tokens: u64) -> Readiness {
         let Some(row) = self.rows.get_mut(program) else {
             return Readiness::AwaitWrite;
@@ -174,19 +176,20 @@
             return Readiness::AwaitWrite;
         }
         if row.spent_tokens() + max_tokens > row.budget_tokens {
-            return Readiness::Spent;
+            return Readiness::Exhausted;
         }
         if row.reservable_tokens() < max_tokens {
-            return Readiness::AwaitRoom;
+            return Readiness::AwaitTokens;
         }
         self.queue_write(program);
         Readiness::AwaitWrite
     }
 
-    /// Returns whether to poll the store for a program without available tokens.
+    /// Returns whether the caller should read the program's budget from the store now, and counts that as a
+    /// poll.
     ///
-    /// Polling helps only if other hosts have reservations that they may have returned. One poll serves all
-    /// waiting calls of the program.
+    /// A poll helps only if other hosts have reservations that they may have returned. One poll serves all
+    /// waiting calls of the program, so this returns true at most once per `poll_interval`.
     pub fn should_poll(&mut self, program: &ProgramId, now: Instant) -> bool {
         let interval = self.options.poll_interval;
         let Some(row) = self.rows.get_mut(program) else {
@@ -211,7 +214,9 @@
         }
     }
 
-    /// Releases all reservations that no running call uses, because other hosts own the budgets from now on.
+    /// Records that this host owns no budget until [`add_waiter`](Self::add_waiter) sets the owner again. The
+    /// next [`settle_due`](Self::settle_due) returns the reserved tokens that no running call uses and that
+    /// other hosts may need.
     pub fn release_idle(&mut self, now: Instant) {
         for row in self.rows.values_mut() {
             row.owns_budget = false;
@@ -219,7 +224,8 @@
         }
     }
 
-    /// Queues writes for returned tokens that no other write has included within `settle_after`.
+    /// Queues writes that return unused tokens which no other write has returned within `settle_after`. A
+    /// write is queued only if other hosts may need the tokens.
     pub fn settle_due(&mut self, now: Instant) {
         let mut due = Vec::new();
         for (program, row) in &mut self.rows {
--- a/crates/burdockroad/src/gateway/budget/program_budget.rs
+++ b/crates/burdockroad/src/gateway/budget/program_budget.rs
@@ -7,7 +7,8 @@
     ids::Incarnation,
 };
 
-/// Number of calls that the unreserved budget must cover for returned tokens to need no write of their own.
+/// Number of calls that the unreserved budget must cover; below it, unused tokens are returned to the budget
+/// by a separate write.
 const SETTLE_THRESHOLD_CALLS: u64 = 5;
 
 /// Row of a ledger for one program.
@@ -16,7 +17,7 @@
     /// Stored value as of the last response.
     pub(super) stored: Option<VersionedBudget>,
     pub(super) budget_tokens: u64,
-    /// Tokens that the store has reserved for this host.
+    /// Tokens that this host has reserved in the store.
     pub(super) reserved_tokens: u64,
     /// Sum of the running calls' maximums; included in `reserved_tokens`.
     pub(super) running_tokens: u64,
@@ -36,12 +37,12 @@
     pub(super) last_used_at: Instant,
 }
 
-/// Write of unknown outcome.
+/// Write that has been planned and whose outcome is not known yet.
 #[derive(Clone, Debug)]
 pub(super) struct Pending {
     pub(super) expected_revision: Option<i64>,
     pub(super) budget: StoredBudget,
-    /// Tokens reserved for this host once the write is applied.
+    /// Tokens that this host has reserved once the write is applied.
     pub(super) reserved_tokens: u64,
     /// Part of the used tokens that the write adds to the spent tokens.
     pub(super) counted_tokens: u64,
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Returns the reserved tokens that no call uses, whether or not a pending write is applied.
+    /// Returns the reserved tokens that no call uses. While a write is pending, this is the smaller of the
+    /// numbers with and without that write, because the write may or may not be applied.
     pub(super) fn free_tokens(&self) -> u64 {
         let current = self.reserved_tokens.saturating_sub(self.used_tokens);
         let after_write = self.pending.as_ref().map_or(current, |pending| {
@@ -164,7 +166,7 @@
     }
 
     /// Records the key's value, which shows whether a pending write was applied: a host's reservation changes
-    /// with each of its writes, and only with these.
+    /// with each of its own writes, because of the write id, and with no other write.
     pub(super) fn on_found(&mut self, found: Option<VersionedBudget>, incarnation: Incarnation) {
         if let Some(pending) = self.pending.take() {
             let unchanged = found.as_ref().map(|found| found.revision) == pending.expected_revision;
--- a/crates/burdockroad/src/gateway/directory.rs
+++ b/crates/burdockroad/src/gateway/directory.rs
@@ -78,7 +78,8 @@
         &self.document
     }
 
-    /// Returns the route of a host name with the longest prefix that matches `path`.
+    /// Returns the route for a request: among the routes of its host name, the one with the longest prefix of
+    /// `path`. The port and the letter case of `host` are ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let host_routes = match self.routes.get(name) {
--- a/crates/burdockroad/src/gateway/dissemination.rs
+++ b/crates/burdockroad/src/gateway/dissemination.rs
@@ -11,10 +11,10 @@
 /// Number of hosts that watch the store; the others receive updates from them.
 const WATCHER_COUNT: usize = 3;
 
-/// Maximum age of a watcher's last announcement. If no younger one exists, a host watches the range itself.
+/// Age of the last announcement of a range from which a host watches the range itself.
 const ANNOUNCEMENT_AGE_MAX: Duration = Duration::from_millis(450);
 
-/// Key under which hosts are ranked as watchers.
+/// Key of the rendezvous hash that ranks hosts as watchers.
 const WATCH_RANK_KEY: &str = "watch";
 
 /// Host with its failure domain.
@@ -43,22 +43,22 @@
 
 /// Returns whether a host should watch a range itself.
 ///
-/// This is the case if it is one of the watchers, or if no watcher has announced the range within
-/// `ANNOUNCEMENT_AGE_MAX`. The latter happens if the host is partitioned from the watchers but receives
-/// reports from hosts that leave watching to them.
+/// A host watches a range if it is one of the watchers, or if no host has announced within
+/// `ANNOUNCEMENT_AGE_MAX` that it watches the range. A host misses the announcements if it is partitioned from
+/// the watchers but receives reports from hosts that rely on the watchers.
 ///
-/// `live` contains the live hosts, including this one. `announcement_age` is the time since a host last
-/// announced that it watches the range; `None` if none did.
+/// `live` contains the live hosts, including this one. `announcement_age` is the time since any host last
+/// announced that it watches the range; `None` if no host has.
 pub fn should_watch(host: &HostId, live: &[HostLocation], announcement_age: Option<Duration>) -> bool {
     let is_announced = announcement_age.is_some_and(|age| age < ANNOUNCEMENT_AGE_MAX);
     !is_announced || watchers(live).contains(host)
 }
 
-/// Returns the hosts to which a report is sent: all in the sender's failure domain, and one in each other
-/// domain, which relays it there.
+/// Returns the hosts to which a report is sent: all hosts in the sender's failure domain, and one relay in each
+/// other domain, which forwards the report within its domain.
 ///
-/// The caller increments `rotation` with each report. The relays rotate with it, so an unresponsive relay loses
-/// few reports.
+/// The caller increments `rotation` with each report, which selects the next relay of each domain. An
+/// unresponsive relay therefore loses only some of the reports.
 pub fn report_targets(failure_domain: &str, others: &[HostLocation], rotation: usize) -> Vec<HostId> {
     let (local, remote): (Vec<&HostLocation>, Vec<&HostLocation>) = others
         .iter()
--- a/crates/burdockroad/src/gateway/document.rs
+++ b/crates/burdockroad/src/gateway/document.rs
@@ -34,13 +34,13 @@
     pub objective: Duration,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services among which the calls are split.
+    /// Services that share the calls by weight.
     pub targets: Vec<Target>,
     /// Maximum number of endpoints on which one call may run.
     pub endpoints_max: u32,
     /// Whether calls without a key are accepted.
     pub public: bool,
-    /// Period within which a stopped program may resume.
+    /// Time after a program has stopped within which it may resume.
     pub retention: Duration,
 }
 
@@ -132,6 +132,6 @@
     pub priority: Option<u8>,
     /// Rate limit over all hosts, in calls per second; 0 for no limit.
     pub rate_per_s: f64,
-    /// Calls above the rate that are admitted at once.
+    /// Maximum number of calls above the rate that are admitted at once.
     pub burst: f64,
 }
--- a/crates/burdockroad/src/gateway/events.rs
+++ b/crates/burdockroad/src/gateway/events.rs
@@ -10,6 +10,7 @@
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     pending: BytesMut,
+    /// Number of leading bytes of `pending` already searched for the end of an event.
     scanned_bytes: usize,
     last_id: Option<u64>,
     released: u64,
@@ -68,8 +69,9 @@
         self.released
     }
 
-    /// Returns the end of the first event, after its empty line.
+    /// Returns the offset after the empty line that ends the first event.
     fn find_end(&mut self) -> Option<usize> {
+        // The line break before an empty line may be among the bytes already scanned.
         let from = self.scanned_bytes.saturating_sub(2);
         let tail = &self.pending[from..];
         for (at, byte) in tail.iter().enumerate() {
--- a/crates/burdockroad/src/gateway/placement.rs
+++ b/crates/burdockroad/src/gateway/placement.rs
@@ -1,8 +1,9 @@
 //! Choice of a call's endpoint among all endpoints of its service.
 //!
-//! Load pattern: calls of programs whose prompts grow, on endpoints of different speed, some of them slow,
-//! failing or cold, while other hosts place calls on the same endpoints. The expected time of the call is
-//! computed for each endpoint, and the shortest is chosen.
+//! Load pattern: programs whose prompts grow with each call, and endpoints of different speed. Some endpoints
+//! are slow, failing or without cached prompts, and other hosts place calls on the same endpoints. The
+//! expected time to the first byte is computed for each endpoint, and the endpoint with the shortest one is
+//! chosen.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -12,17 +13,17 @@
 
 use crate::ids::{EndpointId, HostId};
 
-/// Weight of the latest sample in moving averages of times.
+/// Weight of the latest sample in an endpoint's mean time to the first byte.
 const TIME_SMOOTHING: f64 = 0.15;
 
-/// Half-life of an endpoint's own mean, which decays towards the service's mean so that a slow endpoint is
-/// retried.
+/// Half-life of the difference between an endpoint's mean and the service's mean. The decay lets calls return
+/// to an endpoint that was slow.
 const MEAN_HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Expected time of a call before the first sample, in milliseconds.
+/// Expected time to the first byte before the first sample, in milliseconds.
 const INITIAL_TIME_MS: f64 = 100.0;
 
-/// Relative slowdown of a call on an endpoint whose slots are all occupied.
+/// Additional time of a call on an endpoint whose slots are all occupied, as a fraction of the mean time.
 const CONGESTION_FACTOR: f64 = 0.25;
 
 /// Time to compute one prompt token that the endpoint has not cached, in milliseconds.
@@ -69,12 +70,12 @@
     /// Maximum number of concurrent calls.
     pub slots: u32,
     /// Whether the endpoint is draining and takes no new calls.
-    pub leaving: bool,
+    pub draining: bool,
     /// Start time of this run in Unix milliseconds; 0 if not reported.
     pub started_unix_ms: u64,
 }
 
-/// Load reported in an endpoint's response.
+/// Load that an endpoint reports with its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReading {
     /// Running calls.
@@ -153,17 +154,20 @@
 struct EndpointRow {
     endpoint: Endpoint,
     in_flight: u32,
-    /// Calls of other hosts, as last reported by the endpoint or by the hosts.
+    /// Estimated calls of other hosts, from the latest report of the endpoint or of another host.
     peer_calls: u32,
     /// Sum of the other hosts' last reports. It is updated by the difference of each report, because summing
     /// over all hosts on each report would take time quadratic in the number of hosts.
     reported_calls: u32,
     peer_calls_at: Option<Instant>,
-    mean_ms: f64,
-    mean_at: Option<Instant>,
-    failures: u32,
+    mean_first_byte_ms: f64,
+    /// Time of the last sample of `mean_first_byte_ms`.
+    sampled_at: Option<Instant>,
+    consecutive_failures: u32,
     ejected_until: Option<Instant>,
+    /// Ids of the prompt parts assumed to be cached.
     cached_parts: HashSet<u64>,
+    /// The same ids, oldest first, for eviction.
     cached_order: VecDeque<u64>,
 }
 
@@ -206,14 +210,14 @@
     /// Returns the number of a service's endpoints that take new calls.
     pub fn usable(&self, service: &str) -> usize {
         let rows = self.rows.values();
-        rows.filter(|row| row.endpoint.service == service && !row.endpoint.leaving)
+        rows.filter(|row| row.endpoint.service == service && !row.endpoint.draining)
             .count()
     }
 
     /// Returns the calls per slot of a service's endpoints; 0 if it has none.
     pub fn load_per_slot(&self, service: &str, now: Instant) -> f64 {
         let rows = self.rows.values();
-        let usable = rows.filter(|row| row.endpoint.service == service && !row.endpoint.leaving);
+        let usable = rows.filter(|row| row.endpoint.service == service && !row.endpoint.draining);
         let (load, slots) = usable.fold((0, 0), |(load, slots), row| {
             (load + row.load(now), slots + row.endpoint.slots)
         });
@@ -240,15 +244,15 @@
 
     /// Chooses the endpoint with the shortest expected time; `None` if no endpoint is left to try.
     ///
-    /// `jitter_seed` varies the choice among equivalent endpoints. Ejected endpoints are used only if no
-    /// other is left.
+    /// `jitter_seed` varies the choice among endpoints with similar expected times. Ejected endpoints are
+    /// chosen only if no other endpoint is left.
     pub fn choose(&self, query: PlacementQuery<'_>, jitter_seed: u64, now: Instant) -> Option<Placement> {
         let service_mean_ms = self.service_mean_ms(query.service);
         let candidates = self
             .rows
             .values()
             .filter(|row| row.endpoint.service == query.service)
-            .filter(|row| !row.endpoint.leaving && !query.tried.contains(&row.endpoint.id))
+            .filter(|row| !row.endpoint.draining && !query.tried.contains(&row.endpoint.id))
             .filter(|row| row.in_flight < query.in_flight_max);
         let estimates = candidates.map(|row| {
             let estimate_ms = row.estimate_ms(&query, service_mean_ms, now) + row.jitter_ms(jitter_seed);
@@ -286,7 +290,8 @@
         }
     }
 
-    /// Records the load reported by an endpoint. Calls beyond this host's own count as calls of other hosts.
+    /// Records the load reported by an endpoint. Calls in excess of this host's own calls are counted as calls
+    /// of other hosts.
     pub fn record_load(&mut self, id: &str, load: LoadReading, now: Instant) {
         if let Some(row) = self.rows.get_mut(id) {
             row.peer_calls = (load.running + load.waiting).saturating_sub(row.in_flight);
@@ -334,8 +339,10 @@
         let measured = self
             .rows
             .values()
-            .filter(|row| row.endpoint.service == service && row.mean_at.is_some());
-        let (count, sum) = measured.fold((0.0, 0.0), |(count, sum), row| (count + 1.0, sum + row.mean_ms));
+            .filter(|row| row.endpoint.service == service && row.sampled_at.is_some());
+        let (count, sum) = measured.fold((0.0, 0.0), |(count, sum), row| {
+            (count + 1.0, sum + row.mean_first_byte_ms)
+        });
         if count > 0.0 { sum / count } else { INITIAL_TIME_MS }
     }
 }
@@ -348,9 +355,9 @@
             peer_calls: 0,
             reported_calls: 0,
             peer_calls_at: None,
-            mean_ms: INITIAL_TIME_MS,
-            mean_at: None,
-            failures: 0,
+            mean_first_byte_ms: INITIAL_TIME_MS,
+            sampled_at: None,
+            consecutive_failures: 0,
             ejected_until: None,
             cached_parts: HashSet::new(),
             cached_order: VecDeque::new(),
@@ -372,8 +379,8 @@
         let slots = f64::from(self.endpoint.slots.max(1));
         let load = f64::from(self.load(now));
         let congestion_ms = mean_ms * CONGESTION_FACTOR * (load / slots).min(1.0);
-        let queued_waves = ((load + 1.0 - slots) / slots).max(0.0);
-        let uncached = self.uncached_tokens(query.parts);
+        let queued_batches = ((load + 1.0 - slots) / slots).max(0.0);
+        let uncached_tokens = self.uncached_tokens(query.parts);
         let distance_ms = if self.endpoint.failure_domain == query.failure_domain {
             0.0
         } else {
@@ -381,33 +388,33 @@
         };
         mean_ms
             + congestion_ms
-            + queued_waves * service_mean_ms.max(mean_ms) * 2.0
-            + uncached * PROMPT_TOKEN_MS
+            + queued_batches * service_mean_ms.max(mean_ms) * 2.0
+            + uncached_tokens * PROMPT_TOKEN_MS
             + distance_ms
     }
 
     fn decayed_mean_ms(&self, service_mean_ms: f64, now: Instant) -> f64 {
-        let Some(at) = self.mean_at else {
+        let Some(at) = self.sampled_at else {
             return service_mean_ms;
         };
-        let age = now.saturating_duration_since(at).as_secs_f64() / MEAN_HALF_LIFE.as_secs_f64();
-        service_mean_ms + (self.mean_ms - service_mean_ms) * 0.5_f64.powf(age)
+        let half_lives = now.saturating_duration_since(at).as_secs_f64() / MEAN_HALF_LIFE.as_secs_f64();
+        service_mean_ms + (self.mean_first_byte_ms - service_mean_ms) * 0.5_f64.powf(half_lives)
     }
 
     /// Returns the number of prompt tokens after the longest cached prefix.
     fn uncached_tokens(&self, parts: &[PromptPart]) -> f64 {
-        let uncached = parts
+        let uncached_parts = parts
             .iter()
             .skip_while(|part| self.cached_parts.contains(&part.id));
-        uncached.map(|part| f64::from(part.tokens)).sum()
+        uncached_parts.map(|part| f64::from(part.tokens)).sum()
     }
 
-    /// Returns a small part of the expected time that differs by endpoint and call. Without it, hosts with
-    /// the same information would all choose the same endpoint.
+    /// Returns a pseudorandom addition to the expected time, determined by the seed and the endpoint. Without
+    /// it, hosts with the same information would all choose the same endpoint.
     fn jitter_ms(&self, jitter_seed: u64) -> f64 {
         let hash = xxhash_rust::xxh3::xxh3_64_with_seed(self.endpoint.id.as_bytes(), jitter_seed);
         let steps = u32::try_from(hash % 1024).unwrap_or(0);
-        f64::from(steps) / 1024.0 * self.mean_ms * JITTER_FRACTION
+        f64::from(steps) / 1024.0 * self.mean_first_byte_ms * JITTER_FRACTION
     }
 
     fn cache_part(&mut self, part: u64) {
@@ -426,17 +433,17 @@
         match outcome {
             Outcome::Responded { first_byte } => {
                 let sample_ms = first_byte.as_secs_f64() * 1000.0;
-                if self.mean_at.is_none() {
-                    self.mean_ms = sample_ms;
+                if self.sampled_at.is_none() {
+                    self.mean_first_byte_ms = sample_ms;
                 }
-                self.mean_ms += (sample_ms - self.mean_ms) * TIME_SMOOTHING;
-                self.mean_at = Some(now);
-                self.failures = 0;
+                self.mean_first_byte_ms += (sample_ms - self.mean_first_byte_ms) * TIME_SMOOTHING;
+                self.sampled_at = Some(now);
+                self.consecutive_failures = 0;
                 self.ejected_until = None;
             }
             Outcome::Failed => {
-                let backoff = EJECTION_MIN * 2_u32.pow(self.failures.min(8));
-                self.failures += 1;
+                let backoff = EJECTION_MIN * 2_u32.pow(self.consecutive_failures.min(8));
+                self.consecutive_failures += 1;
                 self.ejected_until = Some(now + backoff.min(EJECTION_MAX));
             }
             Outcome::Full => {
--- a/crates/burdockroad/src/gateway/program_start.rs
+++ b/crates/burdockroad/src/gateway/program_start.rs
@@ -1,8 +1,8 @@
 //! Admission of new programs while a service is congested.
 //!
-//! Load pattern: twice the usual number of programs for some seconds. If all of them ran together, they would
-//! finish too late to be useful. Some of the programs refused at their first call return when there is
-//! capacity, and running programs finish in time.
+//! Load pattern: twice the usual number of programs for some seconds. If all of them ran at the same time, they
+//! would finish too late to be useful. The gate therefore refuses programs at their first call, so that
+//! running programs finish in time. Some of the refused programs retry later and are admitted then.
 
 use std::{
     collections::HashMap,
@@ -26,7 +26,7 @@
 /// Maximum random addition to the retry delay, which spreads the retries of refused programs.
 const RETRY_JITTER_MAX: Duration = Duration::from_millis(500);
 
-/// Time for which a refusal is remembered.
+/// Time after a refusal within which a program counts as refused before.
 const REFUSAL_RETENTION: Duration = Duration::from_secs(5);
 
 /// Decision on whether a program may start.
@@ -41,7 +41,7 @@
     },
 }
 
-/// Admission gate for new programs, with their last refusals.
+/// Admission gate for new programs, with the time of each program's last refusal.
 #[derive(Clone, Debug, Default)]
 pub struct ProgramStartGate {
     refused_at: HashMap<ProgramId, Instant>,
--- a/crates/burdockroad/src/gateway/rate_limit.rs
+++ b/crates/burdockroad/src/gateway/rate_limit.rs
@@ -1,9 +1,10 @@
 //! Rate limits of accounts, enforced jointly by hosts that report their admitted calls to each other.
 //!
 //! Load pattern: one account sends several times its rate for seconds, unevenly over the hosts, while hosts
-//! are partitioned and restarted. Every host tracks the account's whole bucket from the reports of the
-//! others. Above the low watermark, a call is admitted at once. Below it, reports arrive too late to keep
-//! hosts from spending the same tokens twice, so each host stays within its share of the rate.
+//! are partitioned and restarted. Every host tracks the level of the account's whole token bucket from the
+//! reports of the others. While the level is above a low watermark, a call is admitted at once. Below the
+//! watermark, reports arrive too late to keep hosts from spending the same tokens twice, so each host admits
+//! only its share of the rate.
 
 mod bucket;
 
@@ -18,7 +19,7 @@
 /// Age of the last report from which a host counts as unresponsive.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(500);
 
-/// Time since its start during which a host adopts the levels reported by hosts that have run longer.
+/// Time after its start during which a host adopts the levels reported by hosts that have run longer.
 const STARTUP_SYNC_PERIOD: Duration = Duration::from_secs(1);
 
 /// Whether a call is within its account's rate.
@@ -55,7 +56,7 @@
     pub admitted: u64,
     /// Calls requested per second, admitted or not.
     pub demand_per_s: f64,
-    /// Part of `demand_per_s` that belongs to running programs.
+    /// Part of `demand_per_s` that is requested by running programs.
     pub running_per_s: f64,
     /// Programs started per second.
     pub started_per_s: f64,
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Sets the accounts that have a rate. The calls that other hosts admit for them are tracked from then
-    /// on.
+    /// Sets the accounts that have a rate, each with its rate in calls per second and its burst. From then on,
+    /// the calls that other hosts admit for them are tracked.
     pub fn set_accounts<'a>(&mut self, accounts: impl IntoIterator<Item = (&'a AccountId, f64, f64)>) {
         let mut previous = std::mem::take(&mut self.buckets);
         for (account, rate_per_s, burst) in accounts {
@@ -132,27 +133,27 @@
     /// part of the bucket is reserved for running programs.
     pub fn admit(&mut self, account: &AccountId, starts_program: bool, now: Instant) -> Admission {
         let hosts = self.peers.len() + 1;
-        let unresponsive = self.unresponsive(now);
+        let unresponsive_hosts = self.unresponsive_hosts(now);
         let Some(bucket) = self.buckets.get_mut(account) else {
             return Admission::Admitted;
         };
-        bucket.refill(hosts, unresponsive, now);
+        bucket.refill(hosts, unresponsive_hosts, now);
         bucket.record_demand(starts_program);
         bucket.start_round(self.round, hosts);
-        bucket.admit(hosts, unresponsive, starts_program)
+        bucket.admit(hosts, unresponsive_hosts, starts_program)
     }
 
-    /// Returns whether the account's rate leaves room for another program, without counting a call.
+    /// Returns whether the account's rate allows another program to start, without counting a call.
     pub fn may_start_program(&mut self, account: &AccountId, now: Instant) -> Admission {
         let hosts = self.peers.len() + 1;
-        let unresponsive = self.unresponsive(now);
+        let unresponsive_hosts = self.unresponsive_hosts(now);
         let Some(bucket) = self.buckets.get_mut(account) else {
             return Admission::Admitted;
         };
-        bucket.refill(hosts, unresponsive, now);
+        bucket.refill(hosts, unresponsive_hosts, now);
         bucket.start_round(self.round, hosts);
-        let low_watermark = bucket.low_watermark_for(hosts, unresponsive);
-        bucket.admit_if_room(low_watermark)
+        let low_watermark = bucket.low_watermark_for(hosts, unresponsive_hosts);
+        bucket.check_program_start(low_watermark)
     }
 
     /// Records the usage reported by another host.
@@ -191,10 +192,10 @@
     /// Returns this host's usage report.
     pub fn report(&mut self, host: &HostId, incarnation: u64, now: Instant) -> UsageReport {
         let hosts = self.peers.len() + 1;
-        let unresponsive = self.unresponsive(now);
+        let unresponsive_hosts = self.unresponsive_hosts(now);
         let mut accounts = Vec::with_capacity(self.buckets.len());
         for (account, bucket) in &mut self.buckets {
-            bucket.refill(hosts, unresponsive, now);
+            bucket.refill(hosts, unresponsive_hosts, now);
             accounts.push(bucket.report(account));
         }
         UsageReport {
@@ -212,7 +213,7 @@
     }
 
     /// Returns the number of unresponsive hosts, which may admit calls unseen by this host.
-    fn unresponsive(&self, now: Instant) -> usize {
+    fn unresponsive_hosts(&self, now: Instant) -> usize {
         self.peers.values().filter(|peer| !peer.is_live(now)).count()
     }
 }
--- a/crates/burdockroad/src/gateway/rate_limit/bucket.rs
+++ b/crates/burdockroad/src/gateway/rate_limit/bucket.rs
@@ -23,7 +23,7 @@
 /// Fraction of rate and burst by which the bucket may additionally be overdrawn.
 const OVERDRAFT_FRACTION: f64 = 0.03;
 
-/// Fraction of the level that a host may use per report round.
+/// Fraction of the level that a host may use per report round, before all other hosts have reported again.
 const ROUND_FRACTION: f64 = 0.37;
 
 /// Minimum number of calls that all hosts together may use per report round.
@@ -35,10 +35,11 @@
 /// Expected call rate of a running program, in calls per second.
 const PROGRAM_CALLS_PER_S: f64 = 6.0;
 
-/// Fraction of the rate that running programs may need before their excess demand defers new programs.
+/// Fraction of the rate above which the expected calls of running programs defer new programs.
 const START_RATE_FRACTION: f64 = 0.9;
 
-/// Time for which the bucket covers running programs' demand beyond the rate, in seconds.
+/// Time for which the bucket must cover the excess demand of running programs before a new program starts, in
+/// seconds.
 const START_HORIZON_S: f64 = 0.7;
 
 /// Minimum retry delay of a refused caller.
@@ -71,7 +72,9 @@
     round_remaining: f64,
     admitted: u64,
     demand_per_s: f64,
+    /// Part of `demand_per_s` that is requested by running programs.
     running_per_s: f64,
+    /// Programs started per second.
     started_per_s: f64,
     peers: HashMap<HostId, PeerUsage>,
 }
@@ -120,13 +123,13 @@
 
     /// Adds the tokens accrued since the last refill. Each unresponsive host is assumed to use an equal share
     /// of the rate.
-    pub(super) fn refill(&mut self, hosts: usize, unresponsive: usize, now: Instant) {
+    pub(super) fn refill(&mut self, hosts: usize, unresponsive_hosts: usize, now: Instant) {
         let elapsed_s = now.saturating_duration_since(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
-        let live_share = hosts_as_f64(hosts - unresponsive) / hosts_as_f64(hosts);
+        let live_share = hosts_as_f64(hosts - unresponsive_hosts) / hosts_as_f64(hosts);
         let rate_per_s = self.rate_per_s * live_share;
         self.level = (self.level + elapsed_s * rate_per_s).min(self.burst * live_share);
-        let own_rate_per_s = rate_per_s * self.own_share(hosts - unresponsive);
+        let own_rate_per_s = rate_per_s * self.own_share(hosts - unresponsive_hosts);
         let rate_factor = if self.level < 0.0 {
             OVERDRAWN_RATE_FACTOR
         } else {
@@ -153,7 +156,7 @@
     fn own_share(&self, live_hosts: usize) -> f64 {
         let equal_share = 1.0 / hosts_as_f64(live_hosts.max(1));
         let others: f64 = self.peers.values().map(|usage| usage.demand_per_s).sum();
-        // The lower bound leaves room for callers that have just connected to this host.
+        // The lower bound leaves part of the rate for callers that have just connected to this host.
         let all = self.demand_per_s + others;
         if all < 1.0 {
             return equal_share;
@@ -161,9 +164,14 @@
         (self.demand_per_s / all).max(equal_share * 0.1)
     }
 
-    pub(super) fn admit(&mut self, hosts: usize, unresponsive: usize, starts_program: bool) -> Admission {
-        let alone = hosts - unresponsive == 1;
-        let low_watermark = self.low_watermark_for(hosts, unresponsive);
+    pub(super) fn admit(
+        &mut self,
+        hosts: usize,
+        unresponsive_hosts: usize,
+        starts_program: bool,
+    ) -> Admission {
+        let alone = hosts - unresponsive_hosts == 1;
+        let low_watermark = self.low_watermark_for(hosts, unresponsive_hosts);
         if starts_program {
             return self.admit_program_start(low_watermark);
         }
@@ -175,7 +183,7 @@
             self.own_level -= 1.0;
             return self.count();
         }
-        let own_rate_per_s = self.rate_per_s * self.own_share(hosts - unresponsive);
+        let own_rate_per_s = self.rate_per_s * self.own_share(hosts - unresponsive_hosts);
         let wait_s = (1.0 - self.own_level).max(0.1) / own_rate_per_s.max(0.2);
         Admission::Refused {
             retry_after: Duration::from_secs_f64(wait_s).min(RETRY_AFTER_MAX),
@@ -184,7 +192,7 @@
 
     /// Decides on a call that starts a program.
     fn admit_program_start(&mut self, low_watermark: f64) -> Admission {
-        let decision = self.admit_if_room(low_watermark);
+        let decision = self.check_program_start(low_watermark);
         if decision != Admission::Admitted {
             return decision;
         }
@@ -197,8 +205,8 @@
         self.count()
     }
 
-    /// Decides whether running programs leave room for another program, without counting it.
-    pub(super) fn admit_if_room(&self, low_watermark: f64) -> Admission {
+    /// Decides whether running programs leave enough tokens for another program, without counting a call.
+    pub(super) fn check_program_start(&self, low_watermark: f64) -> Admission {
         let excess_per_s = self.expected_per_s() - self.rate_per_s * START_RATE_FRACTION;
         let expected_shortfall = (excess_per_s * START_HORIZON_S).max(0.0);
         let required_level = low_watermark + self.burst * RUNNING_RESERVE_FRACTION + expected_shortfall;
@@ -213,8 +221,10 @@
         }
     }
 
-    pub(super) fn low_watermark_for(&self, hosts: usize, unresponsive: usize) -> f64 {
-        if hosts - unresponsive == 1 {
+    /// Returns the low watermark. For a host without live peers, it is the level that one call needs, because
+    /// no other live host spends the same tokens.
+    pub(super) fn low_watermark_for(&self, hosts: usize, unresponsive_hosts: usize) -> f64 {
+        if hosts - unresponsive_hosts == 1 {
             1.0
         } else {
             self.low_watermark()
@@ -223,9 +233,9 @@
 
     /// Returns the expected calls per second of running programs at all hosts.
     ///
-    /// A program's calls show up in the demand average only after a delay. Until then, the program is counted
-    /// with the usual rate of a program. Both averages decay with the same time constant, so a program's
-    /// weight does not depend on its age.
+    /// The calls of a new program show in the average demand only after a delay. Until then, the program is
+    /// counted with [`PROGRAM_CALLS_PER_S`]. The averages of demand and of started programs decay with the
+    /// same time constant, so a program has the same weight at any age.
     fn expected_per_s(&self) -> f64 {
         let others: f64 = self.peers.values().map(|usage| usage.expected_per_s).sum();
         self.running_per_s + self.started_per_s * PROGRAM_CALLS_PER_S + others
@@ -244,8 +254,8 @@
         Admission::Admitted
     }
 
-    /// Counts the calls that a peer admitted since its previous report. If the peer started before this host,
-    /// the calls of its first report are not counted.
+    /// Subtracts the calls that a peer admitted since its previous report from the level. If the peer started
+    /// before this host, the calls of its first report are not subtracted.
     pub(super) fn record_peer_usage(
         &mut self,
         report: &UsageReport,
--- a/crates/burdockroad/src/gateway/retry.rs
+++ b/crates/burdockroad/src/gateway/retry.rs
@@ -2,14 +2,14 @@
 
 use crate::gateway::RouteKind;
 
-/// Maximum number of attempts that end before the call runs; each of them costs a connection or a round trip.
+/// Maximum number of attempts that end before the call runs. Each of them costs a connection or a round trip.
 const UNSTARTED_MAX: u32 = 6;
 
 /// Maximum number of attempts of unknown outcome that are retried.
 const UNKNOWN_RETRIES_MAX: u32 = 2;
 
-/// Number of consecutive failed attempts to reach an endpoint on which a call may have run, from which it
-/// counts as removed.
+/// Number of consecutive failed attempts to reach an endpoint after which it counts as removed. Applies to an
+/// endpoint on which a call may have run.
 pub(super) const UNREACHABLE_ATTEMPTS_MIN: u32 = 3;
 
 /// Cause of a failed attempt.
@@ -30,7 +30,7 @@
 /// Attempts of one call so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryState {
-    /// Attempts that certainly did not run the call.
+    /// Attempts that are known not to have run the call.
     pub unstarted: u32,
     /// Attempts of unknown outcome.
     pub unknown: u32,
@@ -58,8 +58,9 @@
 /// Returns the action after a failure, which `state` already includes.
 ///
 /// A call that has not run may be sent to any endpoint. A call that may have run is retried only if its route
-/// allows it, and at the same endpoint if that is up: another endpoint would exceed the operator's limit by
-/// one, while the first may still be processing the call.
+/// allows it. Once it has run on `endpoints_max` endpoints, it is retried only at the last one while that is
+/// up: any other endpoint would exceed the operator's limit, because the last one may still be processing the
+/// call.
 pub fn next_step(kind: RouteKind, endpoints_max: u32, failure: Failure, state: RetryState) -> NextStep {
     let ran_somewhere = state.unknown > 0;
     match failure {
@@ -74,7 +75,7 @@
         }
         _ if !kind.may_retry() => NextStep::GiveUp,
         _ if state.unknown > UNKNOWN_RETRIES_MAX || state.unstarted >= UNSTARTED_MAX => NextStep::GiveUp,
-        // An unresponsive endpoint may still be processing the call on a busy host.
+        // An endpoint that does not accept connections may be on a busy host and still be processing the call.
         Failure::Unreachable if state.unreachable_attempts < UNREACHABLE_ATTEMPTS_MIN => {
             NextStep::SameEndpoint
         }
--- a/crates/burdockroad/src/gateway/running.rs
+++ b/crates/burdockroad/src/gateway/running.rs
@@ -1,4 +1,4 @@
-//! Running programs of this host.
+//! Programs that have called recently and therefore count as running.
 
 use std::{
     collections::HashMap,
--- a/crates/burdockroad/tests/gateway_allowance.rs
+++ b/crates/burdockroad/tests/gateway_allowance.rs
@@ -117,7 +117,7 @@
     }
     assert!(
         hosts.max_calls_in_window() <= max_allowed_calls(),
-        "{}",
+        "{} calls in one window",
         hosts.max_calls_in_window()
     );
     assert!(hosts.admitted_at.len() >= RATE * 12 * 8 / 10);
@@ -133,13 +133,13 @@
     }
     assert!(
         hosts.max_calls_in_window() <= max_allowed_calls(),
-        "{}",
+        "{} calls in one window",
         hosts.max_calls_in_window()
     );
 }
 
 #[test]
-fn new_after_restart_grants_no_burst() {
+fn new_grants_no_burst() {
     let mut hosts = Hosts::new();
     let started_at = hosts.now;
     for step in 0..200_usize {
@@ -152,8 +152,9 @@
     assert!(first_second.count() <= RATE + 20);
 }
 
-/// Guards against refusals by a host that restarts under normal load. Once its longer-running peers have
-/// reported, it must use their level and refuse no call that the account's rate allows.
+/// Guards against refusals by a host that restarts under normal load with an empty bucket. Once its
+/// longer-running peers have reported, it must adopt their level and refuse no call that the account's rate
+/// allows.
 #[test]
 fn record_report_after_restart_adopts_peer_level() {
     let mut hosts = Hosts::new();
@@ -166,7 +167,7 @@
         }
     }
     hosts.restart(3);
-    // One report of each peer.
+    // Each peer reports twice.
     hosts.idle(Duration::from_millis(300));
     let admitted_before = hosts.admitted_at.len();
     for step in 0..200_usize {
@@ -176,8 +177,8 @@
     assert_eq!(hosts.admitted_at.len() - admitted_before, 20);
 }
 
-/// A peer that restarts counts from zero. All of its calls must be counted, including those of accounts that
-/// are missing from its first report.
+/// Guards against uncounted calls of a peer that restarts. Its counts restart at zero, and an account that is
+/// missing from its first report has no previous count.
 #[test]
 fn record_report_of_restarted_peer_counts_all_calls() {
     let mut now = Instant::now();
@@ -185,7 +186,7 @@
     let mut rate_limiter = RateLimiter::new(now);
     rate_limiter.set_peers([host_id(1)]);
     rate_limiter.set_accounts([(&account, RATE_PER_S, BURST)]);
-    let used = |admitted| AccountUsage {
+    let usage = |admitted| AccountUsage {
         account: account.clone(),
         admitted,
         demand_per_s: 1.0,
@@ -199,10 +200,10 @@
         accounts,
     };
     now += Duration::from_secs(5);
-    rate_limiter.record_report(&report(1, Duration::from_secs(5), vec![used(500)]), now);
+    rate_limiter.record_report(&report(1, Duration::from_secs(5), vec![usage(500)]), now);
     let before = rate_limiter.report(&host_id(0), 1, now).accounts[0].level;
     rate_limiter.record_report(&report(2, Duration::ZERO, Vec::new()), now);
-    rate_limiter.record_report(&report(2, Duration::ZERO, vec![used(40)]), now);
+    rate_limiter.record_report(&report(2, Duration::ZERO, vec![usage(40)]), now);
     let after = rate_limiter.report(&host_id(0), 1, now).accounts[0].level;
     assert!((before - after - 40.0).abs() < 1e-9, "{before} {after}");
 }
--- a/crates/burdockroad/tests/gateway_budget.rs
+++ b/crates/burdockroad/tests/gateway_budget.rs
@@ -13,7 +13,7 @@
 const MAX_TOKENS: u64 = 288;
 const PROGRAM: &str = "program";
 
-/// Outcome of a write.
+/// Simulated outcome of a write.
 #[derive(Clone, Copy, Debug)]
 enum WriteOutcome {
     Responded,
@@ -24,9 +24,9 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Enter { host: usize, owns_budget: bool },
+    AddWaiter { host: usize, owns_budget: bool },
     Take { host: usize },
-    End { host: usize, used_tokens: u64 },
+    Settle { host: usize, used_tokens: u64 },
     Write { host: usize, outcome: WriteOutcome },
     DelayedArrives,
     Poll { host: usize },
@@ -101,7 +101,7 @@
         self.now += Duration::from_millis(50);
         let now = self.now;
         match step {
-            Step::Enter { host, owns_budget } => {
+            Step::AddWaiter { host, owns_budget } => {
                 let host = &mut self.hosts[host];
                 host.ledger
                     .add_waiter(&program, BUDGET_TOKENS, MAX_TOKENS, owns_budget, now);
@@ -115,7 +115,7 @@
                     host.running += 1;
                 }
             }
-            Step::End { host, used_tokens } => {
+            Step::Settle { host, used_tokens } => {
                 let host = &mut self.hosts[host];
                 if host.running > 0 {
                     host.running -= 1;
@@ -185,9 +185,9 @@
 fn steps() -> impl Strategy<Value = Step> {
     let host = 0..HOSTS;
     prop_oneof![
-        3 => (host.clone(), any::<bool>()).prop_map(|(host, owns_budget)| Step::Enter { host, owns_budget }),
+        3 => (host.clone(), any::<bool>()).prop_map(|(host, owns_budget)| Step::AddWaiter { host, owns_budget }),
         6 => host.clone().prop_map(|host| Step::Take { host }),
-        3 => (host.clone(), 0..=MAX_TOKENS).prop_map(|(host, used_tokens)| Step::End { host, used_tokens }),
+        3 => (host.clone(), 0..=MAX_TOKENS).prop_map(|(host, used_tokens)| Step::Settle { host, used_tokens }),
         6 => (host.clone(), outcomes()).prop_map(|(host, outcome)| Step::Write { host, outcome }),
         1 => Just(Step::DelayedArrives),
         1 => host.clone().prop_map(|host| Step::Poll { host }),
@@ -210,7 +210,7 @@
 }
 
 fn start_call(cluster: &mut Cluster, host: usize) -> bool {
-    cluster.apply(Step::Enter {
+    cluster.apply(Step::AddWaiter {
         host,
         owns_budget: true,
     });
@@ -229,7 +229,7 @@
     let mut cluster = Cluster::new();
     for _ in 0..6 {
         assert!(start_call(&mut cluster, 0));
-        cluster.apply(Step::End {
+        cluster.apply(Step::Settle {
             host: 0,
             used_tokens: 72,
         });
@@ -253,7 +253,7 @@
 fn take_after_restart_refuses_spent_budget() {
     let mut cluster = Cluster::new();
     while start_call(&mut cluster, 0) {
-        cluster.apply(Step::End {
+        cluster.apply(Step::Settle {
             host: 0,
             used_tokens: MAX_TOKENS,
         });
@@ -266,7 +266,7 @@
 }
 
 /// Guards against needless polls of the store. A program that never ends keeps requesting tokens while its own
-/// calls have reserved the whole remaining budget. Only reservations of other hosts are a reason to poll, and
+/// calls have reserved the whole remaining budget. A poll is useful only if other hosts have reservations, and
 /// one poll serves all waiting calls.
 #[test]
 fn should_poll_only_with_reservations_of_other_hosts() {
@@ -302,7 +302,7 @@
 fn release_idle_returns_unused_tokens() {
     let mut cluster = Cluster::new();
     assert!(start_call(&mut cluster, 0));
-    cluster.apply(Step::End {
+    cluster.apply(Step::Settle {
         host: 0,
         used_tokens: 10,
     });
--- a/crates/burdockroad/tests/gateway_placement.rs
+++ b/crates/burdockroad/tests/gateway_placement.rs
@@ -20,7 +20,7 @@
             .into(),
         failure_domain: "domain".to_owned(),
         slots: 12,
-        leaving: false,
+        draining: false,
         started_unix_ms: 1,
     }
 }
@@ -60,11 +60,11 @@
 }
 
 #[test]
-fn choose_skips_leaving_failing_and_slow_endpoints() {
+fn choose_skips_draining_failing_and_slow_endpoints() {
     let now = Instant::now();
     let mut table = table(4);
     table.insert(Endpoint {
-        leaving: true,
+        draining: true,
         ..endpoint(0)
     });
     table.record_outcome("endpoint-1", Outcome::Failed, now);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn next_step_retries_endpoint_on_which_call_may_run() {
+fn next_step_retries_same_endpoint_while_call_may_run() {
     let kind = RouteKind::Streaming { resumable: true };
     let unresponsive = RetryState {
         unknown: 1,
@@ -241,8 +241,8 @@
     );
 }
 
-/// Returns the number of programs that finish in time when twice as many start as the slots can serve. Each
-/// program makes four calls.
+/// Simulates twice as many programs as the slots can serve, of four calls each, and returns the number that
+/// finish in time.
 fn programs_in_time(gated: bool) -> usize {
     const SLOTS: usize = 10;
     const CALLS: u32 = 4;
--- a/crates/burdockroad/tests/gateway_spread.rs
+++ b/crates/burdockroad/tests/gateway_spread.rs
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn watchers_without_peers_is_own_host() {
+fn watchers_without_peers_contain_only_own_host() {
     let alone = locations(1, 1);
     assert_eq!(watchers(&alone), ["host-0"]);
 }
 
-/// Covers a host that is partitioned from the watchers but receives reports from hosts that leave watching to
-/// them.
+/// Guards against a host without store updates: a host that is partitioned from the watchers, but receives
+/// reports from hosts that rely on the watchers, must watch the range itself.
 #[test]
 fn should_watch_without_recent_announcement() {
     let live = locations(3, 3);
