--- a/crates/burdockroad/src/dispatch.rs
+++ b/crates/burdockroad/src/dispatch.rs
@@ -1,9 +1,9 @@
 //! Assignment of calls to slots at endpoints.
 //!
 //! A [`Pool`] contains the waiting calls and the occupied slots of one endpoint set. It shares the endpoints
-//! among accounts by weight and received service, serves the programs of an account in order of least
-//! attained service, and prefers the endpoint that has a program's prefix cached. Calls that cannot get a
-//! slot before their deadline are refused on arrival.
+//! among accounts by weight and received service. Within an account, it serves the program with the least
+//! attained service first. It prefers the endpoint that has a program's prefix cached. A call that is not
+//! expected to get a slot before its deadline is refused on arrival.
 //!
 //! # Example
 //!
@@ -51,15 +51,15 @@
     pub account_id: AccountId,
     /// Program of the call; `None` for a call outside a program.
     pub program_id: Option<ProgramId>,
-    /// Whether no call of the program has been served yet; also true for a single call.
+    /// Whether no call of the program has been served yet; also true for a call outside a program.
     pub first: bool,
-    /// Estimated tokens of the whole prompt; 0 for a service call.
+    /// Estimated tokens of the whole prompt; 0 for a call to a plain service.
     pub prompt_tokens: u64,
-    /// Maximum number of tokens that the engine may generate; 0 for a service call.
+    /// Maximum number of tokens that the engine may generate; 0 for a call to a plain service.
     pub max_output_tokens: u64,
     /// Tokens generated so far for the program's calls.
     pub attained_tokens: u64,
-    /// Endpoint that served the program's last completion.
+    /// Endpoint that served the program's last call to a model engine.
     pub prefix_endpoint_id: Option<EndpointId>,
     /// Endpoints already tried for this call.
     pub excluded: Vec<EndpointId>,
@@ -75,7 +75,7 @@
     /// Maximum number of concurrent calls.
     pub slots: u32,
     /// Whether the endpoint is draining and takes no new calls.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// Assignment of a slot to a call.
@@ -152,7 +152,7 @@
 }
 
 impl Call {
-    /// Creates a call without a program and without tokens.
+    /// Creates a call outside a program, without tokens.
     pub fn new(account_id: impl Into<AccountId>, slot_deadline: Instant) -> Self {
         Self {
             account_id: account_id.into(),
@@ -174,7 +174,7 @@
         Self {
             endpoint_id: endpoint_id.into(),
             slots,
-            leaving: false,
+            draining: false,
         }
     }
 }
--- a/crates/burdockroad/src/dispatch/fairness.rs
+++ b/crates/burdockroad/src/dispatch/fairness.rs
@@ -1,8 +1,8 @@
 //! Weighted fair sharing among accounts by start-time fair queueing.
 //!
-//! Each account has a tag that increases by the received service divided by its weight. The account with the
-//! lowest tag is served next. An account that was idle resumes at the tag served last, so it neither
-//! accumulates credit nor pays for service that it received while no other account was waiting.
+//! Each account has a tag, which increases by the service that the account receives, divided by its weight. The
+//! account with the lowest tag is served next. An account that was idle resumes at the last served tag, so it
+//! neither accumulates credit nor pays for service that it received while no other account was waiting.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -11,26 +11,26 @@
 
 use crate::{dispatch::CallId, ids::AccountId};
 
-/// Service, in thousandths of a generated token.
+/// Amount of work done for an account, in units of a thousandth of the work for one generated token.
 pub(super) type Service = u64;
 
 /// Order of the calls of one account; the lowest value goes first.
 pub(super) type Priority = u64;
 
-/// Service of a prompt token that the engine computes.
+/// Service charged for a prompt token that the engine computes.
 const PROMPT_SERVICE: Service = 100;
 
-/// Service of a prompt token that the engine has cached.
+/// Service charged for a prompt token that the engine has cached.
 const CACHED_SERVICE: Service = 10;
 
-/// Service of a generated token.
+/// Service charged for a generated token.
 const OUTPUT_SERVICE: Service = 1_000;
 
-/// Service of a call, excluding its tokens.
+/// Service charged for a call in addition to its tokens.
 const CALL_SERVICE: Service = 10_000;
 
 /// Expected generated tokens of an account's call before the first sample.
-const INITIAL_EXPECTED_OUTPUT: f64 = 256.0;
+const INITIAL_EXPECTED_OUTPUT_TOKENS: f64 = 256.0;
 
 /// Weight of the latest sample in the moving average of an account's generated tokens.
 const OUTPUT_SMOOTHING: f64 = 0.1;
@@ -41,16 +41,19 @@
 /// Delay of a call's priority for each doubling of its program's attained service.
 const ATTAINED_PENALTY: Duration = Duration::from_millis(400);
 
-/// Attained tokens below which programs are not distinguished.
+/// Unit in which attained tokens are counted for [`ATTAINED_PENALTY`]; calls of a program
+/// below one unit are not delayed.
 const ATTAINED_UNIT_TOKENS: u64 = 128;
 
 /// Waiting calls of all accounts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FairQueue {
     accounts: HashMap<AccountId, AccountRow>,
+    /// Accounts with waiting calls, ordered by tag.
     backlogged: BTreeSet<(Service, AccountId)>,
     /// Sum of the weights of accounts with waiting calls.
     backlogged_weight: f64,
+    /// Highest tag at which an account has been served.
     virtual_time: Service,
 }
 
@@ -59,7 +62,7 @@
     weight: f64,
     tag: Service,
     calls: BTreeSet<(Priority, CallId)>,
-    expected_output: f64,
+    expected_output_tokens: f64,
 }
 
 impl FairQueue {
@@ -114,28 +117,28 @@
         }
     }
 
-    /// Returns the call that goes next.
+    /// Returns the call to serve next.
     pub(super) fn first(&self) -> Option<CallId> {
         let (_, account_id) = self.backlogged.first()?;
         let (_, call_id) = self.accounts.get(account_id)?.calls.first()?;
         Some(*call_id)
     }
 
-    /// Adds service to an account's received service.
+    /// Adds service to an account's tag.
     pub(super) fn charge(&mut self, account_id: &AccountId, service: Service) {
         self.update_tag(account_id, |row| {
             row.tag.saturating_add(row.tag_increment(service))
         });
     }
 
-    /// Subtracts service that was charged but not received.
+    /// Subtracts service that was charged but not received from an account's tag.
     pub(super) fn refund(&mut self, account_id: &AccountId, service: Service) {
         self.update_tag(account_id, |row| {
             row.tag.saturating_sub(row.tag_increment(service))
         });
     }
 
-    /// Advances the virtual time to the tag of the account that is served.
+    /// Advances the virtual time to the tag of the account that is being served.
     pub(super) fn record_served(&mut self, account_id: &str) {
         if let Some(row) = self.accounts.get(account_id) {
             self.virtual_time = self.virtual_time.max(row.tag);
@@ -146,26 +149,27 @@
     pub(super) fn expected_service(
         &self,
         account_id: &str,
-        prompt: u64,
-        cached: u64,
-        max_output: u64,
+        prompt_tokens: u64,
+        cached_tokens: u64,
+        max_output_tokens: u64,
     ) -> Service {
         let expected = self
             .accounts
             .get(account_id)
-            .map_or(INITIAL_EXPECTED_OUTPUT, |row| row.expected_output);
-        let output = if max_output == 0 {
+            .map_or(INITIAL_EXPECTED_OUTPUT_TOKENS, |row| row.expected_output_tokens);
+        let output_tokens = if max_output_tokens == 0 {
             0
         } else {
-            round(expected).min(max_output)
+            round(expected).min(max_output_tokens)
         };
-        service(prompt, cached, output)
+        service(prompt_tokens, cached_tokens, output_tokens)
     }
 
     /// Records the number of tokens generated for a call of an account.
     pub(super) fn record_output(&mut self, account_id: &str, output_tokens: u64) {
         if let Some(row) = self.accounts.get_mut(account_id) {
-            row.expected_output += (tokens_as_f64(output_tokens) - row.expected_output) * OUTPUT_SMOOTHING;
+            row.expected_output_tokens +=
+                (tokens_as_f64(output_tokens) - row.expected_output_tokens) * OUTPUT_SMOOTHING;
         }
     }
 
@@ -186,7 +190,7 @@
             weight: 1.0,
             tag: 0,
             calls: BTreeSet::new(),
-            expected_output: INITIAL_EXPECTED_OUTPUT,
+            expected_output_tokens: INITIAL_EXPECTED_OUTPUT_TOKENS,
         }
     }
 }
@@ -197,10 +201,13 @@
     }
 }
 
-/// Returns the service of a call with the given tokens.
-pub(super) fn service(prompt: u64, cached: u64, output: u64) -> Service {
-    let cached = cached.min(prompt);
-    CALL_SERVICE + (prompt - cached) * PROMPT_SERVICE + cached * CACHED_SERVICE + output * OUTPUT_SERVICE
+/// Returns the service charged for a call with the given numbers of tokens.
+pub(super) fn service(prompt_tokens: u64, cached_tokens: u64, output_tokens: u64) -> Service {
+    let cached_tokens = cached_tokens.min(prompt_tokens);
+    CALL_SERVICE
+        + (prompt_tokens - cached_tokens) * PROMPT_SERVICE
+        + cached_tokens * CACHED_SERVICE
+        + output_tokens * OUTPUT_SERVICE
 }
 
 /// Returns a call's priority within its account: its arrival time, delayed according to its program's
--- a/crates/burdockroad/src/dispatch/health.rs
+++ b/crates/burdockroad/src/dispatch/health.rs
@@ -20,7 +20,7 @@
 /// Consecutive failed probes after which an endpoint is ejected for all accounts.
 const PROBE_FAILURES_MAX: u32 = 3;
 
-/// Minimum and maximum duration of an ejection.
+/// Minimum and maximum time for which an endpoint is ejected, or avoided by one account.
 const EJECTION: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
 
 /// Failures of one endpoint since its last success.
@@ -53,7 +53,7 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether the endpoint has been ejected and has had no success since.
+    /// Returns whether the endpoint has been ejected and has not served a call successfully since.
     pub(super) fn is_on_probation(&self) -> bool {
         self.ejected_until.is_some()
     }
--- a/crates/burdockroad/src/dispatch/kv_cache.rs
+++ b/crates/burdockroad/src/dispatch/kv_cache.rs
@@ -1,4 +1,5 @@
-//! Estimated contents of the engines' prefix caches, and what to do with a cached prefix during a tool call.
+//! Estimated contents of the engines' prefix caches, and the decision whether to keep a cached prefix during a
+//! tool call.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -91,7 +92,7 @@
     }
 
     fn evict(&mut self) {
-        while self.is_over()
+        while self.is_over_capacity()
             && let Some((_, oldest)) = self.by_use.pop_first()
         {
             if let Some(entry) = self.entries.remove(&oldest) {
@@ -100,7 +101,7 @@
         }
     }
 
-    fn is_over(&self) -> bool {
+    fn is_over_capacity(&self) -> bool {
         let too_many_tokens = self.max_tokens > 0 && self.tokens > self.max_tokens;
         too_many_tokens || self.entries.len() > ENTRIES_MAX
     }
@@ -117,7 +118,7 @@
     pub recompute_time: Duration,
     /// Time to export and later import the tokens; `None` if the engine cannot do so.
     pub transfer_time: Option<Duration>,
-    /// Time until the engine needs the tokens' memory for other programs.
+    /// Time until the engine needs the memory of the cached tokens for other programs.
     pub memory_available_for: Duration,
 }
 
@@ -132,7 +133,7 @@
     Export,
 }
 
-/// Decides whether to keep a prefix during a pause, to export it or to recompute it later.
+/// Decides whether to keep a prefix during a pause, to export it, or to evict it and recompute it later.
 ///
 /// # Example
 ///
--- a/crates/burdockroad/src/dispatch/placement.rs
+++ b/crates/burdockroad/src/dispatch/placement.rs
@@ -23,12 +23,12 @@
 /// Minimum number of computed prompt tokens for a call to count as a sample of an endpoint's speed.
 const PROMPT_SAMPLE_MIN_TOKENS: u64 = 256;
 
-/// Percentage of the prompt that the program's last endpoint is assumed to have cached if nothing is known of
-/// its cache.
+/// Percentage of the prompt that the program's last endpoint is assumed to have cached if no cached prefix of
+/// the program is tracked there and the capacity of the cache is unknown.
 const ASSUMED_CACHED_PERCENT: u64 = 80;
 
-/// Cost of taking the last free slot of an endpoint, in seconds; scaled by the occupied fraction of the
-/// slots.
+/// Cost of placing a call on an endpoint whose slots are all occupied, in seconds. The cost is proportional to
+/// the occupied fraction of the slots.
 const OCCUPANCY_COST_S: f64 = 0.05;
 
 /// Fraction of evicted tokens that is expected to be needed again.
@@ -41,13 +41,13 @@
 #[derive(Clone, Debug)]
 pub(super) struct EndpointRow {
     pub(super) slots: u32,
-    pub(super) leaving: bool,
+    pub(super) draining: bool,
     pub(super) in_flight: u32,
     pub(super) health: Health,
     pub(super) prefix_cache: PrefixCache,
     /// Calls that wait for this endpoint only, because it has their prefix cached.
     pub(super) parked: BTreeSet<(Priority, CallId)>,
-    /// Past numbers of the pool's own calls in flight, for comparison with delayed load reports.
+    /// Past values of `in_flight`, for comparison with delayed load reports.
     history: VecDeque<(Instant, u32)>,
     /// Calls from outside the pool, as of the last load report.
     other_calls: u32,
@@ -55,7 +55,7 @@
     pub(super) times: Times,
 }
 
-/// Speed of an endpoint; zero without a sample.
+/// Mean times of calls at an endpoint; zero until the first sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Times {
     /// Time to compute one prompt token, in seconds.
@@ -79,7 +79,7 @@
     pub(super) fn new(info: &EndpointInfo) -> Self {
         Self {
             slots: info.slots,
-            leaving: info.leaving,
+            draining: info.draining,
             in_flight: 0,
             health: Health::default(),
             prefix_cache: PrefixCache::default(),
@@ -93,7 +93,7 @@
 
     /// Returns the number of slots that can be assigned now.
     pub(super) fn free_slots(&self, now: Instant) -> u32 {
-        if self.leaving || self.health.is_ejected(now) {
+        if self.draining || self.health.is_ejected(now) {
             return 0;
         }
         // After an ejection, only one call at a time tests whether the endpoint works again.
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Records the speed of the endpoint as seen by a call.
+    /// Records the times of a completed call.
     pub(super) fn record_times(&mut self, report: &Report, service_time: Duration) {
         update_mean(&mut self.times.service_s, service_time.as_secs_f64());
         let computed = report.prompt_tokens.saturating_sub(report.cached_tokens);
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Copies the times that this endpoint has no samples for from another endpoint of the pool.
+    /// Sets the times for which this endpoint has no sample to those of another endpoint of the pool.
     pub(super) fn fill_missing_times(&mut self, reference: &Times) {
         if self.times.prompt_token_s == 0.0 {
             self.times.prompt_token_s = reference.prompt_token_s;
@@ -163,7 +163,7 @@
             .cached_tokens(program_id)
             .min(call.prompt_tokens);
         let served_last = call.prefix_endpoint_id.as_deref() == Some(endpoint_id);
-        // If the cache size is known, all entries are tracked, so a missing entry has been evicted.
+        // If the cache capacity is known, all entries are tracked, so a missing entry has been evicted.
         if tracked == 0 && served_last && self.prefix_cache.max_tokens() == 0 {
             return call.prompt_tokens * ASSUMED_CACHED_PERCENT / 100;
         }
@@ -261,20 +261,21 @@
     endpoints: &'a BTreeMap<EndpointId, EndpointRow>,
     call: &Call,
     now: Instant,
-    is_free: bool,
+    has_free_slot: bool,
 ) -> Option<(&'a EndpointId, f64)> {
     endpoints
         .iter()
         .filter(|(id, row)| is_usable(id, row, call, now))
         .filter(|(id, row)| {
-            (row.free_slots(now) > 0) == is_free && (is_free || row.cached_prompt_tokens(id, call) > 0)
+            (row.free_slots(now) > 0) == has_free_slot
+                && (has_free_slot || row.cached_prompt_tokens(id, call) > 0)
         })
         .map(|(id, row)| (id, row.cost_s(id, call)))
         .min_by(|a, b| a.1.total_cmp(&b.1))
 }
 
 fn is_usable(endpoint_id: &EndpointId, row: &EndpointRow, call: &Call, now: Instant) -> bool {
-    !row.leaving && row.health.admits(&call.account_id, now) && !call.excluded.contains(endpoint_id)
+    !row.draining && row.health.admits(&call.account_id, now) && !call.excluded.contains(endpoint_id)
 }
 
 fn update_mean(mean: &mut f64, value: f64) {
--- a/crates/burdockroad/src/dispatch/pool.rs
+++ b/crates/burdockroad/src/dispatch/pool.rs
@@ -22,7 +22,7 @@
 /// Maximum number of calls that a tick skips because no endpoint that they may use is free.
 const SKIPPED_MAX: usize = 16;
 
-/// Fraction of the time to its deadline that a program's first call may be expected to wait.
+/// A program's first call is refused if its expected wait exceeds this fraction of the time to its deadline.
 ///
 /// Calls of running programs take precedence over new programs: a program that is refused midway has consumed
 /// service for nothing.
@@ -114,7 +114,7 @@
         Self { waiting_max, ..self }
     }
 
-    /// Sets the first slot id, so that slot ids differ from those of an earlier owner of the pool.
+    /// Sets the first slot id. A new owner of the pool passes an id that no earlier owner has assigned.
     #[must_use]
     pub fn with_first_slot_id(self, first: SlotId) -> Self {
         Self {
@@ -136,8 +136,8 @@
                 .remove(&info.endpoint_id)
                 .unwrap_or_else(|| EndpointRow::new(&info));
             row.slots = info.slots;
-            row.leaving = info.leaving;
-            if info.leaving {
+            row.draining = info.draining;
+            if info.draining {
                 self.unpark_all(&mut row);
             }
             self.endpoints.insert(info.endpoint_id, row);
@@ -273,7 +273,7 @@
     }
 
     /// Returns the number of occupied slots.
-    pub fn taken(&self) -> usize {
+    pub fn occupied_slots(&self) -> usize {
         self.slots.len()
     }
 
@@ -302,8 +302,8 @@
         self.calls.len() >= self.waiting_max && calls_as_f64(own_calls) >= own_capacity
     }
 
-    /// Returns the expected time until a call that arrives now gets a slot, assuming that no waiting call is
-    /// removed.
+    /// Returns the expected time until a call that arrives now gets a slot. Assumes that no waiting call is
+    /// cancelled or refused.
     fn expected_wait(&self, call: &Call, slots: u32) -> Duration {
         if self.slots.len() + self.calls.len() < usize::try_from(slots).unwrap_or(usize::MAX) {
             return Duration::ZERO;
@@ -314,7 +314,7 @@
     }
 
     fn usable_slots(&self, now: Instant) -> u32 {
-        let usable = |row: &&EndpointRow| !row.leaving && !row.health.is_ejected(now);
+        let usable = |row: &&EndpointRow| !row.draining && !row.health.is_ejected(now);
         self.endpoints.values().filter(usable).map(|row| row.slots).sum()
     }
 
@@ -477,7 +477,7 @@
         Some(waiting)
     }
 
-    /// Replaces the service that was expected for a call by the service that it received.
+    /// Replaces the service that was charged for a call when it was assigned with the service that it received.
     fn correct_charge(&mut self, slot: &SlotRow, report: &Report) {
         let prompt_tokens = if report.prompt_tokens > 0 {
             report.prompt_tokens
--- a/crates/burdockroad/tests/dispatch.rs
+++ b/crates/burdockroad/tests/dispatch.rs
@@ -53,7 +53,8 @@
     }
 }
 
-/// Returns the calls served per account in `rounds` full batches, with all calls waiting from the start.
+/// Returns the number of calls served per account in `rounds` batches that fill all slots. All calls are
+/// submitted before the first batch.
 fn served(weights: &[(&str, f64, u32)], rounds: u32) -> BTreeMap<String, u32> {
     let now = Instant::now();
     let slot_deadline = now + Duration::from_hours(1);
@@ -173,7 +174,7 @@
 }
 
 #[test]
-fn tick_leaving_endpoint() {
+fn tick_draining_endpoint() {
     let now = Instant::now();
     let slot_deadline = now + Duration::from_mins(1);
     let mut pool = pool(&[("engine-1", 1), ("engine-2", 1)], now);
@@ -189,7 +190,7 @@
     assert_eq!(pool.tick(now).assignments, []);
 
     let infos = ["engine-1", "engine-2"].map(|id| EndpointInfo {
-        leaving: id == cached_on.endpoint_id,
+        draining: id == cached_on.endpoint_id,
         ..EndpointInfo::new(id, 1)
     });
     pool.set_endpoints(infos.to_vec(), now);
@@ -235,12 +236,11 @@
     pool.tick(now);
     let late = pool.tick(slot_deadline);
     assert!(late.assignments.is_empty());
+    // `outcomes` contains the call that got the slot, but not the refused call of account `b`.
     assert_eq!(late.refused.len(), queued_calls(&outcomes));
     assert_eq!(pool.waiting(), 0);
 }
 
-/// Returns the number of queued calls in `outcomes`. The queued call of account `b` makes up for the call that got
-/// the slot.
 fn queued_calls(outcomes: &[Submitted]) -> usize {
     let waiting = outcomes
         .iter()
@@ -271,8 +271,8 @@
 
 #[test]
 fn complete_failures() {
-    // Accounts of the failed calls, number of failed probes, and whether accounts `a` and `b` may still use the
-    // endpoint.
+    // Each case: accounts of the failed calls, number of failed probes, and whether account `a` and account `b`
+    // may still use the endpoint.
     let cases: [(&[&str], u32, bool, bool); 5] = [
         (&["a", "a"], 0, true, true),
         (&["a", "a", "a", "a", "a", "a"], 0, false, true),
@@ -344,7 +344,7 @@
     Submit { account: u8, program: u8, wait_ms: u64 },
     Complete { index: usize, failed: bool },
     Cancel { index: usize },
-    Endpoints { slots: [u32; 3], leaving: u8 },
+    Endpoints { slots: [u32; 3], draining: u8 },
     Tick,
 }
 
@@ -356,17 +356,17 @@
             .prop_map(|(index, failed)| Step::Complete { index, failed }),
         1 => (0..64_usize).prop_map(|index| Step::Cancel { index }),
         1 => (prop::array::uniform3(0..5_u32), 0..4_u8)
-            .prop_map(|(slots, leaving)| Step::Endpoints { slots, leaving }),
+            .prop_map(|(slots, draining)| Step::Endpoints { slots, draining }),
         6 => Just(Step::Tick),
     ]
 }
 
-fn infos(slots: [u32; 3], leaving: u8) -> Vec<EndpointInfo> {
+fn infos(slots: [u32; 3], draining: u8) -> Vec<EndpointInfo> {
     slots
         .iter()
         .zip(0_u8..)
         .map(|(&slots, index)| EndpointInfo {
-            leaving: index == leaving,
+            draining: index == draining,
             ..EndpointInfo::new(format!("engine-{index}"), slots)
         })
         .collect()
@@ -381,7 +381,7 @@
     })]
 
     /// Checks that each call is settled exactly once, that no endpoint gets more calls than slots, and that a
-    /// leaving endpoint gets none.
+    /// draining endpoint gets none.
     #[test]
     fn tick_settles_once(steps in prop::collection::vec((0..200_u64, step()), 10..300)) {
         let mut now = Instant::now();
@@ -410,8 +410,8 @@
                         waiting.remove(&call_id);
                     }
                 }
-                Step::Endpoints { slots, leaving } => {
-                    current = infos(slots, leaving);
+                Step::Endpoints { slots, draining } => {
+                    current = infos(slots, draining);
                     pool.set_endpoints(current.clone(), now);
                 }
                 Step::Complete { .. } | Step::Tick => {}
@@ -430,10 +430,10 @@
                 let added = running[before..].iter().filter(at).count();
                 let total = running.iter().filter(at).count();
                 let slots = usize::try_from(info.slots).expect("a few slots");
-                prop_assert!(added == 0 || (!info.leaving && total <= slots), "{added} {total} {info:?}");
+                prop_assert!(added == 0 || (!info.draining && total <= slots), "{added} {total} {info:?}");
             }
             prop_assert_eq!(pool.waiting(), waiting.len());
-            prop_assert_eq!(pool.taken(), running.len());
+            prop_assert_eq!(pool.occupied_slots(), running.len());
         }
         let end = now + Duration::from_secs(5);
         let ticked = pool.tick(end);
