--- a/crates/burdockroad/src/ids.rs
+++ b/crates/burdockroad/src/ids.rs
@@ -1,4 +1,4 @@
-//! Ids and sequence numbers.
+//! Ids of entities, and sequence and version numbers.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -69,7 +69,7 @@
 /// Number of partitions. It is fixed, because program ids contain their partition.
 pub const PARTITIONS: PartitionId = 256;
 
-/// Returns the partition of an account or a pool, which is the same on every host.
+/// Returns the partition of an account or a pool, a hash of its id that is the same on every host.
 ///
 /// # Example
 ///
--- a/crates/burdockroad/src/lib.rs
+++ b/crates/burdockroad/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! # Guide
 //!
-//! * [`program`] tracks the order, history and budget of programs, and writes [`Record`]s of them.
+//! * [`program`] tracks the call order, history and budget of programs, and writes them as [`Record`]s.
 //! * [`journal`] makes records durable, and reads them back after a host is lost.
 //! * [`dispatch`] assigns slots at endpoints: fairness, placement, health and prefix caches.
 //! * [`membership`] tracks which hosts are up, and [`ownership`] which host owns each partition.
@@ -17,7 +17,7 @@
 //! * [`config`] contains the configuration [`Document`] and its validation.
 //! * [`retry`] decides whether and when a failed call is retried.
 //!
-//! Entities are stored as rows of tables, and systems process the tables on each tick.
+//! Entities are rows of in-memory tables, which are processed on each tick.
 
 pub mod config;
 pub mod dispatch;
--- a/crates/burdockroad/src/quota.rs
+++ b/crates/burdockroad/src/quota.rs
@@ -2,8 +2,8 @@
 //!
 //! The owner of an account has its [`Bucket`] and grants tokens to the other hosts for a limited time. Each
 //! host has a [`Holder`] that spends them. Granted tokens that have neither expired nor been reported as
-//! spent count as still in the bucket. Therefore, the calls that all hosts admit in a window of `w` seconds
-//! never exceed `rate_per_s * w + burst`, regardless of how late in its life a grant is spent.
+//! spent still occupy the bucket. Therefore, the number of calls that all hosts admit in a window of `w`
+//! seconds never exceeds `rate_per_s * w + burst`, even if grants are spent just before they expire.
 //!
 //! # Example
 //!
@@ -21,7 +21,7 @@
 //! assert_eq!(holder.admit(1, deadline, later), Admission::Waiting);
 //! let token_request = holder.token_request(later).unwrap();
 //! let grant = bucket.grant(&"host-b".to_owned(), &token_request, later);
-//! let settled = holder.answered(token_request.sequence, grant, later);
+//! let settled = holder.on_response(token_request.sequence, grant, later);
 //! assert_eq!(settled[0].admission, Admission::Admitted);
 //! ```
 
@@ -35,9 +35,9 @@
     holder::{Admission, Holder, Settled, WaiterId},
 };
 
-/// Time in which a grant may be spent, starting when the holder sent the request for it.
+/// Lifetime of a grant, starting when the holder sent the request for it.
 ///
-/// A longer life saves requests to the owner; a shorter one speeds up a takeover of the bucket.
+/// A longer lifetime saves requests to the owner; a shorter one speeds up a takeover of the bucket.
 pub const GRANT_LIFE: Duration = Duration::from_secs(1);
 
 /// Limits of an account over all hosts.
@@ -56,11 +56,11 @@
     pub sequence: u64,
     /// Tokens for waiting calls.
     pub wanted: u64,
-    /// Tokens requested ahead for expected calls.
+    /// Additional tokens for expected calls.
     pub ahead: u64,
     /// Tokens that the holder has spent since it started.
     pub spent_total: u64,
-    /// Tokens that the holder may still spend. It will not spend any other tokens of earlier grants.
+    /// Tokens of earlier grants that the holder may still spend. It will not spend any others.
     pub unspent: u64,
 }
 
@@ -69,8 +69,9 @@
 pub struct Grant {
     /// Granted tokens.
     pub granted: u64,
-    /// Time in which the tokens may be spent, starting when the request was sent.
+    /// Lifetime of the grant, starting when the request was sent.
     pub expires_after: Duration,
-    /// Time until the missing tokens are available; zero if none are missing.
+    /// Time until the tokens that were requested for waiting calls but not granted are available; zero if there
+    /// are none.
     pub retry_after: Duration,
 }
--- a/crates/burdockroad/src/quota/bucket.rs
+++ b/crates/burdockroad/src/quota/bucket.rs
@@ -98,9 +98,10 @@
 
     /// Adds the tokens accrued since the last call, and removes expired grants.
     ///
-    /// Each grant counts until it expires. If it were removed first, the bucket would be refilled in its
-    /// place for the time before its expiry, and a holder could spend the grant late and get the same tokens
-    /// again at once.
+    /// An outstanding grant limits the level until it expires, so the bucket is refilled up to each expiry
+    /// before the grant is removed. If the grant were removed first, the bucket would be refilled in its place
+    /// for the time before its expiry. A holder could then spend the grant late and get the same tokens again
+    /// at once.
     fn refill(&mut self, now: Instant) {
         while let Some(expiry) = self.first_expiry().filter(|expiry| *expiry <= now) {
             self.accrue(expiry);
@@ -166,8 +167,8 @@
         true
     }
 
-    /// Returns the tokens that a holder may get while others are waiting, in proportion to the tokens that
-    /// each requested.
+    /// Returns the number of tokens that a holder may get. Holders with waiting calls share the available tokens
+    /// in proportion to the tokens that they need.
     fn share(&self, holder_id: &HolderId, wanted: u64) -> u64 {
         let others: u64 = self
             .holders
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Returns the time until all calls waiting at any holder could be served.
+    /// Returns the time until the bucket has tokens for all calls that wait at any holder.
     fn retry_after(&self, unmet: u64, now: Instant) -> Duration {
         if unmet == 0 {
             return Duration::ZERO;
@@ -237,7 +238,7 @@
     }
 
     /// Reduces the outstanding tokens to those that the holder may still spend, and returns the number of
-    /// tokens that it will never spend.
+    /// removed tokens that it has not spent.
     fn settle(&mut self, token_request: &TokenRequest) -> u64 {
         // All spending is attributed to unexpired grants, which returns too few tokens rather than too many.
         let spent = token_request.spent_total.saturating_sub(self.spent_total);
--- a/crates/burdockroad/src/quota/holder.rs
+++ b/crates/burdockroad/src/quota/holder.rs
@@ -13,7 +13,7 @@
 /// Time after which a request to the owner counts as lost.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Backoff after a failed request to the owner.
+/// Time between a failed request to the owner and the next request.
 const FAILED_REQUEST_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Minimum and maximum interval between two requests while calls are waiting.
@@ -21,7 +21,7 @@
 
 /// Delay after which spent tokens are reported if no other request reports them.
 ///
-/// Tokens that the owner considers unspent occupy capacity in the bucket, which is then not refilled.
+/// Until the report, the tokens still occupy the owner's bucket, which is not refilled in their place.
 const REPORT_DELAY: Duration = Duration::from_millis(50);
 
 /// Maximum time that a call waits, regardless of its deadline.
@@ -46,9 +46,9 @@
     in_flight: Option<InFlight>,
     next_request_at: Option<Instant>,
     spent_total: u64,
-    /// Time at which spent tokens must be reported.
+    /// Time at which spent tokens must be reported, if no other request reports them before.
     report_at: Option<Instant>,
-    /// Owner's estimate of when the calls that were waiting at the last request will be served.
+    /// Owner's estimate for the calls that its last response left waiting.
     serve_estimate: Option<ServeEstimate>,
     /// Time between two tokens at the account's rate; zero if the rate is unknown.
     token_interval: Duration,
@@ -68,10 +68,11 @@
     deadline: Instant,
 }
 
-/// Estimate of when the calls that were waiting at the last response get their tokens.
+/// Owner's estimate of when the calls that its response left waiting get their tokens.
 #[derive(Clone, Copy, Debug)]
 struct ServeEstimate {
     at: Instant,
+    /// Number of calls that the estimate covers, from the front of the queue.
     calls: u64,
 }
 
@@ -94,11 +95,11 @@
 pub enum Admission {
     /// The call may run now.
     Admitted,
-    /// The call waits, in order of arrival, and is settled later.
+    /// The call waits in order of arrival. A later [`Settled`] says whether it is admitted.
     Waiting,
     /// The call must not run, and this is final.
     Refused {
-        /// Whether the account exceeds its rate; if not, the owner was unreachable.
+        /// True if the account exceeds its rate, false if the owner was unreachable.
         over_rate: bool,
         /// Time after which a retry may succeed.
         retry_after: Duration,
@@ -169,7 +170,7 @@
         let available_tokens = self.available_tokens();
         let expected = self.demand.expected(PREFETCH_WINDOW, now);
         let wanted = self.waiting.len() as u64;
-        // A request for each spent token would cost one request per call.
+        // Spent tokens are reported together: a request for each would cost one request per call.
         let report_due = self.report_at.is_some_and(|report_at| report_at <= now);
         if wanted == 0 && available_tokens >= expected.div_ceil(2) && !report_due {
             return None;
@@ -192,9 +193,9 @@
 
     /// Processes the owner's response to a request and settles calls with it.
     ///
-    /// A response to any request other than the one in flight is ignored, because the next request has
-    /// reported to the owner that its tokens will not be spent.
-    pub fn answered(&mut self, sequence: u64, grant: Grant, now: Instant) -> Vec<Settled> {
+    /// A response to any other request than the one in flight is ignored: a later request has reported to the
+    /// owner that the tokens of that response will not be spent.
+    pub fn on_response(&mut self, sequence: u64, grant: Grant, now: Instant) -> Vec<Settled> {
         let Some(in_flight) = self.take_in_flight(sequence) else {
             return Vec::new();
         };
@@ -212,7 +213,7 @@
     }
 
     /// Records that the owner did not respond to a request or is no longer the owner.
-    pub fn failed(&mut self, sequence: u64, now: Instant) {
+    pub fn on_failure(&mut self, sequence: u64, now: Instant) {
         if self.take_in_flight(sequence).is_some() {
             self.record_failure(now);
         }
@@ -277,8 +278,8 @@
         settled
     }
 
-    /// Refuses each call that would be admitted after its deadline, given the calls ahead of it that still
-    /// wait.
+    /// Refuses each call that is expected to be admitted after its deadline. Calls that are refused here do not
+    /// delay the calls behind them.
     fn refuse_expired(&mut self, now: Instant) -> Vec<Settled> {
         let mut remaining = VecDeque::with_capacity(self.waiting.len());
         let mut settled = Vec::new();
@@ -300,8 +301,9 @@
     /// Returns the expected time until the call at a queue position gets a token, based on the owner's last
     /// estimate.
     ///
-    /// The estimate calls the calls that were waiting at the time of the request. All calls wait equally
-    /// long for a new owner, so the estimate must not be scaled by the number of further calls.
+    /// The estimate covers the calls that the owner's response left waiting; each call behind them adds one
+    /// token interval. The estimate must not be divided into a time per call and multiplied: all calls wait
+    /// equally long until a new owner may grant tokens.
     fn expected_wait(&self, position: usize, now: Instant) -> Duration {
         let Some(serve_estimate) = self.serve_estimate else {
             return Duration::ZERO;
@@ -347,11 +349,11 @@
 
 impl Demand {
     fn record(&mut self, now: Instant) {
-        self.rate_per_s = self.decayed(now) + 1.0 / DEMAND_WINDOW.as_secs_f64();
+        self.rate_per_s = self.decayed_rate_per_s(now) + 1.0 / DEMAND_WINDOW.as_secs_f64();
         self.updated_at = Some(now);
     }
 
-    fn decayed(&self, now: Instant) -> f64 {
+    fn decayed_rate_per_s(&self, now: Instant) -> f64 {
         let Some(updated_at) = self.updated_at else {
             return 0.0;
         };
@@ -366,6 +368,6 @@
         reason = "a demand is not negative and far below 2^52"
     )]
     fn expected(&self, period: Duration, now: Instant) -> u64 {
-        (self.decayed(now) * period.as_secs_f64()).floor() as u64
+        (self.decayed_rate_per_s(now) * period.as_secs_f64()).floor() as u64
     }
 }
--- a/crates/burdockroad/src/retry.rs
+++ b/crates/burdockroad/src/retry.rs
@@ -1,8 +1,8 @@
 //! Retry budgets and backoff of failed calls.
 //!
-//! Each account has a retry budget on each route. Calls add to the budget and retries withdraw from it. An
-//! account whose calls all fail therefore adds a bounded share to the load, and does not use up the retries
-//! of others.
+//! Each account has a retry budget on each route. Each call adds to the budget and each retry withdraws from
+//! it. The retries of an account whose calls all fail are therefore a bounded fraction of its calls, and do not
+//! use up the retries of other accounts.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -19,11 +19,11 @@
     pub burst: f64,
     /// Maximum number of attempts of one call, including the first.
     pub attempts_max: u32,
-    /// Maximum backoff before the first retry; it doubles with each further retry.
+    /// Upper bound of the random backoff before the first retry; it doubles with each further retry.
     pub initial_backoff: Duration,
-    /// Maximum backoff before any retry.
+    /// Upper bound of the random backoff before any retry.
     pub max_backoff: Duration,
-    /// Number of budgets from which full budgets are evicted.
+    /// Number of stored budgets at which full budgets are evicted.
     pub budgets_max: usize,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Adds one call's share to its budget.
+    /// Adds `retries_per_call` to a call's budget.
     pub fn record_call(&mut self, account_id: &AccountId, route_id: &RouteId) {
         let key = BudgetKey {
             account_id: account_id.clone(),
@@ -119,7 +119,8 @@
         upper_bound.mul_f64(rng.random_range(0.0..=1.0))
     }
 
-    /// Evicts full budgets, which equal new ones, once there are `budgets_max` budgets.
+    /// Evicts full budgets once `budgets_max` budgets are stored. A budget that is not stored counts as full, so
+    /// eviction loses nothing.
     fn evict_full(&mut self) {
         if self.levels.len() >= self.options.budgets_max {
             let burst = self.options.burst;
--- a/crates/burdockroad/tests/quota.rs
+++ b/crates/burdockroad/tests/quota.rs
@@ -1,4 +1,5 @@
-//! Calls admitted by all hosts together, under lost, delayed and duplicated messages and changes of the owner.
+//! Limits on the calls admitted by all hosts, under lost, delayed and duplicated messages and changes of the
+//! owner.
 
 use std::time::{Duration, Instant};
 
@@ -147,9 +148,9 @@
         } = self.responses[index];
         match (delivery, grant) {
             (Delivery::Lost, _) => {}
-            (_, None) => self.holders[host].failed(sequence, self.now),
+            (_, None) => self.holders[host].on_failure(sequence, self.now),
             (_, Some(grant)) => {
-                let settled = self.holders[host].answered(sequence, grant, self.now);
+                let settled = self.holders[host].on_response(sequence, grant, self.now);
                 self.count(&settled);
             }
         }
@@ -230,7 +231,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn grant_limits_every_window(limits in limits(), steps in steps()) {
+    fn grant_keeps_every_window_within_limits(limits in limits(), steps in steps()) {
         let mut cluster = Cluster::new(limits);
         for (pause, step) in &steps {
             cluster.run(*pause, step);
@@ -239,7 +240,7 @@
     }
 
     #[test]
-    fn set_limits_every_window(old in limits(), new in limits(), before in steps(), after in steps()) {
+    fn set_limits_keeps_every_window_within_limits(old in limits(), new in limits(), before in steps(), after in steps()) {
         let mut cluster = Cluster::new(old);
         for (pause, step) in &before {
             cluster.run(*pause, step);
@@ -327,13 +328,13 @@
         .token_request(cluster.now)
         .expect("calls are waiting");
     let grant = cluster.bucket.grant(&"0".to_owned(), &token_request, cluster.now);
-    let settled = cluster.holders[0].answered(token_request.sequence, grant, cluster.now);
+    let settled = cluster.holders[0].on_response(token_request.sequence, grant, cluster.now);
     let order: Vec<_> = settled.iter().map(|call| call.waiter_id).collect();
     assert_eq!(order, [1, 2, 3]);
 }
 
-/// Guards against granting tokens twice: a grant that is spent just before it expires must not leave room that
-/// was refilled while it was outstanding.
+/// Guards against granting tokens twice. A holder may spend a grant just before it expires, so the bucket must
+/// not be refilled in its place for the time during which it was outstanding.
 #[test]
 fn grant_spent_late() {
     let limits = Limits {
@@ -367,8 +368,8 @@
     assert_eq!(granted, 0, "the first nine tokens may have been spent just now");
 }
 
-/// Guards against refusals right after a change of the owner. A new owner makes all calls wait equally long, so
-/// none of the calls within the rate may be refused.
+/// Guards against refusals right after a change of the owner. All calls wait equally long until a new owner may
+/// grant tokens, so no call within the rate may be refused.
 #[test]
 fn admit_with_new_owner() {
     let mut holder = Holder::new();
@@ -382,7 +383,7 @@
         expires_after: Duration::from_secs(1),
         retry_after: Duration::from_millis(1_500),
     };
-    assert_eq!(holder.answered(token_request.sequence, grant, start), []);
+    assert_eq!(holder.on_response(token_request.sequence, grant, start), []);
     for waiter_id in 2..=20 {
         let admission = holder.admit(waiter_id, deadline, start);
         assert_eq!(admission, Admission::Waiting, "call {waiter_id}");
