--- a/crates/burdockroad/src/dispatch/placement.rs
+++ b/crates/burdockroad/src/dispatch/placement.rs
@@ -132,13 +132,13 @@
     /// Records the times of a completed call.
     pub(super) fn record_times(&mut self, report: &Report, service_time: Duration) {
         update_mean(&mut self.times.service_s, service_time.as_secs_f64());
-        let computed = report.prompt_tokens.saturating_sub(report.cached_tokens);
+        let computed_tokens = report.prompt_tokens.saturating_sub(report.cached_tokens);
         if let Some(first_token) = report.first_token
-            && computed >= PROMPT_SAMPLE_MIN_TOKENS
+            && computed_tokens >= PROMPT_SAMPLE_MIN_TOKENS
         {
             update_mean(
                 &mut self.times.prompt_token_s,
-                first_token.as_secs_f64() / tokens_as_f64(computed),
+                first_token.as_secs_f64() / tokens_as_f64(computed_tokens),
             );
         }
     }
@@ -172,11 +172,12 @@
 
     /// Returns the cost of placing a call here in seconds, excluding the wait for a slot.
     fn cost_s(&self, endpoint_id: &str, call: &Call) -> f64 {
-        let cached = self.cached_prompt_tokens(endpoint_id, call);
-        let computed = call.prompt_tokens - cached;
-        let evicted_tokens = self.evicted_tokens(computed + call.max_output_tokens);
+        let cached_tokens = self.cached_prompt_tokens(endpoint_id, call);
+        let computed_tokens = call.prompt_tokens - cached_tokens;
+        let evicted_tokens = self.evicted_tokens(computed_tokens + call.max_output_tokens);
         let occupancy = f64::from(self.in_flight) / f64::from(self.slots.max(1));
-        (tokens_as_f64(computed) + tokens_as_f64(evicted_tokens) * REUSE_FRACTION) * self.prompt_token_s()
+        (tokens_as_f64(computed_tokens) + tokens_as_f64(evicted_tokens) * REUSE_FRACTION)
+            * self.prompt_token_s()
             + occupancy * OCCUPANCY_COST_S
     }
 
--- a/crates/burdockroad/src/gateway/budget.rs
+++ b/crates/burdockroad/src/gateway/budget.rs
@@ -1,4 +1,4 @@
-//! Reservation of program budget tokens, made durable before calls run.
+//! Reservation of tokens from program budgets, stored durably before calls run.
 //!
 //! Load pattern: many short programs whose budgets are hardly larger than their need. Their calls arrive
 //! through several hosts, and several at once where a program has sub-agents. One host is the owner of a
@@ -74,8 +74,8 @@
     Ready,
     /// The call must wait for a write to complete, then retry.
     AwaitWrite,
-    /// All remaining tokens are reserved. The call must wait until running calls of this or another host
-    /// return tokens, then retry.
+    /// Too few of the remaining tokens are unreserved. The call must wait until running calls of this or
+    /// another host return tokens, then retry.
     AwaitTokens,
     /// The remaining budget is smaller than the call's maximum.
     Exhausted,
--- a/crates/burdockroad/src/gateway/rate_limit/bucket.rs
+++ b/crates/burdockroad/src/gateway/rate_limit/bucket.rs
@@ -233,7 +233,7 @@
 
     /// Returns the expected calls per second of running programs at all hosts.
     ///
-    /// The calls of a new program show in the average demand only after a delay. Until then, the program is
+    /// The calls of a new program appear in the average demand only after a delay. Until then, the program is
     /// counted with [`PROGRAM_CALLS_PER_S`]. The averages of demand and of started programs decay with the
     /// same time constant, so a program has the same weight at any age.
     fn expected_per_s(&self) -> f64 {
--- a/crates/burdockroad/src/quota/bucket.rs
+++ b/crates/burdockroad/src/quota/bucket.rs
@@ -129,8 +129,8 @@
         self.cap();
     }
 
-    /// Limits the level to the burst minus the outstanding tokens, so that these cannot be granted twice at
-    /// once.
+    /// Limits the level to the burst minus the outstanding tokens, so that these are not granted a second time
+    /// while they are outstanding.
     fn cap(&mut self) {
         let capacity = f64::from(self.limits.burst) - as_tokens(self.outstanding());
         self.level = self.level.min(capacity).max(0.0);
@@ -237,8 +237,8 @@
         self.outstanding.iter().map(|grant| grant.tokens).sum()
     }
 
-    /// Reduces the outstanding tokens to those that the holder may still spend, and returns the number of
-    /// removed tokens that it has not spent.
+    /// Reduces the outstanding tokens to those that the holder may still spend. Returns the number of removed
+    /// tokens that the holder has not spent.
     fn settle(&mut self, token_request: &TokenRequest) -> u64 {
         // All spending is attributed to unexpired grants, which returns too few tokens rather than too many.
         let spent = token_request.spent_total.saturating_sub(self.spent_total);
--- a/crates/burdockroad/src/quota/holder.rs
+++ b/crates/burdockroad/src/quota/holder.rs
@@ -193,8 +193,8 @@
 
     /// Processes the owner's response to a request and settles calls with it.
     ///
-    /// A response to any other request than the one in flight is ignored: a later request has reported to the
-    /// owner that the tokens of that response will not be spent.
+    /// A response to any other request than the one in flight is ignored. The request that follows the ignored
+    /// one reports to the owner that its tokens will not be spent.
     pub fn on_response(&mut self, sequence: u64, grant: Grant, now: Instant) -> Vec<Settled> {
         let Some(in_flight) = self.take_in_flight(sequence) else {
             return Vec::new();
--- a/crates/burdockroad/tests/dispatch.rs
+++ b/crates/burdockroad/tests/dispatch.rs
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn submit_past_deadline() {
+fn submit_refuses_call_with_slot_after_deadline() {
     let now = Instant::now();
     let slot_deadline = now + Duration::from_secs(10);
     let mut pool = pool(&[("engine-1", 1)], now);
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn complete_failures() {
+fn complete_failed_calls_ejects_endpoint() {
     // Each case: accounts of the failed calls, number of failed probes, and whether account `a` and account `b`
     // may still use the endpoint.
     let cases: [(&[&str], u32, bool, bool); 5] = [
@@ -383,7 +383,7 @@
     /// Checks that each call is settled exactly once, that no endpoint gets more calls than slots, and that a
     /// draining endpoint gets none.
     #[test]
-    fn tick_settles_once(steps in prop::collection::vec((0..200_u64, step()), 10..300)) {
+    fn tick_settles_each_call_once(steps in prop::collection::vec((0..200_u64, step()), 10..300)) {
         let mut now = Instant::now();
         let mut pool = Pool::new(now);
         let mut current = infos([2, 2, 2], 3);
