--- a/crates/burdockroad-standins/src/arguments.rs
+++ b/crates/burdockroad-standins/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Options of the command lines of this crate's binaries.
+//! Command-line option parsing for this crate's binaries.
 
 use std::{fmt::Display, str::FromStr, time::Duration};
 
@@ -12,41 +12,44 @@
 /// Microseconds in a second.
 pub const US_PER_S: f64 = 1e6;
 
-/// Puts the value of an option, where it is given, in place of the default.
+/// Parses an option and stores its value in `field`; an absent option leaves the default unchanged.
 ///
 /// # Errors
 ///
-/// Fails when the value cannot be read.
-pub fn set<T>(arguments: &mut Arguments, name: &'static str, field: &mut T) -> Result<()>
+/// Fails when the value cannot be parsed.
+pub fn parse_option<T>(arguments: &mut Arguments, name: &'static str, field: &mut T) -> Result<()>
 where
     T: FromStr,
     T::Err: Display,
 {
-    if let Some(value) = optional(arguments, name)? {
+    if let Some(value) = parse_value(arguments, name)? {
         *field = value;
     }
     Ok(())
 }
 
-/// Puts a time, which may have a fraction, in place of the default; `units_per_s` of its unit make a second.
+/// Parses a duration option, which may be fractional, and stores it in `field`.
+///
+/// `units_per_s` is the number of the option's time units in one second. An absent option leaves the
+/// default unchanged.
 ///
 /// # Errors
 ///
 /// Fails when the value is not a number, is negative, or is too large.
-pub fn set_time(
+pub fn parse_duration_option(
     arguments: &mut Arguments,
     name: &'static str,
     units_per_s: f64,
     field: &mut Duration,
 ) -> Result<()> {
-    if let Some(units) = optional::<f64>(arguments, name)? {
-        let time = Duration::try_from_secs_f64(units / units_per_s);
-        *field = time.map_err(|error| StandinError::Option(format!("{name}: {error}")))?;
+    if let Some(value) = parse_value::<f64>(arguments, name)? {
+        let duration = Duration::try_from_secs_f64(value / units_per_s);
+        *field = duration.map_err(|error| StandinError::Option(format!("{name}: {error}")))?;
     }
     Ok(())
 }
 
-fn optional<T>(arguments: &mut Arguments, name: &'static str) -> Result<Option<T>>
+fn parse_value<T>(arguments: &mut Arguments, name: &'static str) -> Result<Option<T>>
 where
     T: FromStr,
     T::Err: Display,
--- a/crates/burdockroad-standins/src/bin/burdockroad-load.rs
+++ b/crates/burdockroad-standins/src/bin/burdockroad-load.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, bail};
 use burdockroad_standins::{
-    arguments::{MS_PER_S, set, set_time},
+    arguments::{MS_PER_S, parse_duration_option, parse_option},
     load::{self, LoadAccount, LoadOptions},
 };
 use pico_args::Arguments;
@@ -77,22 +77,22 @@
         stream: !arguments.contains("--whole"),
         ..LoadOptions::default()
     };
-    set(arguments, "--model", &mut options.model)?;
-    set(arguments, "--turns", &mut options.turns)?;
-    set_time(arguments, "--tool-pause-ms", MS_PER_S, &mut options.tool_pause)?;
-    set(arguments, "--prompt-bytes", &mut options.prompt_bytes)?;
-    set(arguments, "--max-tokens", &mut options.max_tokens)?;
-    set(arguments, "--retries", &mut options.retries)?;
-    set_time(
+    parse_option(arguments, "--model", &mut options.model)?;
+    parse_option(arguments, "--turns", &mut options.turns)?;
+    parse_duration_option(arguments, "--tool-pause-ms", MS_PER_S, &mut options.tool_pause)?;
+    parse_option(arguments, "--prompt-bytes", &mut options.prompt_bytes)?;
+    parse_option(arguments, "--max-tokens", &mut options.max_tokens)?;
+    parse_option(arguments, "--retries", &mut options.retries)?;
+    parse_duration_option(
         arguments,
         "--call-timeout-ms",
         MS_PER_S,
         &mut options.call_timeout,
     )?;
-    set(arguments, "--programs", &mut options.programs)?;
-    set_time(arguments, "--duration-s", 1.0, &mut options.duration)?;
-    set_time(arguments, "--drain-s", 1.0, &mut options.drain)?;
-    set(arguments, "--seed", &mut options.seed)?;
+    parse_option(arguments, "--programs", &mut options.programs)?;
+    parse_duration_option(arguments, "--duration-s", 1.0, &mut options.duration)?;
+    parse_duration_option(arguments, "--drain-s", 1.0, &mut options.drain)?;
+    parse_option(arguments, "--seed", &mut options.seed)?;
     Ok(options)
 }
 
--- a/crates/burdockroad-standins/src/bin/burdockroad-standin/running.rs
+++ b/crates/burdockroad-standins/src/bin/burdockroad-standin/running.rs
@@ -4,7 +4,7 @@
 
 use anyhow::bail;
 use burdockroad_standins::{
-    arguments::{MS_PER_S, US_PER_S, set, set_time},
+    arguments::{MS_PER_S, US_PER_S, parse_duration_option, parse_option},
     engine::{EngineOptions, EngineStandin, Fencing},
     host_list::{HostListOptions, HostListStandin, ListedHost},
     kv::{KvOptions, KvStandin},
@@ -47,10 +47,10 @@
 
 async fn start_kv(arguments: &mut Arguments) -> anyhow::Result<Running> {
     let mut options = KvOptions::default();
-    set(arguments, "--listen", &mut options.listen)?;
-    set(arguments, "--control-listen", &mut options.control_listen)?;
-    set(arguments, "--reads-per-s", &mut options.reads_per_s)?;
-    set(arguments, "--writes-per-s", &mut options.writes_per_s)?;
+    parse_option(arguments, "--listen", &mut options.listen)?;
+    parse_option(arguments, "--control-listen", &mut options.control_listen)?;
+    parse_option(arguments, "--reads-per-s", &mut options.reads_per_s)?;
+    parse_option(arguments, "--writes-per-s", &mut options.writes_per_s)?;
     let kv = KvStandin::start(options).await?;
     Ok(Running {
         address: kv.address(),
@@ -61,40 +61,40 @@
 
 async fn start_engine(arguments: &mut Arguments) -> anyhow::Result<Running> {
     let mut options = EngineOptions::default();
-    set(arguments, "--listen", &mut options.listen)?;
-    set(arguments, "--control-listen", &mut options.control_listen)?;
+    parse_option(arguments, "--listen", &mut options.listen)?;
+    parse_option(arguments, "--control-listen", &mut options.control_listen)?;
     options.models = arguments.values_from_str("--model")?;
-    set(arguments, "--slots", &mut options.slots)?;
-    set_time(arguments, "--token-ms", MS_PER_S, &mut options.token_time)?;
-    set(arguments, "--batch-slowdown", &mut options.batch_slowdown)?;
-    set_time(
+    parse_option(arguments, "--slots", &mut options.slots)?;
+    parse_duration_option(arguments, "--token-ms", MS_PER_S, &mut options.token_time)?;
+    parse_option(arguments, "--batch-slowdown", &mut options.batch_slowdown)?;
+    parse_duration_option(
         arguments,
         "--prefill-us-per-token",
         US_PER_S,
         &mut options.prefill_per_token,
     )?;
-    set(arguments, "--cache-tokens", &mut options.cache_tokens)?;
-    set_time(
+    parse_option(arguments, "--cache-tokens", &mut options.cache_tokens)?;
+    parse_duration_option(
         arguments,
         "--transfer-us-per-token",
         US_PER_S,
         &mut options.transfer_per_token,
     )?;
     options.answer_tokens = arguments.opt_value_from_str("--answer-tokens")?;
-    set_time(arguments, "--event-lag-ms", MS_PER_S, &mut options.event_lag)?;
-    set(
+    parse_duration_option(arguments, "--event-lag-ms", MS_PER_S, &mut options.event_lag)?;
+    parse_option(
         arguments,
         "--event-gap-probability",
         &mut options.event_gap_probability,
     )?;
-    set_time(arguments, "--load-lag-ms", MS_PER_S, &mut options.load_lag)?;
+    parse_duration_option(arguments, "--load-lag-ms", MS_PER_S, &mut options.load_lag)?;
     if let Some(fencing) = arguments.opt_value_from_fn("--fencing", read_fencing)? {
         options.fencing = fencing;
     }
-    set_time(arguments, "--load-ms", MS_PER_S, &mut options.load_time)?;
+    parse_duration_option(arguments, "--load-ms", MS_PER_S, &mut options.load_time)?;
     options.weight_store = arguments.opt_value_from_str("--weight-store")?;
-    set(arguments, "--record-limit", &mut options.record_limit)?;
-    set(arguments, "--seed", &mut options.seed)?;
+    parse_option(arguments, "--record-limit", &mut options.record_limit)?;
+    parse_option(arguments, "--seed", &mut options.seed)?;
     let engine = EngineStandin::start(options).await?;
     Ok(Running {
         address: engine.address(),
@@ -105,10 +105,10 @@
 
 async fn start_service(arguments: &mut Arguments) -> anyhow::Result<Running> {
     let mut options = ServiceOptions::default();
-    set(arguments, "--listen", &mut options.listen)?;
-    set(arguments, "--control-listen", &mut options.control_listen)?;
-    set(arguments, "--slots", &mut options.slots)?;
-    set_time(arguments, "--execution-ms", MS_PER_S, &mut options.execution_time)?;
+    parse_option(arguments, "--listen", &mut options.listen)?;
+    parse_option(arguments, "--control-listen", &mut options.control_listen)?;
+    parse_option(arguments, "--slots", &mut options.slots)?;
+    parse_duration_option(arguments, "--execution-ms", MS_PER_S, &mut options.execution_time)?;
     let service = ServiceStandin::start(options).await?;
     Ok(Running {
         address: service.address(),
@@ -119,12 +119,12 @@
 
 async fn start_host_list(arguments: &mut Arguments) -> anyhow::Result<Running> {
     let mut options = HostListOptions::default();
-    set(arguments, "--listen", &mut options.listen)?;
-    set(arguments, "--control-listen", &mut options.control_listen)?;
+    parse_option(arguments, "--listen", &mut options.listen)?;
+    parse_option(arguments, "--control-listen", &mut options.control_listen)?;
     if let Some(hosts) = arguments.opt_value_from_fn("--hosts", read_hosts)? {
         options.hosts = hosts;
     }
-    set_time(arguments, "--lag-ms", MS_PER_S, &mut options.lag)?;
+    parse_duration_option(arguments, "--lag-ms", MS_PER_S, &mut options.lag)?;
     let list = HostListStandin::start(options).await?;
     Ok(Running {
         address: list.address(),
@@ -135,8 +135,8 @@
 
 async fn start_proxy(arguments: &mut Arguments) -> anyhow::Result<Running> {
     let mut options = ProxyOptions::new(arguments.value_from_str("--target")?);
-    set(arguments, "--listen", &mut options.listen)?;
-    set(arguments, "--control-listen", &mut options.control_listen)?;
+    parse_option(arguments, "--listen", &mut options.listen)?;
+    parse_option(arguments, "--control-listen", &mut options.control_listen)?;
     let proxy = ProxyStandin::start(options).await?;
     Ok(Running {
         address: proxy.address(),
@@ -147,10 +147,10 @@
 
 async fn start_weight_store(arguments: &mut Arguments) -> anyhow::Result<Running> {
     let mut options = WeightStoreOptions::default();
-    set(arguments, "--listen", &mut options.listen)?;
-    set(arguments, "--control-listen", &mut options.control_listen)?;
-    set(arguments, "--rate-per-s", &mut options.rate_per_s)?;
-    set(arguments, "--weights-bytes", &mut options.weights_bytes)?;
+    parse_option(arguments, "--listen", &mut options.listen)?;
+    parse_option(arguments, "--control-listen", &mut options.control_listen)?;
+    parse_option(arguments, "--rate-per-s", &mut options.rate_per_s)?;
+    parse_option(arguments, "--weights-bytes", &mut options.weights_bytes)?;
     let store = WeightStoreStandin::start(options).await?;
     Ok(Running {
         address: store.address(),
--- a/crates/burdockroad-standins/src/engine.rs
+++ b/crates/burdockroad-standins/src/engine.rs
@@ -57,9 +57,9 @@
     },
     error::Result,
     http_client::HttpClient,
-    http_server::{self, Answer, Handler, Received},
-    record::{Recorded, Recorder},
-    request_faults::{RequestFault, RequestFaultState},
+    http_server::{self, Handler, HandlerResult, ReceivedRequest},
+    record::{RecordedRequest, Recorder},
+    request_faults::{RequestFault, RequestFaultInjector},
     server::Server,
 };
 
@@ -194,11 +194,11 @@
 
     /// Puts a set of faults in place of the one in force.
     pub fn set_faults(&self, faults: EngineFaults) {
-        self.shared.state().faults = RequestFaultState::new(faults);
+        self.shared.state().faults = RequestFaultInjector::new(faults);
     }
 
     /// Returns every request that the engine was sent, the oldest first.
-    pub fn recorded(&self) -> Vec<Recorded> {
+    pub fn recorded(&self) -> Vec<RecordedRequest> {
         self.shared.recorder.recorded()
     }
 
@@ -250,7 +250,7 @@
     stats: EngineStats,
     load: LaggedLoad,
     orders: OrdersReport,
-    faults: RequestFaultState,
+    faults: RequestFaultInjector,
 }
 
 impl Shared {
@@ -276,7 +276,7 @@
                 models: options.models.clone(),
                 ..OrdersReport::default()
             },
-            faults: RequestFaultState::new(EngineFaults::default()),
+            faults: RequestFaultInjector::new(EngineFaults::default()),
         };
         Self {
             state: Mutex::new(state),
@@ -298,7 +298,7 @@
     fn next_fault(&self) -> (RequestFault, Duration) {
         let mut state = self.state();
         let delay = Duration::from_millis(state.faults.faults.delay_ms);
-        (state.faults.next(), delay)
+        (state.faults.next_fault(), delay)
     }
 
     fn new_stream_id(&self) -> String {
@@ -380,14 +380,14 @@
 
 #[async_trait]
 impl Handler for Control {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let response = match (method, path.as_slice()) {
             ("GET", ["recorded"]) => http_server::json(StatusCode::OK, &self.shared.recorder.recorded()),
             ("GET", ["stats"]) => http_server::json(StatusCode::OK, &self.shared.state().stats),
             ("POST", ["faults"]) => match request.json() {
                 Ok(faults) => {
-                    self.shared.state().faults = RequestFaultState::new(faults);
+                    self.shared.state().faults = RequestFaultInjector::new(faults);
                     http_server::empty(StatusCode::NO_CONTENT)
                 }
                 Err(refused) => *refused,
--- a/crates/burdockroad-standins/src/engine/answer.rs
+++ b/crates/burdockroad-standins/src/engine/answer.rs
@@ -13,7 +13,7 @@
         chat::{AnswerHead, FinishReason, PromptTokensDetails, Usage},
         text,
     },
-    http_server::{Answer, Cut},
+    http_server::{ConnectionCut, HandlerResult},
 };
 
 /// Reads the tokens of one stream as they are generated.
@@ -55,7 +55,7 @@
     }
 
     /// Waits for the whole answer.
-    pub(crate) async fn completion(mut self, head: AnswerHead) -> Answer {
+    pub(crate) async fn completion(mut self, head: AnswerHead) -> HandlerResult {
         let mut answer = String::new();
         loop {
             match self.next().await? {
@@ -66,7 +66,7 @@
     }
 
     /// Makes the events of the answer, one for each token.
-    pub(crate) fn events(self, head: AnswerHead) -> impl Stream<Item = Result<Bytes, Cut>> + Send {
+    pub(crate) fn events(self, head: AnswerHead) -> impl Stream<Item = Result<Bytes, ConnectionCut>> + Send {
         stream::unfold(Some((self, head)), |state| async {
             let (mut reader, head) = state?;
             match reader.next().await {
@@ -84,22 +84,22 @@
         })
     }
 
-    async fn next(&mut self) -> Result<Piece, Cut> {
+    async fn next(&mut self) -> Result<Piece, ConnectionCut> {
         loop {
             self.steps.mark_unchanged();
             if let Some(piece) = self.try_next()? {
                 return Ok(piece);
             }
-            self.steps.changed().await.map_err(|_closed| Cut)?;
+            self.steps.changed().await.map_err(|_closed| ConnectionCut)?;
         }
     }
 
-    fn try_next(&mut self) -> Result<Option<Piece>, Cut> {
+    fn try_next(&mut self) -> Result<Option<Piece>, ConnectionCut> {
         let state = self.shared.state();
-        let sequence = state.batch.sequence(&self.stream_id).ok_or(Cut)?;
+        let sequence = state.batch.sequence(&self.stream_id).ok_or(ConnectionCut)?;
         let stopped = matches!(sequence.phase, Phase::Cancelled | Phase::Suspended);
         if sequence.reader != self.number || stopped {
-            return Err(Cut);
+            return Err(ConnectionCut);
         }
         let cut_at = self.cut_after.unwrap_or(u64::MAX);
         let available = sequence.generated.min(cut_at);
@@ -110,7 +110,7 @@
             return Ok(Some(Piece::Tokens { from, text }));
         }
         if self.next >= cut_at {
-            return Err(Cut);
+            return Err(ConnectionCut);
         }
         if sequence.phase != Phase::Finished {
             return Ok(None);
--- a/crates/burdockroad-standins/src/engine/api.rs
+++ b/crates/burdockroad-standins/src/engine/api.rs
@@ -16,7 +16,7 @@
         orders::OrderRequest,
         text,
     },
-    http_server::{self, Answer, AnswerBody, Handler, Received},
+    http_server::{self, Handler, HandlerResult, ReceivedRequest, ResponseBody},
     request_faults::RequestFault,
 };
 
@@ -24,7 +24,7 @@
 const PROGRAM_ID: &str = "x-program-id";
 const PRIORITY: &str = "x-priority";
 
-type Refused = Box<Response<AnswerBody>>;
+type Refused = Box<Response<ResponseBody>>;
 
 /// Answers the requests of the engine's own address.
 pub(crate) struct Api {
@@ -33,7 +33,7 @@
 
 #[async_trait]
 impl Handler for Api {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         self.shared.recorder.record(&request);
         let (method, path) = request.route();
         let response = match (method, path.as_slice()) {
@@ -56,7 +56,7 @@
 }
 
 impl Api {
-    async fn complete(&self, request: &Received) -> Answer {
+    async fn complete(&self, request: &ReceivedRequest) -> HandlerResult {
         let (fault, delay) = self.shared.next_fault();
         tokio::time::sleep(delay).await;
         let cut_after = match fault {
@@ -86,7 +86,7 @@
     }
 
     /// Checks a request and queues it.
-    fn queue(&self, request: &Received) -> Result<(ChatRequest, String, Reader), Refused> {
+    fn queue(&self, request: &ReceivedRequest) -> Result<(ChatRequest, String, Reader), Refused> {
         let chat: ChatRequest = serde_json::from_slice(&request.body)
             .map_err(|error| Box::new(bad_request("invalid_json", &error.to_string())))?;
         chat.check()
@@ -137,7 +137,7 @@
         Err(Box::new(refused))
     }
 
-    fn cancel(&self, stream_id: &str) -> Response<AnswerBody> {
+    fn cancel(&self, stream_id: &str) -> Response<ResponseBody> {
         let mut state = self.shared.state();
         if state.batch.sequence(stream_id).is_none() {
             return no_such_stream();
@@ -148,7 +148,7 @@
         http_server::empty(StatusCode::NO_CONTENT)
     }
 
-    fn resume(&self, stream_id: &str, request: &Received) -> Response<AnswerBody> {
+    fn resume(&self, stream_id: &str, request: &ReceivedRequest) -> Response<ResponseBody> {
         let from = match request.query("from").unwrap_or("0").parse() {
             Ok(from) => from,
             Err(_not_a_number) => return bad_request("invalid_value", "from is no token number"),
@@ -168,7 +168,7 @@
         with_stream_id(event_stream(reader, head), stream_id)
     }
 
-    fn cache_events(&self, request: &Received) -> Response<AnswerBody> {
+    fn cache_events(&self, request: &ReceivedRequest) -> Response<ResponseBody> {
         let since = request.query("since").unwrap_or("0").parse();
         match since {
             Ok(since) => {
@@ -179,7 +179,7 @@
         }
     }
 
-    fn free(&self, program_id: &str) -> Response<AnswerBody> {
+    fn free(&self, program_id: &str) -> Response<ResponseBody> {
         let now = Instant::now();
         let mut state = self.shared.state();
         state.cache.free(program_id, now);
@@ -187,7 +187,7 @@
         http_server::empty(StatusCode::NO_CONTENT)
     }
 
-    async fn export(&self, program_id: &str) -> Response<AnswerBody> {
+    async fn export(&self, program_id: &str) -> Response<ResponseBody> {
         let exported = self.shared.state().cache.export(program_id);
         let Some(exported) = exported else {
             let message = "nothing is held of this program";
@@ -197,7 +197,7 @@
         http_server::json(StatusCode::OK, &exported)
     }
 
-    async fn import(&self, program_id: &str, request: &Received) -> Response<AnswerBody> {
+    async fn import(&self, program_id: &str, request: &ReceivedRequest) -> Response<ResponseBody> {
         let exported: ExportedPrefix = match request.json() {
             Ok(exported) => exported,
             Err(refused) => return *refused,
@@ -216,7 +216,7 @@
         }
     }
 
-    fn order(&self, request: &Received) -> Response<AnswerBody> {
+    fn order(&self, request: &ReceivedRequest) -> Response<ResponseBody> {
         let order: OrderRequest = match request.json() {
             Ok(order) => order,
             Err(refused) => return *refused,
@@ -235,20 +235,20 @@
     }
 }
 
-fn read_priority(request: &Received) -> Result<i64, Refused> {
+fn read_priority(request: &ReceivedRequest) -> Result<i64, Refused> {
     let text = request.header(PRIORITY).unwrap_or("0");
     text.parse()
         .map_err(|_not_a_number| Box::new(bad_request("invalid_value", "X-Priority is no whole number")))
 }
 
-fn event_stream(reader: Reader, head: AnswerHead) -> Response<AnswerBody> {
-    let mut response = Response::new(http_server::streamed(reader.events(head)));
+fn event_stream(reader: Reader, head: AnswerHead) -> Response<ResponseBody> {
+    let mut response = Response::new(http_server::stream_body(reader.events(head)));
     let media_type = HeaderValue::from_static("text/event-stream");
     response.headers_mut().insert(header::CONTENT_TYPE, media_type);
     response
 }
 
-fn with_stream_id(mut response: Response<AnswerBody>, stream_id: &str) -> Response<AnswerBody> {
+fn with_stream_id(mut response: Response<ResponseBody>, stream_id: &str) -> Response<ResponseBody> {
     if let Ok(value) = HeaderValue::from_str(stream_id) {
         response
             .headers_mut()
@@ -257,10 +257,10 @@
     response
 }
 
-fn bad_request(code: &str, message: &str) -> Response<AnswerBody> {
+fn bad_request(code: &str, message: &str) -> Response<ResponseBody> {
     chat::error(StatusCode::BAD_REQUEST, code, message)
 }
 
-fn no_such_stream() -> Response<AnswerBody> {
+fn no_such_stream() -> Response<ResponseBody> {
     chat::error(StatusCode::NOT_FOUND, "stream_not_found", "no such stream")
 }
--- a/crates/burdockroad-standins/src/engine/chat.rs
+++ b/crates/burdockroad-standins/src/engine/chat.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     engine::text::{Prompt, PromptPart},
-    http_server::{self, AnswerBody},
+    http_server::{self, ResponseBody},
 };
 
 const CHUNK_OBJECT: &str = "chat.completion.chunk";
@@ -244,7 +244,12 @@
     }
 
     /// Makes the answer that comes as a whole.
-    pub(crate) fn completion(&self, text: &str, reason: FinishReason, usage: Usage) -> Response<AnswerBody> {
+    pub(crate) fn completion(
+        &self,
+        text: &str,
+        reason: FinishReason,
+        usage: Usage,
+    ) -> Response<ResponseBody> {
         let message = CompletionMessage {
             role: ASSISTANT,
             content: text,
@@ -301,7 +306,7 @@
 }
 
 /// Makes an error in the published form.
-pub(crate) fn error(status: StatusCode, code: &str, message: &str) -> Response<AnswerBody> {
+pub(crate) fn error(status: StatusCode, code: &str, message: &str) -> Response<ResponseBody> {
     let kind = if status.is_server_error() {
         "server_error"
     } else {
@@ -331,7 +336,7 @@
 }
 
 /// Answers which models there are.
-pub(crate) fn model_list(names: &[String]) -> Response<AnswerBody> {
+pub(crate) fn model_list(names: &[String]) -> Response<ResponseBody> {
     let models = names.iter().map(|name| Model {
         id: name,
         object: "model",
--- a/crates/burdockroad-standins/src/error.rs
+++ b/crates/burdockroad-standins/src/error.rs
@@ -1,23 +1,23 @@
-//! The error of starting and driving a stand-in.
+//! Errors from starting and controlling a stand-in.
 
 use std::{fmt, io, net::SocketAddr};
 
-/// Result of starting or driving a stand-in.
+/// Result of starting or controlling a stand-in.
 pub type Result<T> = std::result::Result<T, StandinError>;
 
-/// Why a stand-in could not be started or driven.
+/// Error from starting or controlling a stand-in.
 #[derive(Debug)]
 pub enum StandinError {
-    /// The address is not a loopback address; stand-ins serve nothing else.
+    /// The address is not a loopback address; stand-ins listen on loopback only.
     NotLoopback(SocketAddr),
-    /// The address could not be listened on.
+    /// Listening on the address failed.
     Listen {
-        /// The address that was asked for.
+        /// The requested address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// An option cannot be used.
+    /// An option has an invalid value.
     Option(String),
     /// A process could not be started, reached or signalled.
     Process(String),
@@ -30,7 +30,7 @@
         match self {
             Self::NotLoopback(address) => write!(f, "{address} is not a loopback address"),
             Self::Listen { address, source } => write!(f, "cannot listen on {address}: {source}"),
-            Self::Option(reason) => write!(f, "bad option: {reason}"),
+            Self::Option(reason) => write!(f, "invalid option: {reason}"),
             Self::Process(reason) => write!(f, "process: {reason}"),
             Self::Request(reason) => write!(f, "request failed: {reason}"),
         }
--- a/crates/burdockroad-standins/src/host_list.rs
+++ b/crates/burdockroad-standins/src/host_list.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     error::Result,
-    http_server::{self, Answer, Handler, Received},
+    http_server::{self, Handler, HandlerResult, ReceivedRequest},
     server::Server,
 };
 
@@ -190,7 +190,7 @@
 
 #[async_trait]
 impl Handler for List {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let faults = self.shared.state().faults;
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         if faults.down {
@@ -211,7 +211,7 @@
 
 #[async_trait]
 impl Handler for Control {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let done = match (method, path.as_slice()) {
             ("PUT", ["hosts"]) => request.json().map(|hosts| self.shared.set_hosts(hosts)),
--- a/crates/burdockroad-standins/src/http_client.rs
+++ b/crates/burdockroad-standins/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for tests and stand-ins, with answers in JSON.
+//! HTTP client for tests and stand-ins, with helpers for JSON.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
 
 use crate::error::{Result, StandinError};
 
-/// Time after which a request without a whole answer fails, unless another is asked for.
+/// Default timeout for receiving a complete response.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Sends requests over connections that are kept open.
+/// HTTP client that reuses its connections.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     timeout: Duration,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
     /// Status code.
@@ -36,16 +36,16 @@
 }
 
 impl HttpResponse {
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// Fails when the body is not JSON of the type asked for.
+    /// Fails when the body is not valid JSON for `T`.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T> {
         serde_json::from_slice(&self.body).map_err(|error| {
             let body = String::from_utf8_lossy(&self.body);
             StandinError::Request(format!(
-                "answer {} is not as expected: {error}: {body}",
+                "unexpected body in response with status {}: {error}: {body}",
                 self.status
             ))
         })
@@ -57,7 +57,7 @@
     }
 }
 
-/// An answer whose body is read piece by piece; dropping it closes the connection.
+/// A response whose body is read chunk by chunk; dropping it closes the connection.
 #[derive(Debug)]
 pub struct HttpStream {
     /// Status code.
@@ -65,33 +65,34 @@
     /// Headers.
     pub headers: HeaderMap,
     timeout: Duration,
-    target: String,
+    request_line: String,
     body: Incoming,
 }
 
 impl HttpStream {
-    /// Waits for the next piece of the body; none after the last.
+    /// Waits for the next chunk of the body; returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// Fails when the connection is cut, or no piece comes in time.
+    /// Fails when the connection is lost, or no chunk arrives within the timeout.
     pub async fn next(&mut self) -> Result<Option<Bytes>> {
         loop {
             let frame = tokio::time::timeout(self.timeout, self.body.frame()).await;
-            let frame = frame.map_err(|_elapsed| self.failed("no further piece in time"))?;
+            let frame =
+                frame.map_err(|_elapsed| self.request_error("timed out waiting for the next body chunk"))?;
             let Some(frame) = frame else {
                 return Ok(None);
             };
-            let frame = frame.map_err(|error| self.failed(&error.to_string()))?;
-            // Trailers carry nothing that is of use here.
+            let frame = frame.map_err(|error| self.request_error(&error.to_string()))?;
+            // Trailers are ignored.
             if let Ok(data) = frame.into_data() {
                 return Ok(Some(data));
             }
         }
     }
 
-    fn failed(&self, reason: &str) -> StandinError {
-        StandinError::Request(format!("{}: {reason}", self.target))
+    fn request_error(&self, reason: &str) -> StandinError {
+        StandinError::Request(format!("{}: {reason}", self.request_line))
     }
 }
 
@@ -102,14 +103,14 @@
 }
 
 impl HttpClient {
-    /// Makes a client without connections.
+    /// Creates a client with the default timeout of 30 s.
     pub fn new() -> Self {
         Self::with_timeout(TIMEOUT)
     }
 
-    /// Makes a client whose requests fail when the whole answer takes longer than `timeout`.
+    /// Creates a client whose requests fail when the complete response takes longer than `timeout`.
     ///
-    /// For an answer that is read piece by piece, that is the longest wait for each piece.
+    /// For an [`HttpStream`], the timeout applies to the headers and to each chunk.
     pub fn with_timeout(timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -119,38 +120,40 @@
         }
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer comes in time; the request may have been served.
+    /// Fails when no complete response arrives within the timeout. The server may have executed the
+    /// request nevertheless.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<HttpResponse> {
-        let target = format!("{} {}", request.method(), request.uri());
-        let answer = tokio::time::timeout(self.timeout, self.exchange(request)).await;
-        match answer {
-            Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(reason)) => Err(StandinError::Request(format!("{target}: {reason}"))),
+        let request_line = format!("{} {}", request.method(), request.uri());
+        let result = tokio::time::timeout(self.timeout, self.send_and_collect(request)).await;
+        match result {
+            Ok(Ok(response)) => Ok(response),
+            Ok(Err(reason)) => Err(StandinError::Request(format!("{request_line}: {reason}"))),
             Err(_elapsed) => Err(StandinError::Request(format!(
-                "{target}: no whole answer in time"
+                "{request_line}: timed out waiting for the complete response"
             ))),
         }
     }
 
-    /// Gets a JSON value.
+    /// Sends a GET request and parses the response body as JSON.
     ///
     /// # Errors
     ///
-    /// Fails when there is no whole answer, its status is no success, or it is not of the type.
+    /// Fails when no complete response arrives, its status is not 2xx, or its body is not valid JSON for
+    /// `T`.
     pub async fn get_json<T: DeserializeOwned>(&self, url: &str) -> Result<T> {
-        let answer = self.send(request(Method::GET, url, Bytes::new())?).await?;
-        successful(url, answer)?.json()
+        let response = self.send(request(Method::GET, url, Bytes::new())?).await?;
+        require_success(url, response)?.json()
     }
 
-    /// Sends a JSON value and returns the answer, whatever its status.
+    /// Sends a JSON value and returns the response with any status.
     ///
     /// # Errors
     ///
-    /// Fails when the value cannot be written as JSON, or no whole answer comes in time.
+    /// Fails when the value cannot be serialized, or no complete response arrives within the timeout.
     pub async fn send_json<T: Serialize + Sync>(
         &self,
         method: Method,
@@ -160,28 +163,36 @@
         self.send(json_request(method, url, value)?).await
     }
 
-    /// Sends a request and returns its answer as soon as the headers are there.
+    /// Sends a request and returns the response as soon as its headers have arrived.
     ///
     /// # Errors
     ///
-    /// Fails when no headers come in time; the request may have been served.
+    /// Fails when no headers arrive within the timeout. The server may have executed the request
+    /// nevertheless.
     pub async fn open(&self, request: Request<Full<Bytes>>) -> Result<HttpStream> {
-        let target = format!("{} {}", request.method(), request.uri());
-        let answer = tokio::time::timeout(self.timeout, self.client.request(request)).await;
-        let response = answer
-            .map_err(|_elapsed| StandinError::Request(format!("{target}: no answer in time")))?
-            .map_err(|error| StandinError::Request(format!("{target}: {error}")))?;
+        let request_line = format!("{} {}", request.method(), request.uri());
+        let result = tokio::time::timeout(self.timeout, self.client.request(request)).await;
+        let response = result
+            .map_err(|_elapsed| {
+                StandinError::Request(format!(
+                    "{request_line}: timed out waiting for the response headers"
+                ))
+            })?
+            .map_err(|error| StandinError::Request(format!("{request_line}: {error}")))?;
         let (head, body) = response.into_parts();
         Ok(HttpStream {
             status: head.status,
             headers: head.headers,
             timeout: self.timeout,
-            target,
+            request_line,
             body,
         })
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> std::result::Result<HttpResponse, String> {
+    async fn send_and_collect(
+        &self,
+        request: Request<Full<Bytes>>,
+    ) -> std::result::Result<HttpResponse, String> {
         let response = self
             .client
             .request(request)
@@ -197,11 +208,11 @@
     }
 }
 
-/// Makes a request without headers.
+/// Creates a request without headers.
 ///
 /// # Errors
 ///
-/// Fails when the URL cannot be read.
+/// Fails when the URL is invalid.
 pub fn request(method: Method, url: &str, body: Bytes) -> Result<Request<Full<Bytes>>> {
     let request = Request::builder().method(method).uri(url);
     request
@@ -209,11 +220,11 @@
         .map_err(|error| StandinError::Request(format!("{url}: {error}")))
 }
 
-/// Makes a request that carries a JSON value.
+/// Creates a request with a JSON body.
 ///
 /// # Errors
 ///
-/// Fails when the URL cannot be read, or the value cannot be written as JSON.
+/// Fails when the URL is invalid, or the value cannot be serialized.
 pub fn json_request<T: Serialize>(method: Method, url: &str, value: &T) -> Result<Request<Full<Bytes>>> {
     let bytes = serde_json::to_vec(value).map_err(|error| StandinError::Request(error.to_string()))?;
     let mut request = request(method, url, bytes.into())?;
@@ -222,10 +233,10 @@
     Ok(request)
 }
 
-fn successful(url: &str, answer: HttpResponse) -> Result<HttpResponse> {
-    if answer.status.is_success() {
-        return Ok(answer);
+fn require_success(url: &str, response: HttpResponse) -> Result<HttpResponse> {
+    if response.status.is_success() {
+        return Ok(response);
     }
-    let reason = format!("{url}: {} {}", answer.status, answer.text());
+    let reason = format!("{url}: {} {}", response.status, response.text());
     Err(StandinError::Request(reason))
 }
--- a/crates/burdockroad-standins/src/http_server.rs
+++ b/crates/burdockroad-standins/src/http_server.rs
@@ -1,4 +1,4 @@
-//! HTTP for the stand-ins: handlers, and answers in JSON.
+//! HTTP server for the stand-ins: request handlers and response builders.
 
 use std::{fmt, net::SocketAddr, pin::Pin, sync::Arc};
 
@@ -15,48 +15,48 @@
 
 use crate::{error::Result, server::Server};
 
-/// Body of an answer; an error in it cuts the connection.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, Cut>;
+/// Response body; an error in it cuts the connection.
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, ConnectionCut>;
 
-/// What a handler gives back.
-pub(crate) type Answer = std::result::Result<Response<AnswerBody>, Cut>;
+/// Result of handling a request; an error cuts the connection.
+pub(crate) type HandlerResult = std::result::Result<Response<ResponseBody>, ConnectionCut>;
 
-/// Ends the connection in place of an answer, or in the middle of one.
+/// Error that closes the connection before the response or in the middle of it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Cut;
+pub(crate) struct ConnectionCut;
 
-impl fmt::Display for Cut {
+impl fmt::Display for ConnectionCut {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("connection cut")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for ConnectionCut {}
 
-/// Answers the requests of one listener.
+/// Handler of the requests of one listener.
 #[async_trait]
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Answers one request; dropped when the client closes the connection.
-    async fn handle(&self, request: Received) -> Answer;
+    /// Handles one request; the future is dropped when the client closes the connection.
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult;
 }
 
-/// One request with its whole body.
+/// A request with its complete body.
 #[derive(Clone, Debug)]
-pub(crate) struct Received {
+pub(crate) struct ReceivedRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl Received {
-    /// Returns the method and the parts of the path, for a `match`.
+impl ReceivedRequest {
+    /// Returns the method and the path segments, for use in a `match`.
     pub(crate) fn route(&self) -> (&str, Vec<&str>) {
         let path = self.uri.path().trim_matches('/');
         (self.method.as_str(), path.split('/').collect())
     }
 
-    /// Returns the first value of a parameter of the query.
+    /// Returns the first value of a query parameter.
     pub(crate) fn query(&self, name: &str) -> Option<&str> {
         let pairs = self.uri.query()?.split('&');
         pairs
@@ -69,10 +69,10 @@
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Reads the body as JSON, or makes the answer that refuses it.
-    pub(crate) fn json<T: DeserializeOwned>(&self) -> std::result::Result<T, Box<Response<AnswerBody>>> {
+    /// Parses the body as JSON; the error is the response that rejects the request.
+    pub(crate) fn json<T: DeserializeOwned>(&self) -> std::result::Result<T, Box<Response<ResponseBody>>> {
         serde_json::from_slice(&self.body)
-            .map_err(|error| Box::new(text(StatusCode::BAD_REQUEST, &format!("bad JSON: {error}"))))
+            .map_err(|error| Box::new(text(StatusCode::BAD_REQUEST, &format!("invalid JSON: {error}"))))
     }
 }
 
@@ -87,72 +87,72 @@
 }
 
 impl Service<Request<Incoming>> for HandlerService {
-    type Response = Response<AnswerBody>;
-    type Error = Cut;
-    type Future = Pin<Box<dyn Future<Output = Answer> + Send>>;
+    type Response = Response<ResponseBody>;
+    type Error = ConnectionCut;
+    type Future = Pin<Box<dyn Future<Output = HandlerResult> + Send>>;
 
     fn call(&self, req: Request<Incoming>) -> Self::Future {
         let handler = Arc::clone(&self.handler);
         Box::pin(async move {
             let (head, body) = req.into_parts();
-            // The rest of a body that breaks off never comes, so there is nobody to answer.
+            // The rest of an aborted body never arrives, so no client is left to respond to.
             let body = body
                 .collect()
                 .await
-                .map_or(Err(Cut), |body| Ok(body.to_bytes()))?;
-            let received = Received {
+                .map_or(Err(ConnectionCut), |body| Ok(body.to_bytes()))?;
+            let request = ReceivedRequest {
                 method: head.method,
                 uri: head.uri,
                 headers: head.headers,
                 body,
             };
-            handler.handle(received).await
+            handler.handle(request).await
         })
     }
 }
 
-/// Makes a body of known bytes.
-pub(crate) fn full(bytes: impl Into<Bytes>) -> AnswerBody {
+/// Creates a body from bytes.
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into())
-        .map_err(|never| match never {})
+        .map_err(|infallible| match infallible {})
         .boxed_unsync()
 }
 
-/// Answers with a value as JSON.
-pub(crate) fn json<T: Serialize + ?Sized>(status: StatusCode, value: &T) -> Response<AnswerBody> {
+/// Creates a JSON response.
+pub(crate) fn json<T: Serialize + ?Sized>(status: StatusCode, value: &T) -> Response<ResponseBody> {
     match serde_json::to_vec(value) {
-        Ok(bytes) => typed(status, "application/json", bytes),
+        Ok(bytes) => with_media_type(status, "application/json", bytes),
         Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
-/// Answers with plain text.
-pub(crate) fn text(status: StatusCode, message: &str) -> Response<AnswerBody> {
-    typed(status, "text/plain; charset=utf-8", message.to_owned())
+/// Creates a plain-text response.
+pub(crate) fn text(status: StatusCode, message: &str) -> Response<ResponseBody> {
+    with_media_type(status, "text/plain; charset=utf-8", message.to_owned())
 }
 
-/// Makes a body that is sent as a stream makes its pieces; an error cuts the connection.
-pub(crate) fn streamed<S>(pieces: S) -> AnswerBody
+/// Creates a body that is sent chunk by chunk; an error in the stream cuts the connection.
+pub(crate) fn stream_body<S>(chunks: S) -> ResponseBody
 where
-    S: Stream<Item = std::result::Result<Bytes, Cut>> + Send + 'static,
+    S: Stream<Item = std::result::Result<Bytes, ConnectionCut>> + Send + 'static,
 {
-    StreamBody::new(pieces.map_ok(Frame::data)).boxed_unsync()
+    StreamBody::new(chunks.map_ok(Frame::data)).boxed_unsync()
 }
 
-/// Answers without a body.
-pub(crate) fn empty(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(full(Bytes::new()));
+/// Creates a response without a body.
+pub(crate) fn empty(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-/// Answers with bytes of a media type.
-pub(crate) fn typed(
+/// Creates a response with a body of the given media type.
+pub(crate) fn with_media_type(
     status: StatusCode,
     media_type: &'static str,
     bytes: impl Into<Bytes>,
-) -> Response<AnswerBody> {
-    let mut response = Response::new(full(bytes));
+) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(bytes));
     *response.status_mut() = status;
     let value = header::HeaderValue::from_static(media_type);
     response.headers_mut().insert(header::CONTENT_TYPE, value);
--- a/crates/burdockroad-standins/src/kv.rs
+++ b/crates/burdockroad-standins/src/kv.rs
@@ -29,7 +29,7 @@
 
 use crate::{
     error::Result,
-    http_server::{self, Answer, Handler, Received},
+    http_server::{self, Handler, HandlerResult, ReceivedRequest},
     kv::{
         faults::FaultState,
         meter::{CallKind, Meter},
@@ -314,7 +314,7 @@
 
 #[async_trait]
 impl Handler for Control {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let response = match (method, path.as_slice()) {
             ("POST", ["faults"]) => match request.json() {
--- a/crates/burdockroad-standins/src/kv/meter.rs
+++ b/crates/burdockroad-standins/src/kv/meter.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::{kv::refusal::Refusal, window::Window};
+use crate::{kv::refusal::Refusal, window::FixedWindowCounter};
 
 #[cfg(test)]
 mod tests;
@@ -43,8 +43,8 @@
     reads_per_s: u64,
     writes_per_s: u64,
     counts: KvCounts,
-    reads: Window,
-    writes: Window,
+    reads: FixedWindowCounter,
+    writes: FixedWindowCounter,
 }
 
 impl Meter {
@@ -53,8 +53,8 @@
             reads_per_s,
             writes_per_s,
             counts: KvCounts::default(),
-            reads: Window::new(now),
-            writes: Window::new(now),
+            reads: FixedWindowCounter::new(now),
+            writes: FixedWindowCounter::new(now),
         }
     }
 
@@ -88,7 +88,7 @@
             return Err(Refusal::TooManyRequests);
         }
         self.counts.reads += 1;
-        self.counts.peak_reads_per_s = self.counts.peak_reads_per_s.max(self.reads.add());
+        self.counts.peak_reads_per_s = self.counts.peak_reads_per_s.max(self.reads.increment());
         Ok(())
     }
 
@@ -97,7 +97,7 @@
             return Err(Refusal::TooManyRequests);
         }
         self.counts.writes += 1;
-        self.counts.peak_writes_per_s = self.counts.peak_writes_per_s.max(self.writes.add());
+        self.counts.peak_writes_per_s = self.counts.peak_writes_per_s.max(self.writes.increment());
         Ok(())
     }
 }
--- a/crates/burdockroad-standins/src/lib.rs
+++ b/crates/burdockroad-standins/src/lib.rs
@@ -1,25 +1,25 @@
-//! Small stand-ins of the platform and the endpoints, for tests and measurements; not shipped.
+//! Stand-ins (fake servers) for the platform and the endpoints, for tests and measurements; not shipped.
 //!
-//! Each stand-in is started in-process on a loopback address and returns a handle with its address
-//! and an explicit `close`. The binary `burdockroad-standin` runs one of them as a process of its own.
+//! Each stand-in runs in-process on a loopback address. Starting it returns a handle with its address
+//! and an explicit `close`. The binary `burdockroad-standin` runs one stand-in as a separate process.
 //!
-//! | module | what it stands in for |
+//! | module | replaces |
 //! |---|---|
-//! | [`kv`] | the platform's key-value service: the etcd v3 interface, in memory |
+//! | [`kv`] | the platform's key-value service: the etcd v3 API, in memory |
 //! | [`engine`] | a model engine |
 //! | [`service`] | a plain service or tool service |
 //! | [`host_list`] | the platform's list of hosts |
 //! | [`weight_store`] | the weight store that engines load from |
-//! | [`proxy`] | the network between two processes, with its faults |
+//! | [`proxy`] | the network between two processes, with injected faults |
 //!
-//! [`processes`] and [`http_client`] help tests to start and to drive them. [`load`] generates load, in
-//! a test or by the binary `burdockroad-load`.
+//! [`processes`] starts workspace binaries and [`http_client`] sends requests to them. [`load`] generates
+//! load from a test or from the binary `burdockroad-load`.
 //!
 //! # Control
 //!
-//! What only a test may do stands on a second address, the control address, so that nothing that is
-//! passed on to a stand-in can reach it. `POST /faults` puts a set of faults in place of the one in
-//! force; a field that is left out means no such fault, and an unknown field is refused.
+//! Operations reserved for tests are served on a second address, the control address. Requests that a
+//! daemon forwards to a stand-in therefore cannot reach them. `POST /faults` replaces the active set of
+//! faults. An omitted field disables that fault, and an unknown field is rejected.
 //!
 //! | stand-in | control requests |
 //! |---|---|
@@ -32,7 +32,7 @@
 
 pub use crate::{
     error::{Result, StandinError},
-    record::{HeaderField, Recorded},
+    record::{HeaderField, RecordedRequest},
 };
 
 pub mod arguments;
--- a/crates/burdockroad-standins/src/proxy.rs
+++ b/crates/burdockroad-standins/src/proxy.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     error::Result,
-    http_server::{self, Answer, Handler, Received},
+    http_server::{self, Handler, HandlerResult, ReceivedRequest},
     proxy::faults::Shared,
     server::Server,
 };
@@ -115,7 +115,7 @@
 
 #[async_trait]
 impl Handler for Control {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let response = match (method, path.as_slice()) {
             ("GET", ["counts"]) => http_server::json(StatusCode::OK, &self.shared.counts()),
--- a/crates/burdockroad-standins/src/record.rs
+++ b/crates/burdockroad-standins/src/record.rs
@@ -1,4 +1,4 @@
-//! A record of the requests that a stand-in was sent.
+//! Recording of the requests that a stand-in received.
 
 use std::{
     collections::VecDeque,
@@ -7,35 +7,35 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::http_server::Received;
+use crate::http_server::ReceivedRequest;
 
-/// One request that a stand-in was sent.
+/// A request that a stand-in received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Recorded {
-    /// Method, in capitals.
+pub struct RecordedRequest {
+    /// Method, in upper case.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// Headers in the order received, names in small letters.
+    /// Headers in the order received, with lower-case names.
     pub headers: Vec<HeaderField>,
-    /// Body as text; bytes that are no UTF-8 are replaced.
+    /// Body as text; invalid UTF-8 is replaced.
     pub body: String,
 }
 
-/// One header of a recorded request.
+/// A header of a recorded request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HeaderField {
-    /// Name, in small letters.
+    /// Name, in lower case.
     pub name: String,
     /// Value as text.
     pub value: String,
 }
 
-impl Recorded {
-    /// Copies a request as it was received.
-    pub(crate) fn new(request: &Received) -> Self {
+impl RecordedRequest {
+    /// Copies a received request.
+    pub(crate) fn new(request: &ReceivedRequest) -> Self {
         let headers = request.headers.iter().map(|(name, value)| HeaderField {
             name: name.as_str().to_owned(),
             value: String::from_utf8_lossy(value.as_bytes()).into_owned(),
@@ -48,7 +48,7 @@
         }
     }
 
-    fn bytes(&self) -> usize {
+    fn size_bytes(&self) -> usize {
         let headers = self
             .headers
             .iter()
@@ -57,52 +57,52 @@
     }
 }
 
-/// Bytes of requests that are kept at most, besides the limit on their number.
-const KEPT_MAX_BYTES: usize = 256 << 20;
+/// Maximum total size of the recorded requests, in addition to the limit on their number.
+const RECORDED_MAX_BYTES: usize = 256 << 20;
 
-/// The newest requests, up to a limit.
+/// Recorder of the most recent requests, bounded in number and in total size.
 #[derive(Debug)]
 pub(crate) struct Recorder {
-    limit: usize,
-    kept: Mutex<Kept>,
+    max_requests: usize,
+    buffer: Mutex<RequestBuffer>,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
-    requests: VecDeque<Recorded>,
+struct RequestBuffer {
+    requests: VecDeque<RecordedRequest>,
     bytes: usize,
 }
 
 impl Recorder {
-    pub(crate) fn new(limit: usize) -> Self {
+    pub(crate) fn new(max_requests: usize) -> Self {
         Self {
-            limit,
-            kept: Mutex::default(),
+            max_requests,
+            buffer: Mutex::default(),
         }
     }
 
-    /// Records a request, in place of the oldest ones when a limit is reached.
-    pub(crate) fn record(&self, request: &Received) {
-        if self.limit == 0 {
+    /// Records a request and evicts the oldest ones while a limit is exceeded.
+    pub(crate) fn record(&self, request: &ReceivedRequest) {
+        if self.max_requests == 0 {
             return;
         }
-        let recorded = Recorded::new(request);
-        let mut kept = self.kept();
-        kept.bytes += recorded.bytes();
-        kept.requests.push_back(recorded);
-        while kept.requests.len() > self.limit || kept.bytes > KEPT_MAX_BYTES {
-            let Some(oldest) = kept.requests.pop_front() else {
+        let recorded = RecordedRequest::new(request);
+        let mut buffer = self.buffer();
+        buffer.bytes += recorded.size_bytes();
+        buffer.requests.push_back(recorded);
+        while buffer.requests.len() > self.max_requests || buffer.bytes > RECORDED_MAX_BYTES {
+            let Some(oldest) = buffer.requests.pop_front() else {
                 break;
             };
-            kept.bytes -= oldest.bytes();
+            buffer.bytes -= oldest.size_bytes();
         }
     }
 
-    pub(crate) fn recorded(&self) -> Vec<Recorded> {
-        self.kept().requests.iter().cloned().collect()
+    pub(crate) fn recorded(&self) -> Vec<RecordedRequest> {
+        self.buffer().requests.iter().cloned().collect()
     }
 
-    fn kept(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn buffer(&self) -> MutexGuard<'_, RequestBuffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/burdockroad-standins/src/request_faults.rs
+++ b/crates/burdockroad-standins/src/request_faults.rs
@@ -1,38 +1,41 @@
-//! Faults in answering requests, which the engine and the service stand-ins share.
+//! Request faults shared by the engine and the service stand-ins.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// Faults in answering requests; a new set replaces the whole old one.
+/// Faults that a stand-in injects into requests; a new set replaces the previous one entirely.
 ///
-/// When several apply to a request, the first in the order of the fields is taken.
+/// When several faults match a request, the first in field order applies.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RequestFaults {
-    /// This many requests are answered 500 before they run.
+    /// Number of subsequent requests that fail with status 500 without being executed.
     pub fail_next: u64,
-    /// Each request is answered 500 before it runs with this probability.
+    /// Probability that a request fails with status 500 without being executed.
     pub fail_probability: f64,
-    /// This many requests are taken in and never answered; an engine does not run them, a service does.
+    /// Number of subsequent requests that are accepted and never get a response.
+    ///
+    /// An engine does not execute them; a service does.
     pub hang_next: u64,
-    /// The connections of this many requests are cut: by a service after the request ran, by an engine
-    /// after `cut_after_tokens`.
+    /// Number of subsequent requests whose connection is cut.
+    ///
+    /// A service cuts it after executing the request, an engine after `cut_after_tokens`.
     pub cut_next: u64,
-    /// Each connection is cut in the same way with this probability.
+    /// Probability that the connection of a request is cut in the same way.
     pub cut_probability: f64,
-    /// Tokens of its answer that an engine sends before it cuts the connection.
+    /// Tokens that an engine sends before it cuts the connection.
     pub cut_after_tokens: u64,
-    /// Each request waits this long before it runs.
+    /// Delay before each request is executed.
     pub delay_ms: u64,
-    /// Bytes that a service adds to each answer.
+    /// Padding that a service adds to each response.
     pub answer_bytes: usize,
-    /// Seed of the choices that go by probability.
+    /// Seed of the random number generator for the probabilities.
     pub seed: u64,
 }
 
-/// What goes wrong with one request.
+/// Fault that is injected into one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestFault {
     None,
@@ -41,21 +44,21 @@
     Cut { after_tokens: u64 },
 }
 
-/// The faults in force, with the generator that they draw from.
+/// Active faults and their random number generator.
 #[derive(Debug)]
-pub(crate) struct RequestFaultState {
+pub(crate) struct RequestFaultInjector {
     pub(crate) faults: RequestFaults,
     rng: ChaCha8Rng,
 }
 
-impl RequestFaultState {
+impl RequestFaultInjector {
     pub(crate) fn new(faults: RequestFaults) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(faults.seed);
         Self { faults, rng }
     }
 
-    /// Decides what goes wrong with the request at hand.
-    pub(crate) fn next(&mut self) -> RequestFault {
+    /// Chooses the fault to inject into the next request.
+    pub(crate) fn next_fault(&mut self) -> RequestFault {
         let faults = &mut self.faults;
         if take(&mut faults.fail_next) || self.rng.random_bool(faults.fail_probability.clamp(0.0, 1.0)) {
             return RequestFault::Fail;
@@ -72,8 +75,9 @@
     }
 }
 
-fn take(left: &mut u64) -> bool {
-    let some_left = *left > 0;
-    *left = left.saturating_sub(1);
-    some_left
+/// Decrements a counter and returns whether it was above zero.
+fn take(remaining: &mut u64) -> bool {
+    let any_remaining = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
+    any_remaining
 }
--- a/crates/burdockroad-standins/src/server.rs
+++ b/crates/burdockroad-standins/src/server.rs
@@ -1,4 +1,4 @@
-//! A listener whose connections all end when it is closed.
+//! TCP listener that ends all its connections when it is closed.
 
 use std::{error::Error as StdError, net::SocketAddr};
 
@@ -20,12 +20,12 @@
 
 use crate::error::{Result, StandinError};
 
-/// A listening socket and the tasks of its connections.
+/// Listening socket with the tasks that serve its connections.
 #[derive(Debug)]
 pub(crate) struct Server {
     address: SocketAddr,
     stop: oneshot::Sender<()>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl Server {
@@ -42,15 +42,15 @@
             let service = service.clone();
             async move {
                 let builder = auto::Builder::new(TokioExecutor::new());
-                // A connection that ends early is the client's affair, and the stand-in has no log.
+                // The client sees an aborted connection itself, and the stand-in has no log.
                 drop(builder.serve_connection(TokioIo::new(socket), service).await);
             }
         })
         .await
     }
 
-    /// Runs `connection` for each accepted connection.
-    pub(crate) async fn accept<C, F>(listen: SocketAddr, connection: C) -> Result<Self>
+    /// Accepts connections on `listen` and runs `handle_connection` for each.
+    pub(crate) async fn accept<C, F>(listen: SocketAddr, handle_connection: C) -> Result<Self>
     where
         C: Fn(TcpStream) -> F + Send + 'static,
         F: Future<Output = ()> + Send + 'static,
@@ -58,36 +58,39 @@
         if !listen.ip().is_loopback() {
             return Err(StandinError::NotLoopback(listen));
         }
-        let failed = |source| StandinError::Listen {
+        let listen_error = |source| StandinError::Listen {
             address: listen,
             source,
         };
-        let listener = TcpListener::bind(listen).await.map_err(failed)?;
-        let address = listener.local_addr().map_err(failed)?;
+        let listener = TcpListener::bind(listen).await.map_err(listen_error)?;
+        let address = listener.local_addr().map_err(listen_error)?;
         let (stop, stopped) = oneshot::channel();
-        let accepting = tokio::spawn(accept_until_stopped(listener, stopped, connection));
+        let accept_task = tokio::spawn(accept_until_stopped(listener, stopped, handle_connection));
         Ok(Self {
             address,
             stop,
-            accepting,
+            accept_task,
         })
     }
 
-    /// Returns the address that is listened on.
+    /// Returns the listening address.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops listening and ends all connections at once.
+    /// Stops listening and ends all connections immediately.
     pub(crate) async fn close(self) {
-        // The task may have ended by itself; either way it is gone after the join.
+        // The task may already have ended; after the join it has ended in any case.
         drop(self.stop);
-        drop(self.accepting.await);
+        drop(self.accept_task.await);
     }
 }
 
-async fn accept_until_stopped<C, F>(listener: TcpListener, mut stopped: oneshot::Receiver<()>, connection: C)
-where
+async fn accept_until_stopped<C, F>(
+    listener: TcpListener,
+    mut stopped: oneshot::Receiver<()>,
+    handle_connection: C,
+) where
     C: Fn(TcpStream) -> F,
     F: Future<Output = ()> + Send + 'static,
 {
@@ -99,7 +102,7 @@
             accepted = listener.accept() => {
                 if let Ok((socket, _)) = accepted {
                     drop(socket.set_nodelay(true));
-                    connections.spawn(connection(socket));
+                    connections.spawn(handle_connection(socket));
                 }
             }
         }
--- a/crates/burdockroad-standins/src/service.rs
+++ b/crates/burdockroad-standins/src/service.rs
@@ -19,9 +19,9 @@
 use crate::{
     engine::Load,
     error::Result,
-    http_server::{self, Answer, Cut, Handler, Received},
-    record::Recorded,
-    request_faults::{RequestFault, RequestFaultState},
+    http_server::{self, ConnectionCut, Handler, HandlerResult, ReceivedRequest},
+    record::RecordedRequest,
+    request_faults::{RequestFault, RequestFaultInjector},
     server::Server,
 };
 
@@ -57,7 +57,7 @@
 pub struct ServiceRequest {
     /// The request as it came.
     #[serde(flatten)]
-    pub request: Recorded,
+    pub request: RecordedRequest,
     /// Value of its `X-Request-Id`.
     pub request_id: Option<String>,
     /// Number of its execution, from 1; none when it was not executed.
@@ -99,7 +99,7 @@
             requests: Vec::new(),
             executions: 0,
             running: 0,
-            faults: RequestFaultState::new(ServiceFaults::default()),
+            faults: RequestFaultInjector::new(ServiceFaults::default()),
         };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
@@ -133,7 +133,7 @@
 
     /// Puts a set of faults in place of the one in force.
     pub fn set_faults(&self, faults: ServiceFaults) {
-        self.shared.state().faults = RequestFaultState::new(faults);
+        self.shared.state().faults = RequestFaultInjector::new(faults);
     }
 
     /// Returns every request that the service was sent, the oldest first.
@@ -165,7 +165,7 @@
     requests: Vec<ServiceRequest>,
     executions: u64,
     running: u64,
-    faults: RequestFaultState,
+    faults: RequestFaultInjector,
 }
 
 impl Shared {
@@ -174,15 +174,15 @@
     }
 
     /// Records a request and decides what goes wrong with it.
-    fn take_in(&self, request: &Received) -> (usize, RequestFault, Duration) {
+    fn take_in(&self, request: &ReceivedRequest) -> (usize, RequestFault, Duration) {
         let mut state = self.state();
         state.requests.push(ServiceRequest {
-            request: Recorded::new(request),
+            request: RecordedRequest::new(request),
             request_id: request.header(REQUEST_ID).map(str::to_owned),
             execution: None,
         });
         let delay = Duration::from_millis(state.faults.faults.delay_ms);
-        (state.requests.len() - 1, state.faults.next(), delay)
+        (state.requests.len() - 1, state.faults.next_fault(), delay)
     }
 
     /// Executes a request that was taken in.
@@ -223,7 +223,7 @@
 
 #[async_trait]
 impl Handler for Service {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         if request.route() == ("GET", vec!["load"]) {
             return Ok(http_server::json(StatusCode::OK, &self.shared.load()));
         }
@@ -235,10 +235,10 @@
         let shared = Arc::clone(&self.shared);
         // A task of its own goes on when the caller's connection, and with it this future, ends.
         let executing = tokio::spawn(async move { shared.execute(place, delay).await });
-        let answer = executing.await.ok().flatten().ok_or(Cut)?;
+        let answer = executing.await.ok().flatten().ok_or(ConnectionCut)?;
         match fault {
             RequestFault::Hang => std::future::pending().await,
-            RequestFault::Cut { .. } => Err(Cut),
+            RequestFault::Cut { .. } => Err(ConnectionCut),
             RequestFault::None | RequestFault::Fail => Ok(http_server::json(StatusCode::OK, &answer)),
         }
     }
@@ -251,13 +251,13 @@
 
 #[async_trait]
 impl Handler for Control {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let response = match (method, path.as_slice()) {
             ("GET", ["recorded"]) => http_server::json(StatusCode::OK, &self.shared.state().requests),
             ("POST", ["faults"]) => match request.json() {
                 Ok(faults) => {
-                    self.shared.state().faults = RequestFaultState::new(faults);
+                    self.shared.state().faults = RequestFaultInjector::new(faults);
                     http_server::empty(StatusCode::NO_CONTENT)
                 }
                 Err(refused) => *refused,
--- a/crates/burdockroad-standins/src/weight_store.rs
+++ b/crates/burdockroad-standins/src/weight_store.rs
@@ -16,9 +16,9 @@
 
 use crate::{
     error::Result,
-    http_server::{self, Answer, Handler, Received},
+    http_server::{self, Handler, HandlerResult, ReceivedRequest},
     server::Server,
-    window::Window,
+    window::FixedWindowCounter,
 };
 
 /// Seconds after which a refused request may be tried again: the length of a window.
@@ -74,7 +74,7 @@
     /// Fails when an address is not loopback or cannot be listened on.
     pub async fn start(options: WeightStoreOptions) -> Result<Self> {
         let state = State {
-            window: Window::new(Instant::now()),
+            window: FixedWindowCounter::new(Instant::now()),
             counts: WeightStoreCounts::default(),
         };
         let shared = Arc::new(Shared {
@@ -128,7 +128,7 @@
 
 #[derive(Debug)]
 struct State {
-    window: Window,
+    window: FixedWindowCounter,
     counts: WeightStoreCounts,
 }
 
@@ -144,7 +144,7 @@
             state.counts.refused += 1;
             return false;
         }
-        state.window.add();
+        state.window.increment();
         state.counts.served += 1;
         true
     }
@@ -157,14 +157,14 @@
 
 #[async_trait]
 impl Handler for Store {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let ("GET", ["weights", _model]) = (method, path.as_slice()) else {
             return Ok(http_server::text(StatusCode::NOT_FOUND, "no such request"));
         };
         if self.shared.admit() {
             let weights = self.shared.weights.clone();
-            return Ok(http_server::typed(
+            return Ok(http_server::with_media_type(
                 StatusCode::OK,
                 "application/octet-stream",
                 weights,
@@ -184,7 +184,7 @@
 
 #[async_trait]
 impl Handler for Control {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         Ok(match request.route() {
             ("GET", path) if path == ["counts"] => {
                 http_server::json(StatusCode::OK, &self.shared.state().counts)
--- a/crates/burdockroad-standins/src/window.rs
+++ b/crates/burdockroad-standins/src/window.rs
@@ -1,4 +1,4 @@
-//! Counting in windows of one second.
+//! Fixed-window counter, used for rate limits.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// How much was counted in the window at hand.
+/// Counter that restarts from zero in each window of one second.
 #[derive(Debug)]
-pub(crate) struct Window {
+pub(crate) struct FixedWindowCounter {
     start: Instant,
     count: u64,
 }
 
-impl Window {
+impl FixedWindowCounter {
     pub(crate) fn new(now: Instant) -> Self {
         Self { start: now, count: 0 }
     }
 
-    /// Returns what was counted so far, after a turn to the next window where that is due.
+    /// Returns the count of the current window, and starts a new window when the current one has ended.
     pub(crate) fn count(&mut self, now: Instant) -> u64 {
         if now.duration_since(self.start) >= WINDOW {
             self.start = now;
@@ -27,8 +27,8 @@
         self.count
     }
 
-    /// Counts one more and returns the new count.
-    pub(crate) fn add(&mut self) -> u64 {
+    /// Increments the count and returns it.
+    pub(crate) fn increment(&mut self) -> u64 {
         self.count += 1;
         self.count
     }
