--- a/crates/burdockroad-standins/src/bin/burdockroad-standin/running.rs
+++ b/crates/burdockroad-standins/src/bin/burdockroad-standin/running.rs
@@ -80,7 +80,7 @@
         US_PER_S,
         &mut options.transfer_per_token,
     )?;
-    options.answer_tokens = arguments.opt_value_from_str("--answer-tokens")?;
+    options.output_tokens = arguments.opt_value_from_str("--answer-tokens")?;
     parse_duration_option(arguments, "--event-lag-ms", MS_PER_S, &mut options.event_lag)?;
     parse_option(
         arguments,
@@ -165,7 +165,7 @@
 
 fn read_fencing(text: &str) -> anyhow::Result<Fencing> {
     match text {
-        "refused" => Ok(Fencing::Refused),
+        "refused" => Ok(Fencing::Enforced),
         "ignored" => Ok(Fencing::Ignored),
         _ => bail!("--fencing is refused or ignored, not {text:?}"),
     }
--- a/crates/burdockroad-standins/src/engine.rs
+++ b/crates/burdockroad-standins/src/engine.rs
@@ -1,29 +1,29 @@
-//! Stand-in of a model engine: continuous batching, a prefix cache, streams and orders.
+//! Stand-in for a model engine: continuous batching, a prefix cache, resumable streams and orders.
 //!
-//! It answers `POST /v1/chat/completions` in the published form, with text made from a hash of the
-//! prompt. What it generates, holds and refuses follows from its options alone, so tests can say
-//! beforehand what comes. Its control address is apart, so that no request that is passed on to the
-//! engine can reach it.
+//! It serves `POST /v1/chat/completions` in the published format, with text derived from a hash of the
+//! prompt. Its output, cache contents and refusals are determined by its options and the requests, so
+//! tests can predict them. The control address is separate, so that no request forwarded to the engine
+//! can reach it.
 //!
-//! | request | what it does |
+//! | request | effect |
 //! |---|---|
-//! | `POST /v1/chat/completions` | answers; headers `X-Program-Id`, `X-Priority` (lower first), `X-Request-Id` |
+//! | `POST /v1/chat/completions` | generates; headers `X-Program-Id`, `X-Priority` (lower first), `X-Request-Id` |
 //! | `GET /v1/models` | lists the loaded models |
-//! | `POST /streams/{id}/cancel` | ends a stream for good |
-//! | `GET /streams/{id}?from=N` | sends a stream from token N, and takes it from its earlier reader |
-//! | `GET /cache`, `DELETE /cache/{program}` | lists held programs, frees one |
+//! | `POST /streams/{id}/cancel` | cancels a stream permanently |
+//! | `GET /streams/{id}?from=N` | sends a stream from token N and detaches its previous reader |
+//! | `GET /cache`, `DELETE /cache/{program}` | lists the cached prefixes, frees the one of a program |
 //! | `GET /cache/{program}/export`, `PUT /cache/{program}` | exports and imports a prefix |
-//! | `GET /cache/events?since=N` | events, late and with gaps |
-//! | `GET /load` | the load, with a lag |
-//! | `POST /orders`, `GET /orders` | gives and lists orders |
+//! | `GET /cache/events?since=N` | returns cache events, delayed and with gaps |
+//! | `GET /load` | returns the load, delayed |
+//! | `POST /orders`, `GET /orders` | submits and lists orders |
 //!
 //! A caller that closes its connection suspends its stream: the slot is freed, and a later
-//! `GET /streams/{id}` goes on where it stopped. A stream that runs while its program is freed leaves
-//! its prefix in the cache again at its end, as real engines do.
+//! `GET /streams/{id}` resumes generation where it stopped. If a program's prefix is freed while one of
+//! its streams runs, the stream stores the prefix again when it ends, as in real engines.
 
 pub use crate::{
     engine::{
-        cache::{CacheEvent, CacheEventKind, HeldProgram},
+        cache::{CacheEvent, CacheEventKind, CachedPrefix},
         orders::{AcceptedOrder, Fencing, Order, OrderRequest, OrderState, OrdersReport},
         stats::{EngineStats, Load},
     },
@@ -49,10 +49,10 @@
 
 use crate::{
     engine::{
-        api::Api,
+        api::ApiHandler,
         batch::{Batch, BatchLimits, Phase},
         cache::{Cache, EventLog},
-        orders::Loader,
+        orders::OrderExecutor,
         stats::LaggedLoad,
     },
     error::Result,
@@ -63,53 +63,53 @@
     server::Server,
 };
 
-mod answer;
 mod api;
 mod batch;
 mod cache;
 mod chat;
 mod orders;
+mod reader;
 mod stats;
 mod text;
 
-/// How an engine stand-in is started.
+/// Options of an engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Loopback address of the engine; port 0 takes a free one.
+    /// Loopback address of the engine; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Loopback address of the control requests; port 0 takes a free one.
+    /// Loopback address for control requests; port 0 selects a free port.
     pub control_listen: SocketAddr,
-    /// Models that are loaded at the start; with none named, any model is served.
+    /// Models loaded at start; if empty, any model is served.
     pub models: Vec<String>,
-    /// Sequences that are computed at once.
+    /// Maximum number of sequences in the batch.
     pub slots: usize,
-    /// Time that a token takes when a sequence runs alone.
+    /// Time per generated token with one sequence in the batch.
     pub token_time: Duration,
-    /// Share of `token_time` that each further sequence adds to it.
+    /// Fraction of `token_time` that each additional sequence adds to it.
     pub batch_slowdown: f64,
-    /// Time that each token of a prompt takes that is not in the cache.
+    /// Prefill time per prompt token that is not in the cache.
     pub prefill_per_token: Duration,
-    /// Tokens that the prefix cache can hold.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: u64,
-    /// Time that each token takes to export or import.
+    /// Time to export or import one token of a prefix.
     pub transfer_per_token: Duration,
-    /// Tokens of each answer; none derives it from the prompt.
-    pub answer_tokens: Option<u64>,
-    /// Time until an event of the cache is published.
+    /// Length of each completion in tokens; if `None`, it is derived from the prompt.
+    pub output_tokens: Option<u64>,
+    /// Delay before a cache event is published.
     pub event_lag: Duration,
-    /// Probability that an event of the cache is never published.
+    /// Probability that a cache event is never published.
     pub event_gap_probability: f64,
-    /// Age of the load that is reported.
+    /// Age of the reported load.
     pub load_lag: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with a stale fencing number are refused.
     pub fencing: Fencing,
-    /// Time that loading takes once the weights are there.
+    /// Time to load a model after its weights have been fetched.
     pub load_time: Duration,
-    /// Where weights come from; none needs no weights.
+    /// Address of the weight store; if `None`, no weights are fetched.
     pub weight_store: Option<SocketAddr>,
-    /// Requests that are kept in the record.
+    /// Maximum number of recorded requests.
     pub record_limit: usize,
-    /// Seed of the choices that go by probability.
+    /// Seed of the random number generator for the probabilities.
     pub seed: u64,
 }
 
@@ -125,11 +125,11 @@
             prefill_per_token: Duration::from_micros(20),
             cache_tokens: 100_000,
             transfer_per_token: Duration::ZERO,
-            answer_tokens: None,
+            output_tokens: None,
             event_lag: Duration::ZERO,
             event_gap_probability: 0.0,
             load_lag: Duration::ZERO,
-            fencing: Fencing::Refused,
+            fencing: Fencing::Enforced,
             load_time: Duration::from_millis(50),
             weight_store: None,
             record_limit: 100_000,
@@ -152,19 +152,19 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address is not loopback or cannot be listened on.
+    /// Fails when an address is not a loopback address or listening on it fails.
     pub async fn start(options: EngineOptions) -> Result<Self> {
-        let (accepted, orders) = mpsc::unbounded_channel();
-        let shared = Arc::new(Shared::new(&options, accepted));
-        let api = Api {
+        let (order_queue, orders) = mpsc::unbounded_channel();
+        let shared = Arc::new(Shared::new(&options, order_queue));
+        let api = ApiHandler {
             shared: Arc::clone(&shared),
         };
         let server = http_server::serve(options.listen, Arc::new(api)).await?;
-        let control = Control {
+        let control = ControlHandler {
             shared: Arc::clone(&shared),
         };
         let control = http_server::serve(options.control_listen, Arc::new(control)).await?;
-        let loader = Loader {
+        let order_executor = OrderExecutor {
             shared: Arc::clone(&shared),
             load_time: options.load_time,
             weight_store: options.weight_store,
@@ -172,7 +172,7 @@
         };
         let tasks = [
             tokio::spawn(run_batch(Arc::clone(&shared))),
-            tokio::spawn(loader.run(orders)),
+            tokio::spawn(order_executor.run(orders)),
         ];
         Ok(Self {
             shared,
@@ -187,37 +187,37 @@
         self.server.address()
     }
 
-    /// Returns the address that takes `POST /faults`, `GET /recorded` and `GET /stats`.
+    /// Returns the address that serves `POST /faults`, `GET /recorded` and `GET /stats`.
     pub fn control_address(&self) -> SocketAddr {
         self.control.address()
     }
 
-    /// Puts a set of faults in place of the one in force.
+    /// Replaces the active set of faults.
     pub fn set_faults(&self, faults: EngineFaults) {
-        self.shared.state().faults = RequestFaultInjector::new(faults);
+        self.shared.state().fault_injector = RequestFaultInjector::new(faults);
     }
 
-    /// Returns every request that the engine was sent, the oldest first.
+    /// Returns the recorded requests, oldest first.
     pub fn recorded(&self) -> Vec<RecordedRequest> {
         self.shared.recorder.recorded()
     }
 
-    /// Returns what the engine computed since it was started.
+    /// Returns the totals computed since the start.
     pub fn stats(&self) -> EngineStats {
         self.shared.state().stats
     }
 
-    /// Returns the programs that the engine holds a prefix of.
-    pub fn held_programs(&self) -> Vec<HeldProgram> {
-        self.shared.state().cache.held()
+    /// Returns the cached prefixes.
+    pub fn cached_prefixes(&self) -> Vec<CachedPrefix> {
+        self.shared.state().cache.cached_prefixes()
     }
 
-    /// Returns the load as it is now, without the lag that callers see.
+    /// Returns the current load, without the lag of `GET /load`.
     pub fn load(&self) -> Load {
-        self.shared.state().load_now()
+        self.shared.state().current_load()
     }
 
-    /// Stops the stand-in, ends all its connections and forgets what it held.
+    /// Stops the stand-in, ends all its connections and drops its cache.
     pub async fn close(self) {
         self.server.close().await;
         self.control.close().await;
@@ -227,18 +227,18 @@
     }
 }
 
-/// What the requests, the batch and the loader share.
+/// State shared by the request handlers, the batch task and the order executor.
 #[derive(Debug)]
 pub(crate) struct Shared {
     state: Mutex<State>,
     recorder: Recorder,
-    /// Tells the batch of work or of a stream that ended.
-    woken: Notify,
-    /// Tells the readers of generated tokens.
-    steps: watch::Sender<u64>,
-    accepted: mpsc::UnboundedSender<usize>,
+    /// Wakes the batch task when a sequence is queued or a stream ends.
+    batch_wakeup: Notify,
+    /// Wakes the stream readers when tokens have been generated.
+    progress: watch::Sender<u64>,
+    order_queue: mpsc::UnboundedSender<usize>,
     streams: AtomicU64,
-    answer_tokens: Option<u64>,
+    output_tokens: Option<u64>,
     fencing: Fencing,
     transfer_per_token: Duration,
 }
@@ -250,11 +250,11 @@
     stats: EngineStats,
     load: LaggedLoad,
     orders: OrdersReport,
-    faults: RequestFaultInjector,
+    fault_injector: RequestFaultInjector,
 }
 
 impl Shared {
-    fn new(options: &EngineOptions, accepted: mpsc::UnboundedSender<usize>) -> Self {
+    fn new(options: &EngineOptions, order_queue: mpsc::UnboundedSender<usize>) -> Self {
         let limits = BatchLimits {
             slots: options.slots,
             step: options.token_time,
@@ -276,16 +276,16 @@
                 models: options.models.clone(),
                 ..OrdersReport::default()
             },
-            faults: RequestFaultInjector::new(EngineFaults::default()),
+            fault_injector: RequestFaultInjector::new(EngineFaults::default()),
         };
         Self {
             state: Mutex::new(state),
             recorder: Recorder::new(options.record_limit),
-            woken: Notify::new(),
-            steps: watch::Sender::new(0),
-            accepted,
+            batch_wakeup: Notify::new(),
+            progress: watch::Sender::new(0),
+            order_queue,
             streams: AtomicU64::new(0),
-            answer_tokens: options.answer_tokens,
+            output_tokens: options.output_tokens,
             fencing: options.fencing,
             transfer_per_token: options.transfer_per_token,
         }
@@ -297,26 +297,26 @@
 
     fn next_fault(&self) -> (RequestFault, Duration) {
         let mut state = self.state();
-        let delay = Duration::from_millis(state.faults.faults.delay_ms);
-        (state.faults.next_fault(), delay)
+        let delay = Duration::from_millis(state.fault_injector.faults.delay_ms);
+        (state.fault_injector.next_fault(), delay)
     }
 
     fn new_stream_id(&self) -> String {
         format!("s{}", self.streams.fetch_add(1, Ordering::Relaxed))
     }
 
-    fn steps(&self) -> watch::Receiver<u64> {
-        self.steps.subscribe()
+    fn progress(&self) -> watch::Receiver<u64> {
+        self.progress.subscribe()
     }
 
     fn wake(&self) {
-        self.woken.notify_one();
-        self.steps.send_modify(|number| *number += 1);
+        self.batch_wakeup.notify_one();
+        self.progress.send_modify(|number| *number += 1);
     }
 
-    fn carry_out(&self, place: usize) {
-        // The loader ends only with the stand-in, and then nobody waits for the order.
-        self.accepted.send(place).unwrap_or_default();
+    fn enqueue_order(&self, index: usize) {
+        // The executor stops only together with the stand-in, when the order no longer matters.
+        self.order_queue.send(index).unwrap_or_default();
     }
 
     async fn transfer(&self, tokens: u64) {
@@ -326,7 +326,7 @@
 }
 
 impl State {
-    fn load_now(&self) -> Load {
+    fn current_load(&self) -> Load {
         Load {
             running: self.batch.running() as u64,
             waiting: self.batch.waiting() as u64,
@@ -342,7 +342,7 @@
     }
 
     fn sample_load(&mut self, now: Instant) {
-        self.load.sample(self.load_now(), now);
+        self.load.sample(self.current_load(), now);
     }
 
     fn stop(&mut self, stream_id: &str, phase: Phase, now: Instant) {
@@ -351,21 +351,21 @@
     }
 
     fn tick(&mut self, now: Instant) -> Option<Instant> {
-        let due = self.batch.tick(&mut self.cache, &mut self.stats, now);
+        let next_due = self.batch.tick(&mut self.cache, &mut self.stats, now);
         self.sample_load(now);
-        due
+        next_due
     }
 }
 
 async fn run_batch(shared: Arc<Shared>) {
     loop {
-        let due = shared.state().tick(Instant::now());
-        shared.steps.send_modify(|number| *number += 1);
-        match due {
-            None => shared.woken.notified().await,
+        let next_due = shared.state().tick(Instant::now());
+        shared.progress.send_modify(|number| *number += 1);
+        match next_due {
+            None => shared.batch_wakeup.notified().await,
             Some(at) => {
                 tokio::select! {
-                    () = shared.woken.notified() => {}
+                    () = shared.batch_wakeup.notified() => {}
                     () = tokio::time::sleep_until(at) => {}
                 }
             }
@@ -373,13 +373,13 @@
     }
 }
 
-/// Answers the control requests.
-struct Control {
+/// Handler of the control requests.
+struct ControlHandler {
     shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for Control {
+impl Handler for ControlHandler {
     async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let response = match (method, path.as_slice()) {
@@ -387,10 +387,10 @@
             ("GET", ["stats"]) => http_server::json(StatusCode::OK, &self.shared.state().stats),
             ("POST", ["faults"]) => match request.json() {
                 Ok(faults) => {
-                    self.shared.state().faults = RequestFaultInjector::new(faults);
+                    self.shared.state().fault_injector = RequestFaultInjector::new(faults);
                     http_server::empty(StatusCode::NO_CONTENT)
                 }
-                Err(refused) => *refused,
+                Err(error_response) => *error_response,
             },
             _ => http_server::text(StatusCode::NOT_FOUND, "no such control request"),
         };
--- a/crates/burdockroad-standins/src/engine/api.rs
+++ b/crates/burdockroad-standins/src/engine/api.rs
@@ -1,4 +1,4 @@
-//! Requests to the engine stand-in that callers of an engine may send.
+//! Requests that callers may send to the engine stand-in.
 
 use std::sync::Arc;
 
@@ -9,11 +9,11 @@
 use crate::{
     engine::{
         Shared,
-        answer::Reader,
         batch::{NewSequence, Phase},
         cache::ExportedPrefix,
-        chat::{self, AnswerHead, ChatRequest, FinishReason},
+        chat::{self, ChatRequest, CompletionMetadata, FinishReason},
         orders::OrderRequest,
+        reader::Reader,
         text,
     },
     http_server::{self, Handler, HandlerResult, ReceivedRequest, ResponseBody},
@@ -24,15 +24,15 @@
 const PROGRAM_ID: &str = "x-program-id";
 const PRIORITY: &str = "x-priority";
 
-type Refused = Box<Response<ResponseBody>>;
+type ErrorResponse = Box<Response<ResponseBody>>;
 
-/// Answers the requests of the engine's own address.
-pub(crate) struct Api {
+/// Handler of the requests on the engine's own address.
+pub(crate) struct ApiHandler {
     pub(crate) shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for Api {
+impl Handler for ApiHandler {
     async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         self.shared.recorder.record(&request);
         let (method, path) = request.route();
@@ -41,7 +41,9 @@
             ("GET", ["v1", "models"]) => chat::model_list(&self.shared.state().orders.models),
             ("POST", ["streams", id, "cancel"]) => self.cancel(id),
             ("GET", ["streams", id]) => self.resume(id, &request),
-            ("GET", ["cache"]) => http_server::json(StatusCode::OK, &self.shared.state().cache.held()),
+            ("GET", ["cache"]) => {
+                http_server::json(StatusCode::OK, &self.shared.state().cache.cached_prefixes())
+            }
             ("GET", ["cache", "events"]) => self.cache_events(&request),
             ("DELETE", ["cache", id]) => self.free(id),
             ("GET", ["cache", id, "export"]) => self.export(id).await,
@@ -55,7 +57,7 @@
     }
 }
 
-impl Api {
+impl ApiHandler {
     async fn complete(&self, request: &ReceivedRequest) -> HandlerResult {
         let (fault, delay) = self.shared.next_fault();
         tokio::time::sleep(delay).await;
@@ -65,45 +67,45 @@
             RequestFault::Hang => return std::future::pending().await,
             RequestFault::Fail => {
                 let status = StatusCode::INTERNAL_SERVER_ERROR;
-                return Ok(chat::error(status, "failed", "the engine was told to fail"));
+                return Ok(chat::error(status, "failed", "injected fault: request failed"));
             }
         };
         let (chat, stream_id, reader) = match self.queue(request) {
             Ok(queued) => queued,
-            Err(refused) => return Ok(*refused),
+            Err(error_response) => return Ok(*error_response),
         };
         let reader = match cut_after {
             Some(tokens) => reader.cut_after(tokens),
             None => reader,
         };
-        let head = AnswerHead::new(&stream_id, &chat.model, chat.include_usage());
+        let metadata = CompletionMetadata::new(&stream_id, &chat.model, chat.include_usage());
         let response = if chat.stream {
-            event_stream(reader, head)
+            event_stream(reader, metadata)
         } else {
-            reader.completion(head).await?
+            reader.completion(metadata).await?
         };
         Ok(with_stream_id(response, &stream_id))
     }
 
-    /// Checks a request and queues it.
-    fn queue(&self, request: &ReceivedRequest) -> Result<(ChatRequest, String, Reader), Refused> {
+    /// Validates a request and queues its sequence.
+    fn queue(&self, request: &ReceivedRequest) -> Result<(ChatRequest, String, Reader), ErrorResponse> {
         let chat: ChatRequest = serde_json::from_slice(&request.body)
             .map_err(|error| Box::new(bad_request("invalid_json", &error.to_string())))?;
-        chat.check()
+        chat.validate()
             .map_err(|reason| Box::new(bad_request("invalid_value", reason)))?;
-        let priority = read_priority(request)?;
+        let priority = parse_priority(request)?;
         self.check_model(&chat.model)?;
         let stream_id = match request.header(REQUEST_ID) {
             Some(id) => id.to_owned(),
             None => self.shared.new_stream_id(),
         };
         let prompt = chat.prompt();
-        let wanted = self
+        let natural_length = self
             .shared
-            .answer_tokens
-            .unwrap_or_else(|| text::answer_tokens(prompt.digest()));
-        let allowed = chat.max_output_tokens().unwrap_or(u64::MAX);
-        let finish_reason = if allowed < wanted {
+            .output_tokens
+            .unwrap_or_else(|| text::output_tokens(prompt.digest()));
+        let max_length = chat.max_output_tokens().unwrap_or(u64::MAX);
+        let finish_reason = if max_length < natural_length {
             FinishReason::Length
         } else {
             FinishReason::Stop
@@ -113,28 +115,28 @@
             program_id: request.header(PROGRAM_ID).map(str::to_owned),
             priority,
             prompt,
-            answer_tokens: wanted.min(allowed),
+            output_tokens: natural_length.min(max_length),
             finish_reason,
         };
         let queued = self.shared.state().batch.queue(new);
-        let number = queued.map_err(|_running| {
-            let message = "a stream of this name is being computed";
+        let reader_id = queued.map_err(|_running| {
+            let message = "a stream with this id is already running";
             Box::new(chat::error(StatusCode::CONFLICT, "stream_running", message))
         })?;
         self.shared.wake();
-        let reader = Reader::new(&self.shared, stream_id.clone(), number, 0);
+        let reader = Reader::new(&self.shared, stream_id.clone(), reader_id, 0);
         Ok((chat, stream_id, reader))
     }
 
-    fn check_model(&self, model: &str) -> Result<(), Refused> {
+    fn check_model(&self, model: &str) -> Result<(), ErrorResponse> {
         let state = self.shared.state();
         let models = &state.orders.models;
         if models.is_empty() || models.iter().any(|name| name == model) {
             return Ok(());
         }
         let message = format!("the model {model:?} is not loaded");
-        let refused = chat::error(StatusCode::NOT_FOUND, "model_not_found", &message);
-        Err(Box::new(refused))
+        let error_response = chat::error(StatusCode::NOT_FOUND, "model_not_found", &message);
+        Err(Box::new(error_response))
     }
 
     fn cancel(&self, stream_id: &str) -> Response<ResponseBody> {
@@ -151,21 +153,21 @@
     fn resume(&self, stream_id: &str, request: &ReceivedRequest) -> Response<ResponseBody> {
         let from = match request.query("from").unwrap_or("0").parse() {
             Ok(from) => from,
-            Err(_not_a_number) => return bad_request("invalid_value", "from is no token number"),
+            Err(_not_a_number) => return bad_request("invalid_value", "from is not a token number"),
         };
         let mut state = self.shared.state();
         let phase = state.batch.sequence(stream_id).map(|sequence| sequence.phase);
         if phase == Some(Phase::Cancelled) {
             return chat::error(StatusCode::GONE, "stream_cancelled", "the stream was cancelled");
         }
-        let Some(number) = state.batch.resume(stream_id) else {
+        let Some(reader_id) = state.batch.resume(stream_id) else {
             return no_such_stream();
         };
         drop(state);
         self.shared.wake();
-        let reader = Reader::new(&self.shared, stream_id.to_owned(), number, from);
-        let head = AnswerHead::new(stream_id, "", true);
-        with_stream_id(event_stream(reader, head), stream_id)
+        let reader = Reader::new(&self.shared, stream_id.to_owned(), reader_id, from);
+        let metadata = CompletionMetadata::new(stream_id, "", true);
+        with_stream_id(event_stream(reader, metadata), stream_id)
     }
 
     fn cache_events(&self, request: &ReceivedRequest) -> Response<ResponseBody> {
@@ -175,7 +177,7 @@
                 let events = self.shared.state().cache.events.since(since, Instant::now());
                 http_server::json(StatusCode::OK, &events)
             }
-            Err(_not_a_number) => bad_request("invalid_value", "since is no event number"),
+            Err(_not_a_number) => bad_request("invalid_value", "since is not an event number"),
         }
     }
 
@@ -190,7 +192,7 @@
     async fn export(&self, program_id: &str) -> Response<ResponseBody> {
         let exported = self.shared.state().cache.export(program_id);
         let Some(exported) = exported else {
-            let message = "nothing is held of this program";
+            let message = "no prefix of this program is cached";
             return chat::error(StatusCode::NOT_FOUND, "not_held", message);
         };
         self.shared.transfer(exported.prompt.tokens()).await;
@@ -200,14 +202,14 @@
     async fn import(&self, program_id: &str, request: &ReceivedRequest) -> Response<ResponseBody> {
         let exported: ExportedPrefix = match request.json() {
             Ok(exported) => exported,
-            Err(refused) => return *refused,
+            Err(error_response) => return *error_response,
         };
         self.shared.transfer(exported.prompt.tokens()).await;
         let now = Instant::now();
         let mut state = self.shared.state();
-        let held = state.cache.hold(program_id, exported.prompt, now);
+        let stored = state.cache.store(program_id, exported.prompt, now);
         state.sample_load(now);
-        match held {
+        match stored {
             Ok(()) => http_server::empty(StatusCode::NO_CONTENT),
             Err(_too_large) => {
                 let message = "the prefix is larger than the cache";
@@ -219,30 +221,30 @@
     fn order(&self, request: &ReceivedRequest) -> Response<ResponseBody> {
         let order: OrderRequest = match request.json() {
             Ok(order) => order,
-            Err(refused) => return *refused,
+            Err(error_response) => return *error_response,
         };
         let accepted = self.shared.state().orders.accept(order, self.shared.fencing);
         match accepted {
-            Ok(place) => {
-                self.shared.carry_out(place);
+            Ok(index) => {
+                self.shared.enqueue_order(index);
                 http_server::empty(StatusCode::ACCEPTED)
             }
-            Err(_old) => {
-                let message = "the fencing number is lower than one seen before";
+            Err(_stale) => {
+                let message = "the fencing number is lower than the highest number seen";
                 chat::error(StatusCode::CONFLICT, "old_fencing_number", message)
             }
         }
     }
 }
 
-fn read_priority(request: &ReceivedRequest) -> Result<i64, Refused> {
+fn parse_priority(request: &ReceivedRequest) -> Result<i64, ErrorResponse> {
     let text = request.header(PRIORITY).unwrap_or("0");
     text.parse()
-        .map_err(|_not_a_number| Box::new(bad_request("invalid_value", "X-Priority is no whole number")))
+        .map_err(|_not_a_number| Box::new(bad_request("invalid_value", "X-Priority is not an integer")))
 }
 
-fn event_stream(reader: Reader, head: AnswerHead) -> Response<ResponseBody> {
-    let mut response = Response::new(http_server::stream_body(reader.events(head)));
+fn event_stream(reader: Reader, metadata: CompletionMetadata) -> Response<ResponseBody> {
+    let mut response = Response::new(http_server::stream_body(reader.events(metadata)));
     let media_type = HeaderValue::from_static("text/event-stream");
     response.headers_mut().insert(header::CONTENT_TYPE, media_type);
     response
--- a/crates/burdockroad-standins/src/engine/batch.rs
+++ b/crates/burdockroad-standins/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: the table of sequences, and the systems that run over it at each step.
+//! Continuous batching: the table of sequences and the passes over it at each step.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -9,65 +9,65 @@
 
 use crate::engine::{cache::Cache, chat::FinishReason, stats::EngineStats, text::Prompt};
 
-/// Ended sequences that are kept, so that their streams can be read again.
-const ENDED_KEPT: usize = 4096;
-/// Steps at one go when the batch is behind its time.
-const STEPS_AT_ONCE: usize = 64;
+/// Maximum number of ended sequences whose streams can still be read.
+const ENDED_SEQUENCES_MAX: usize = 4096;
+/// Maximum number of steps in one tick when the batch runs behind schedule.
+const CATCH_UP_STEPS_MAX: usize = 64;
 
-/// Speed and size of a batch.
+/// Speed and size limits of a batch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BatchLimits {
     pub(crate) slots: usize,
-    /// Time of a step with one sequence.
+    /// Time per step with one sequence.
     pub(crate) step: Duration,
-    /// Share of `step` that each further sequence adds.
+    /// Fraction of `step` that each additional sequence adds.
     pub(crate) slowdown: f64,
     pub(crate) prefill_per_token: Duration,
 }
 
-/// One answer that is waited for, computed, or was ended.
+/// A completion that is queued, being computed, or ended.
 #[derive(Debug)]
 pub(crate) struct Sequence {
     pub(crate) program_id: Option<String>,
     pub(crate) prompt: Prompt,
-    /// Tokens that the whole answer has.
-    pub(crate) answer_tokens: u64,
+    /// Tokens of the complete output.
+    pub(crate) output_tokens: u64,
     pub(crate) finish_reason: FinishReason,
     pub(crate) generated: u64,
-    /// Tokens of the prompt that were cached when it was first admitted.
+    /// Prompt tokens that were cached when the sequence was first admitted.
     pub(crate) cached_tokens: Option<u64>,
     pub(crate) phase: Phase,
-    /// Number of the one reader that the tokens go to.
-    pub(crate) reader: u64,
+    /// Number of the only reader that receives the tokens.
+    pub(crate) reader_id: u64,
     priority: i64,
     arrival: u64,
 }
 
-/// Where a sequence stands.
+/// State of a sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     Waiting,
-    /// The prompt is computed until this time.
+    /// The prefill of the prompt ends at this time.
     Prefilling(Instant),
     Generating,
-    /// The reader left; the sequence goes on when another one comes.
+    /// The reader disconnected; the sequence resumes when another reader attaches.
     Suspended,
     Finished,
     Cancelled,
 }
 
-/// What a new sequence is made of.
+/// Parameters of a new sequence.
 #[derive(Debug)]
 pub(crate) struct NewSequence {
     pub(crate) stream_id: String,
     pub(crate) program_id: Option<String>,
     pub(crate) priority: i64,
     pub(crate) prompt: Prompt,
-    pub(crate) answer_tokens: u64,
+    pub(crate) output_tokens: u64,
     pub(crate) finish_reason: FinishReason,
 }
 
-/// A stream of that name is being computed.
+/// Error for a stream id that belongs to an active sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StreamRunning;
 
@@ -76,13 +76,13 @@
 pub(crate) struct Batch {
     limits: BatchLimits,
     sequences: BTreeMap<String, Sequence>,
-    /// Waiting sequences by priority, arrival and name.
+    /// Waiting sequences ordered by priority, arrival and stream id.
     waiting: BTreeSet<(i64, u64, String)>,
     running: BTreeSet<String>,
     ended: VecDeque<(String, u64)>,
-    arrivals: u64,
-    readers: u64,
-    /// When the prompts that are being computed will all be.
+    last_arrival: u64,
+    last_reader_id: u64,
+    /// Time at which the prefill of all admitted prompts ends.
     prefill_free_at: Option<Instant>,
     next_step_at: Option<Instant>,
 }
@@ -95,8 +95,8 @@
             waiting: BTreeSet::new(),
             running: BTreeSet::new(),
             ended: VecDeque::new(),
-            arrivals: 0,
-            readers: 0,
+            last_arrival: 0,
+            last_reader_id: 0,
             prefill_free_at: None,
             next_step_at: None,
         }
@@ -118,7 +118,7 @@
         self.sequences.get(stream_id)
     }
 
-    /// Queues a sequence and returns the number of its reader.
+    /// Queues a sequence and returns its reader number.
     pub(crate) fn queue(&mut self, new: NewSequence) -> Result<u64, StreamRunning> {
         if self
             .sequences
@@ -127,40 +127,40 @@
         {
             return Err(StreamRunning);
         }
-        self.arrivals += 1;
-        self.readers += 1;
+        self.last_arrival += 1;
+        self.last_reader_id += 1;
         let sequence = Sequence {
             program_id: new.program_id,
             prompt: new.prompt,
-            answer_tokens: new.answer_tokens,
+            output_tokens: new.output_tokens,
             finish_reason: new.finish_reason,
             generated: 0,
             cached_tokens: None,
             phase: Phase::Waiting,
-            reader: self.readers,
+            reader_id: self.last_reader_id,
             priority: new.priority,
-            arrival: self.arrivals,
+            arrival: self.last_arrival,
         };
-        self.waiting.insert(sequence.place(&new.stream_id));
+        self.waiting.insert(sequence.queue_key(&new.stream_id));
         self.sequences.insert(new.stream_id, sequence);
-        Ok(self.readers)
+        Ok(self.last_reader_id)
     }
 
-    /// Gives a sequence a new reader, and queues it again if it was suspended.
+    /// Assigns a new reader to a sequence, and queues the sequence again if it was suspended.
     pub(crate) fn resume(&mut self, stream_id: &str) -> Option<u64> {
         let sequence = self.sequences.get_mut(stream_id)?;
-        self.readers += 1;
-        sequence.reader = self.readers;
+        self.last_reader_id += 1;
+        sequence.reader_id = self.last_reader_id;
         if sequence.phase == Phase::Suspended {
-            self.arrivals += 1;
-            sequence.arrival = self.arrivals;
+            self.last_arrival += 1;
+            sequence.arrival = self.last_arrival;
             sequence.phase = Phase::Waiting;
-            self.waiting.insert(sequence.place(stream_id));
+            self.waiting.insert(sequence.queue_key(stream_id));
         }
-        Some(self.readers)
+        Some(self.last_reader_id)
     }
 
-    /// Ends a sequence before its end; it stays as it is when it has ended already.
+    /// Cancels or suspends an active or suspended sequence; has no effect on one in another phase.
     pub(crate) fn stop(&mut self, stream_id: &str, phase: Phase, cache: &mut Cache, now: Instant) {
         let Some(sequence) = self.sequences.get_mut(stream_id) else {
             return;
@@ -171,12 +171,12 @@
             }
             return;
         }
-        self.waiting.remove(&sequence.place(stream_id));
+        self.waiting.remove(&sequence.queue_key(stream_id));
         sequence.phase = phase;
         self.end(stream_id, cache, now);
     }
 
-    /// Fills free slots, computes what is due, and returns when there is more to do.
+    /// Admits waiting sequences, runs the due steps, and returns the time of the next tick.
     pub(crate) fn tick(
         &mut self,
         cache: &mut Cache,
@@ -184,7 +184,7 @@
         now: Instant,
     ) -> Option<Instant> {
         self.admit(cache, stats, now);
-        for _ in 0..STEPS_AT_ONCE {
+        for _ in 0..CATCH_UP_STEPS_MAX {
             self.start_generating(now);
             match self.next_step_at {
                 Some(at) if at <= now => self.step(at, cache, stats, now),
@@ -195,7 +195,7 @@
         self.next_due()
     }
 
-    /// Takes waiting sequences into free slots, the most urgent first.
+    /// Admits waiting sequences into free slots, in priority order.
     fn admit(&mut self, cache: &mut Cache, stats: &mut EngineStats, now: Instant) {
         while self.running.len() < self.limits.slots {
             let Some((_, _, stream_id)) = self.waiting.pop_first() else {
@@ -204,9 +204,9 @@
             let Some(sequence) = self.sequences.get_mut(&stream_id) else {
                 continue;
             };
-            let context = sequence.prompt.answered(sequence.generated);
+            let context = sequence.prompt.with_output(sequence.generated);
             let cached = match &sequence.program_id {
-                Some(program_id) => cache.look_up(program_id, &context),
+                Some(program_id) => cache.lookup(program_id, &context),
                 None => 0,
             };
             let computed = context.tokens() - cached;
@@ -214,7 +214,7 @@
             sequence.cached_tokens.get_or_insert(cached.min(prompt_tokens));
             stats.prompt_tokens_cached += cached;
             stats.prompt_tokens_computed += computed;
-            // Prompts share the processor, so each is computed after those before it.
+            // Prompts share the processor, so the prefill of each starts after the previous one.
             let start = self.prefill_free_at.map_or(now, |free_at| free_at.max(now));
             let ready_at = start + self.limits.prefill_per_token.mul_f64(to_f64(computed));
             self.prefill_free_at = Some(ready_at);
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Lets sequences whose prompt is computed take part in the next step.
+    /// Moves the sequences whose prefill has ended to the generating phase.
     fn start_generating(&mut self, now: Instant) {
         for stream_id in &self.running {
             let Some(sequence) = self.sequences.get_mut(stream_id) else {
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Generates one token of each sequence that takes part.
+    /// Generates one token for each generating sequence.
     fn step(&mut self, at: Instant, cache: &mut Cache, stats: &mut EngineStats, now: Instant) {
         let mut finished = Vec::new();
         for stream_id in &self.running {
@@ -253,7 +253,7 @@
             }
             sequence.generated += 1;
             stats.generated += 1;
-            if sequence.generated >= sequence.answer_tokens {
+            if sequence.generated >= sequence.output_tokens {
                 sequence.phase = Phase::Finished;
                 finished.push(stream_id.clone());
             }
@@ -265,30 +265,30 @@
         self.next_step_at = (generating > 0).then(|| at + self.step_time(generating));
     }
 
-    /// Frees the slot of a sequence and leaves its prefix in the cache.
+    /// Frees the slot of a sequence and stores its prefix in the cache.
     fn end(&mut self, stream_id: &str, cache: &mut Cache, now: Instant) {
         let was_running = self.running.remove(stream_id);
         let Some(sequence) = self.sequences.get(stream_id) else {
             return;
         };
         if was_running && let Some(program_id) = &sequence.program_id {
-            let prefix = sequence.prompt.answered(sequence.generated);
-            // A prefix larger than the whole cache is not held, which is what a real engine does.
-            cache.hold(program_id, prefix, now).unwrap_or_default();
+            let prefix = sequence.prompt.with_output(sequence.generated);
+            // A prefix larger than the whole cache is not stored, as in a real engine.
+            cache.store(program_id, prefix, now).unwrap_or_default();
         }
         self.ended.push_back((stream_id.to_owned(), sequence.arrival));
-        self.forget_oldest();
+        self.remove_oldest_ended();
         if self.generating() == 0 {
             self.next_step_at = None;
         }
     }
 
-    fn forget_oldest(&mut self) {
-        while self.ended.len() > ENDED_KEPT {
+    fn remove_oldest_ended(&mut self) {
+        while self.ended.len() > ENDED_SEQUENCES_MAX {
             let Some((stream_id, arrival)) = self.ended.pop_front() else {
                 return;
             };
-            // The name may have been taken by a newer sequence.
+            // A newer sequence may have reused the stream id.
             let sequence = self.sequences.get(&stream_id);
             if sequence.is_some_and(|sequence| sequence.arrival == arrival && !sequence.is_active()) {
                 self.sequences.remove(&stream_id);
@@ -319,8 +319,8 @@
     }
 
     fn step_time(&self, generating: usize) -> Duration {
-        let further = to_f64(generating.saturating_sub(1) as u64);
-        self.limits.step.mul_f64(1.0 + self.limits.slowdown * further)
+        let additional = to_f64(generating.saturating_sub(1) as u64);
+        self.limits.step.mul_f64(1.0 + self.limits.slowdown * additional)
     }
 }
 
@@ -332,7 +332,7 @@
         )
     }
 
-    fn place(&self, stream_id: &str) -> (i64, u64, String) {
+    fn queue_key(&self, stream_id: &str) -> (i64, u64, String) {
         (self.priority, self.arrival, stream_id.to_owned())
     }
 }
--- a/crates/burdockroad-standins/src/engine/cache.rs
+++ b/crates/burdockroad-standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of the engine stand-in, and the events that it publishes.
+//! The prefix cache of the engine stand-in and the events that it publishes.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -15,47 +15,47 @@
 #[cfg(test)]
 mod tests;
 
-const EVENTS_KEPT: usize = 10_000;
+const EVENTS_MAX: usize = 10_000;
 
-/// Prefixes by program, of which the least recently used make room.
+/// Prefix cache with one entry per program and least-recently-used eviction.
 #[derive(Debug)]
 pub(crate) struct Cache {
     max_tokens: u64,
     used_tokens: u64,
-    programs: BTreeMap<String, Held>,
-    /// Programs by their last use, the oldest first.
-    by_use: BTreeMap<u64, String>,
-    uses: u64,
+    programs: BTreeMap<String, CacheEntry>,
+    /// Programs by last use, oldest first.
+    by_last_use: BTreeMap<u64, String>,
+    use_count: u64,
     pub(crate) events: EventLog,
 }
 
 #[derive(Debug)]
-struct Held {
+struct CacheEntry {
     prompt: Prompt,
     tokens: u64,
     last_use: u64,
 }
 
-/// A program that the engine holds a prefix of.
+/// The cached prefix of a program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct HeldProgram {
-    /// Name of the program.
+pub struct CachedPrefix {
+    /// Program id.
     pub program_id: String,
     /// Tokens of the prefix.
     pub tokens: u64,
 }
 
-/// A prefix on its way from one engine to another.
+/// A prefix exported from one engine for import into another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct ExportedPrefix {
     pub(crate) prompt: Prompt,
 }
 
-/// The prefix is larger than the whole cache.
+/// Error for a prefix that is larger than the whole cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct TooLarge;
+pub(crate) struct PrefixTooLarge;
 
 impl Cache {
     pub(crate) fn new(max_tokens: u64, events: EventLog) -> Self {
@@ -63,8 +63,8 @@
             max_tokens,
             used_tokens: 0,
             programs: BTreeMap::new(),
-            by_use: BTreeMap::new(),
-            uses: 0,
+            by_last_use: BTreeMap::new(),
+            use_count: 0,
             events,
         }
     }
@@ -77,113 +77,118 @@
         self.used_tokens
     }
 
-    pub(crate) fn held(&self) -> Vec<HeldProgram> {
+    pub(crate) fn cached_prefixes(&self) -> Vec<CachedPrefix> {
         let programs = self.programs.iter();
         programs
-            .map(|(program_id, held)| HeldProgram {
+            .map(|(program_id, cached)| CachedPrefix {
                 program_id: program_id.clone(),
-                tokens: held.tokens,
+                tokens: cached.tokens,
             })
             .collect()
     }
 
-    /// Counts the tokens of a prompt that need not be computed, and marks the program as used.
-    pub(crate) fn look_up(&mut self, program_id: &str, prompt: &Prompt) -> u64 {
-        let Some(held) = self.programs.get_mut(program_id) else {
+    /// Returns the number of prompt tokens that are cached, and marks the program's entry as used.
+    pub(crate) fn lookup(&mut self, program_id: &str, prompt: &Prompt) -> u64 {
+        let Some(cached) = self.programs.get_mut(program_id) else {
             return 0;
         };
-        let tokens = held.prompt.common_tokens(prompt);
-        self.by_use.remove(&held.last_use);
-        self.uses += 1;
-        held.last_use = self.uses;
-        self.by_use.insert(self.uses, program_id.to_owned());
+        let tokens = cached.prompt.common_tokens(prompt);
+        self.by_last_use.remove(&cached.last_use);
+        self.use_count += 1;
+        cached.last_use = self.use_count;
+        self.by_last_use.insert(self.use_count, program_id.to_owned());
         tokens
     }
 
-    /// Holds a prefix in place of the program's old one, and evicts others to make room.
-    pub(crate) fn hold(&mut self, program_id: &str, prompt: Prompt, now: Instant) -> Result<(), TooLarge> {
+    /// Stores a program's prefix in place of its previous one, and evicts other entries to make room.
+    pub(crate) fn store(
+        &mut self,
+        program_id: &str,
+        prompt: Prompt,
+        now: Instant,
+    ) -> Result<(), PrefixTooLarge> {
         let tokens = prompt.tokens();
-        self.take_out(program_id);
+        self.remove_entry(program_id);
         if tokens > self.max_tokens {
-            return Err(TooLarge);
+            return Err(PrefixTooLarge);
         }
         while self.used_tokens + tokens > self.max_tokens {
-            self.evict_oldest(now);
+            self.evict_least_recently_used(now);
         }
-        self.uses += 1;
+        self.use_count += 1;
         self.used_tokens += tokens;
-        self.by_use.insert(self.uses, program_id.to_owned());
-        let held = Held {
+        self.by_last_use.insert(self.use_count, program_id.to_owned());
+        let cached = CacheEntry {
             prompt,
             tokens,
-            last_use: self.uses,
+            last_use: self.use_count,
         };
-        self.programs.insert(program_id.to_owned(), held);
+        self.programs.insert(program_id.to_owned(), cached);
         self.events.push(CacheEventKind::Held, program_id, tokens, now);
         Ok(())
     }
 
-    /// Frees what is held of a program.
+    /// Frees the cached prefix of a program.
     pub(crate) fn free(&mut self, program_id: &str, now: Instant) {
-        if let Some(held) = self.take_out(program_id) {
+        if let Some(cached) = self.remove_entry(program_id) {
             self.events
-                .push(CacheEventKind::Freed, program_id, held.tokens, now);
+                .push(CacheEventKind::Freed, program_id, cached.tokens, now);
         }
     }
 
     pub(crate) fn export(&self, program_id: &str) -> Option<ExportedPrefix> {
-        let held = self.programs.get(program_id)?;
+        let cached = self.programs.get(program_id)?;
         Some(ExportedPrefix {
-            prompt: held.prompt.clone(),
+            prompt: cached.prompt.clone(),
         })
     }
 
-    fn evict_oldest(&mut self, now: Instant) {
-        let Some((_, program_id)) = self.by_use.pop_first() else {
+    fn evict_least_recently_used(&mut self, now: Instant) {
+        let Some((_, program_id)) = self.by_last_use.pop_first() else {
             return;
         };
-        if let Some(held) = self.take_out(&program_id) {
+        if let Some(cached) = self.remove_entry(&program_id) {
             self.events
-                .push(CacheEventKind::Evicted, &program_id, held.tokens, now);
+                .push(CacheEventKind::Evicted, &program_id, cached.tokens, now);
         }
     }
 
-    fn take_out(&mut self, program_id: &str) -> Option<Held> {
-        let held = self.programs.remove(program_id)?;
-        self.by_use.remove(&held.last_use);
-        self.used_tokens -= held.tokens;
-        Some(held)
+    fn remove_entry(&mut self, program_id: &str) -> Option<CacheEntry> {
+        let cached = self.programs.remove(program_id)?;
+        self.by_last_use.remove(&cached.last_use);
+        self.used_tokens -= cached.tokens;
+        Some(cached)
     }
 }
 
-/// What happened to a program's prefix.
+/// Change to a program's cached prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEventKind {
-    /// The engine holds it now, in place of an earlier one.
+    /// The prefix was stored, in place of an earlier one if there was one.
     Held,
-    /// It was freed on request.
+    /// The prefix was freed on request.
     Freed,
-    /// It made room for another.
+    /// The prefix was evicted to make room for another.
     Evicted,
 }
 
-/// One event of the prefix cache.
+/// An event of the prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event, from 1; a number that is left out is an event that got lost.
+    /// Number of the event, starting at 1; a gap in the numbers is a lost event.
     pub sequence: u64,
-    /// What happened.
+    /// Kind of change.
     pub kind: CacheEventKind,
-    /// Name of the program.
+    /// Program id.
     pub program_id: String,
     /// Tokens of the prefix.
     pub tokens: u64,
 }
 
-/// Events that are published after a lag, some of them never.
+/// Log of events that are published after a lag and lost with a given probability.
 #[derive(Debug)]
 pub(crate) struct EventLog {
     lag: Duration,
@@ -204,7 +209,7 @@
         }
     }
 
-    /// Returns the events after a number that are published by now.
+    /// Returns the published events with numbers above `sequence`.
     pub(crate) fn since(&self, sequence: u64, now: Instant) -> Vec<CacheEvent> {
         let events = self.events.iter();
         events
@@ -218,7 +223,7 @@
         if self.rng.random_bool(self.gap_probability) {
             return;
         }
-        if self.events.len() == EVENTS_KEPT {
+        if self.events.len() == EVENTS_MAX {
             self.events.pop_front();
         }
         let event = CacheEvent {
--- a/crates/burdockroad-standins/src/engine/cache/tests.rs
+++ b/crates/burdockroad-standins/src/engine/cache/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what makes room for what.
+//! Tests of the eviction order.
 
 use std::time::Duration;
 
@@ -9,66 +9,66 @@
     text::{Prompt, PromptPart},
 };
 
-/// What is done with a program of four tokens.
+/// Cache operation on a program whose prefix has four tokens.
 #[derive(Clone, Copy, Debug)]
-enum Use {
-    Hold(&'static str),
+enum Operation {
+    Store(&'static str),
     LookUp(&'static str),
     Free(&'static str),
 }
 
 #[test]
-fn hold_least_recently_used() {
-    use Use::{Free, Hold, LookUp};
-    // Uses of a cache with room for two programs, then the programs that are held.
-    let cases: &[(&[Use], &[&str])] = &[
-        (&[Hold("a"), Hold("b")], &["a", "b"]),
-        (&[Hold("a"), Hold("b"), Hold("c")], &["b", "c"]),
-        (&[Hold("a"), Hold("b"), Hold("a"), Hold("c")], &["a", "c"]),
-        (&[Hold("a"), Hold("b"), LookUp("a"), Hold("c")], &["a", "c"]),
+fn store_evicts_least_recently_used() {
+    use Operation::{Free, LookUp, Store};
+    // Operations on a cache with room for two programs, and the programs cached afterwards.
+    let cases: &[(&[Operation], &[&str])] = &[
+        (&[Store("a"), Store("b")], &["a", "b"]),
+        (&[Store("a"), Store("b"), Store("c")], &["b", "c"]),
+        (&[Store("a"), Store("b"), Store("a"), Store("c")], &["a", "c"]),
+        (&[Store("a"), Store("b"), LookUp("a"), Store("c")], &["a", "c"]),
         (
-            &[Hold("a"), Hold("b"), LookUp("a"), LookUp("b"), Hold("c")],
+            &[Store("a"), Store("b"), LookUp("a"), LookUp("b"), Store("c")],
             &["b", "c"],
         ),
-        (&[Hold("a"), Hold("b"), Free("a"), Hold("c")], &["b", "c"]),
+        (&[Store("a"), Store("b"), Free("a"), Store("c")], &["b", "c"]),
         (
             &[
-                Hold("a"),
+                Store("a"),
                 LookUp("a"),
                 LookUp("a"),
-                Hold("b"),
+                Store("b"),
                 LookUp("a"),
-                Hold("c"),
+                Store("c"),
             ],
             &["a", "c"],
         ),
         (&[Free("a"), LookUp("a")], &[]),
     ];
-    for (uses, expected) in cases {
+    for (operations, expected) in cases {
         let mut cache = Cache::new(8, EventLog::new(Duration::ZERO, 0.0, 0));
-        for step in *uses {
-            apply(&mut cache, *step);
+        for operation in *operations {
+            apply(&mut cache, *operation);
         }
-        let held: Vec<_> = cache
-            .held()
+        let cached: Vec<_> = cache
+            .cached_prefixes()
             .into_iter()
             .map(|program| program.program_id)
             .collect();
-        assert_eq!(held, *expected, "{uses:?}");
-        assert_eq!(cache.used_tokens(), 4 * expected.len() as u64, "{uses:?}");
+        assert_eq!(cached, *expected, "{operations:?}");
+        assert_eq!(cache.used_tokens(), 4 * expected.len() as u64, "{operations:?}");
     }
 }
 
-fn apply(cache: &mut Cache, step: Use) {
+fn apply(cache: &mut Cache, operation: Operation) {
     let now = Instant::now();
     let prompt = Prompt {
         parts: vec![PromptPart::new("user", "four tokens here")],
     };
-    match step {
-        Use::Hold(program_id) => assert_eq!(cache.hold(program_id, prompt, now), Ok(())),
-        Use::LookUp(program_id) => {
-            cache.look_up(program_id, &prompt);
+    match operation {
+        Operation::Store(program_id) => assert_eq!(cache.store(program_id, prompt, now), Ok(())),
+        Operation::LookUp(program_id) => {
+            cache.lookup(program_id, &prompt);
         }
-        Use::Free(program_id) => cache.free(program_id, now),
+        Operation::Free(program_id) => cache.free(program_id, now),
     }
 }
--- a/crates/burdockroad-standins/src/engine/chat.rs
+++ b/crates/burdockroad-standins/src/engine/chat.rs
@@ -1,4 +1,4 @@
-//! Requests and answers in the published form of chat completions.
+//! Requests and responses in the published format of chat completions.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -15,7 +15,7 @@
 const COMPLETION_OBJECT: &str = "chat.completion";
 const ASSISTANT: &str = "assistant";
 
-/// Body of `POST /v1/chat/completions`; fields that make no difference here are passed over.
+/// Body of `POST /v1/chat/completions`; fields that the stand-in does not use are ignored.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub(crate) struct ChatRequest {
@@ -66,8 +66,8 @@
 }
 
 impl ChatRequest {
-    /// Checks what the types leave open.
-    pub(crate) fn check(&self) -> Result<(), &'static str> {
+    /// Checks the constraints that the types do not express.
+    pub(crate) fn validate(&self) -> Result<(), &'static str> {
         if self.messages.is_empty() {
             return Err("messages is empty");
         }
@@ -115,16 +115,16 @@
     }
 }
 
-/// What all parts of one answer have in common.
+/// Fields common to all chunks of one completion.
 #[derive(Clone, Debug)]
-pub(crate) struct AnswerHead {
+pub(crate) struct CompletionMetadata {
     id: String,
     model: String,
     created: u64,
     include_usage: bool,
 }
 
-/// Tokens that a call took.
+/// Token usage of a call.
 #[derive(Clone, Copy, Debug)]
 #[derive(Serialize)]
 pub(crate) struct Usage {
@@ -134,14 +134,14 @@
     pub(crate) prompt_tokens_details: PromptTokensDetails,
 }
 
-/// How many tokens of the prompt were not computed again.
+/// Breakdown of the prompt tokens.
 #[derive(Clone, Copy, Debug)]
 #[derive(Serialize)]
 pub(crate) struct PromptTokensDetails {
     pub(crate) cached_tokens: u64,
 }
 
-/// Why an answer ends.
+/// Reason why a completion ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -161,7 +161,7 @@
     usage: Option<UsageField>,
 }
 
-/// Once asked for, the usage stands in every chunk, and is null in all but the last.
+/// Usage field of a chunk; when requested, every chunk has it, and it is null in all but the last.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum UsageField {
@@ -207,7 +207,7 @@
     content: &'a str,
 }
 
-impl AnswerHead {
+impl CompletionMetadata {
     pub(crate) fn new(stream_id: &str, model: &str, include_usage: bool) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Makes the event that carries one token.
+    /// Creates the event for one token.
     pub(crate) fn token_event(&self, index: u64, text: &str) -> Bytes {
         let delta = Delta {
             role: (index == 0).then_some(ASSISTANT),
@@ -227,8 +227,8 @@
         self.event(vec![choice(delta, None)], UsageField::Null)
     }
 
-    /// Makes the events that end an answer: the reason, the usage where asked for, and the end mark.
-    pub(crate) fn last_events(&self, reason: FinishReason, usage: Usage) -> Bytes {
+    /// Creates the events that end a stream: the finish reason, the usage if requested, and `[DONE]`.
+    pub(crate) fn final_events(&self, reason: FinishReason, usage: Usage) -> Bytes {
         let delta = Delta {
             role: None,
             content: None,
@@ -243,7 +243,7 @@
         events.into()
     }
 
-    /// Makes the answer that comes as a whole.
+    /// Creates the complete response of a call that is not streamed.
     pub(crate) fn completion(
         &self,
         text: &str,
@@ -305,7 +305,7 @@
     code: Option<&'a str>,
 }
 
-/// Makes an error in the published form.
+/// Creates an error response in the published format.
 pub(crate) fn error(status: StatusCode, code: &str, message: &str) -> Response<ResponseBody> {
     let kind = if status.is_server_error() {
         "server_error"
@@ -335,7 +335,7 @@
     owned_by: &'a str,
 }
 
-/// Answers which models there are.
+/// Creates the response that lists the models.
 pub(crate) fn model_list(names: &[String]) -> Response<ResponseBody> {
     let models = names.iter().map(|name| Model {
         id: name,
--- a/crates/burdockroad-standins/src/engine/orders.rs
+++ b/crates/burdockroad-standins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine: to load a model, an adapter or a version, or to change its role.
+//! Orders that tell an engine to load a model, an adapter or a version, or to change its role.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,100 +13,100 @@
     http_client::{self, HttpClient},
 };
 
-/// Longest wait before the weight store is asked again.
+/// Maximum backoff between attempts to fetch weights.
 const WEIGHT_RETRY_MAX: Duration = Duration::from_secs(5);
-const WEIGHT_ATTEMPTS: u32 = 100;
+const WEIGHT_ATTEMPTS_MAX: u32 = 100;
 
-/// Whether an engine refuses orders with an old fencing number.
+/// Whether an engine enforces fencing numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fencing {
-    /// A number below the highest one seen is answered 409.
+    /// Orders with a number below the highest one seen are refused with status 409.
     #[default]
-    Refused,
-    /// The number makes no difference.
+    Enforced,
+    /// The number has no effect.
     Ignored,
 }
 
-/// An order and the number that tells old holders from new ones.
+/// An order with the fencing number of its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// Grows with each change of who gives the orders.
+    /// Number that increases each time another sender takes over.
     pub fencing_number: u64,
-    /// What to do.
+    /// The order.
     pub order: Order,
 }
 
-/// What an engine is told to do; each names what to load, or the role to take.
+/// Instruction to an engine, with the name of what to load or of the role to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Load a model in place of the ones served so far.
+    /// Load a model and unload all others.
     LoadModel(String),
-    /// Load an adapter, which is then served as one more model.
+    /// Load an adapter, which is then served as an additional model.
     LoadAdapter(String),
     /// Load another version of the model.
     LoadVersion(String),
-    /// Take a role.
+    /// Change the role.
     SetRole(String),
 }
 
-/// How far an order is.
+/// Progress of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderState {
-    /// Earlier orders come first.
+    /// Waiting for earlier orders.
     Queued,
-    /// It is being carried out.
+    /// Being executed.
     Running,
-    /// It is in force.
+    /// Executed successfully.
     Done,
-    /// The weight store did not give what it needed.
+    /// The weights could not be fetched.
     Failed,
 }
 
-/// An order that was accepted.
+/// An accepted order and its progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AcceptedOrder {
-    /// The order as it was given.
+    /// The order as received.
     #[serde(flatten)]
     pub request: OrderRequest,
-    /// How far it is.
+    /// Progress of the order.
     pub state: OrderState,
 }
 
-/// The orders of an engine and what they made of it; the answer of `GET /orders`.
+/// The orders of an engine and the resulting state; the response to `GET /orders`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OrdersReport {
     /// Highest fencing number seen.
     pub highest_fencing_number: u64,
-    /// Models that are served, adapters among them; with none named, any model is.
+    /// Served models, including adapters; if empty, any model is served.
     pub models: Vec<String>,
-    /// Version that is served; empty before the first order.
+    /// Served version; empty before the first order.
     pub version: String,
-    /// Role that was taken; empty before the first order.
+    /// Current role; empty before the first order.
     pub role: String,
-    /// Accepted orders in the order of their arrival.
+    /// Accepted orders by arrival.
     pub orders: Vec<AcceptedOrder>,
 }
 
-/// The fencing number is lower than one seen before.
+/// Error for a fencing number that is lower than the highest one seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct OldFencingNumber;
+pub(crate) struct StaleFencingNumber;
 
 impl OrdersReport {
-    /// Accepts an order and returns its place in the list.
+    /// Accepts an order and returns its index in the list.
     pub(crate) fn accept(
         &mut self,
         request: OrderRequest,
         fencing: Fencing,
-    ) -> std::result::Result<usize, OldFencingNumber> {
-        if fencing == Fencing::Refused && request.fencing_number < self.highest_fencing_number {
-            return Err(OldFencingNumber);
+    ) -> std::result::Result<usize, StaleFencingNumber> {
+        if fencing == Fencing::Enforced && request.fencing_number < self.highest_fencing_number {
+            return Err(StaleFencingNumber);
         }
         self.highest_fencing_number = self.highest_fencing_number.max(request.fencing_number);
         let state = OrderState::Queued;
@@ -125,38 +125,38 @@
     }
 }
 
-/// Carries out orders one after the other.
-pub(crate) struct Loader {
+/// Executor that runs accepted orders one after the other.
+pub(crate) struct OrderExecutor {
     pub(crate) shared: Arc<Shared>,
     pub(crate) load_time: Duration,
     pub(crate) weight_store: Option<SocketAddr>,
     pub(crate) client: HttpClient,
 }
 
-impl Loader {
+impl OrderExecutor {
     pub(crate) async fn run(self, mut accepted: mpsc::UnboundedReceiver<usize>) {
-        while let Some(place) = accepted.recv().await {
-            let Some(order) = self.start(place) else {
+        while let Some(index) = accepted.recv().await {
+            let Some(order) = self.start(index) else {
                 continue;
             };
             let loaded = self.load(&order).await;
-            self.finish(place, &order, loaded.is_ok());
+            self.finish(index, &order, loaded.is_ok());
         }
     }
 
-    fn start(&self, place: usize) -> Option<Order> {
+    fn start(&self, index: usize) -> Option<Order> {
         let mut state = self.shared.state();
-        let accepted = state.orders.orders.get_mut(place)?;
+        let accepted = state.orders.orders.get_mut(index)?;
         accepted.state = OrderState::Running;
         Some(accepted.request.order.clone())
     }
 
-    fn finish(&self, place: usize, order: &Order, loaded: bool) {
+    fn finish(&self, index: usize, order: &Order, loaded: bool) {
         let mut state = self.shared.state();
         if loaded {
             state.orders.apply(order);
         }
-        if let Some(accepted) = state.orders.orders.get_mut(place) {
+        if let Some(accepted) = state.orders.orders.get_mut(index) {
             accepted.state = if loaded {
                 OrderState::Done
             } else {
@@ -166,36 +166,36 @@
     }
 
     async fn load(&self, order: &Order) -> Result<()> {
-        let weights = match order {
+        let weights_name = match order {
             Order::LoadModel(name) | Order::LoadAdapter(name) | Order::LoadVersion(name) => name,
             Order::SetRole(_) => return Ok(()),
         };
         if let Some(store) = self.weight_store {
-            let url = format!("http://{store}/weights/{weights}");
+            let url = format!("http://{store}/weights/{weights_name}");
             self.fetch(&url).await?;
         }
         tokio::time::sleep(self.load_time).await;
         Ok(())
     }
 
-    /// Gets weights, and asks again when the store says that it is over its rate.
+    /// Fetches weights, and retries while the store responds that its rate is exceeded.
     async fn fetch(&self, url: &str) -> Result<()> {
-        for _ in 0..WEIGHT_ATTEMPTS {
+        for _ in 0..WEIGHT_ATTEMPTS_MAX {
             let request = http_client::request(Method::GET, url, Bytes::new())?;
-            let answer = self.client.send(request).await?;
-            match answer.status {
+            let response = self.client.send(request).await?;
+            match response.status {
                 StatusCode::OK => return Ok(()),
                 StatusCode::TOO_MANY_REQUESTS => {
-                    let retry_after = answer.headers.get(header::RETRY_AFTER);
+                    let retry_after = response.headers.get(header::RETRY_AFTER);
                     let seconds = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
-                    let wait = Duration::from_secs(seconds.unwrap_or(1));
-                    tokio::time::sleep(wait.min(WEIGHT_RETRY_MAX)).await;
+                    let backoff = Duration::from_secs(seconds.unwrap_or(1));
+                    tokio::time::sleep(backoff.min(WEIGHT_RETRY_MAX)).await;
                 }
                 status => return Err(StandinError::Request(format!("{url}: {status}"))),
             }
         }
         Err(StandinError::Request(format!(
-            "{url}: over its rate for too long"
+            "{url}: rate still exceeded after {WEIGHT_ATTEMPTS_MAX} attempts"
         )))
     }
 }
--- a/crates/burdockroad-standins/src/engine/stats.rs
+++ b/crates/burdockroad-standins/src/engine/stats.rs
@@ -1,43 +1,43 @@
-//! What the engine stand-in computed, and the load that it reports with a lag.
+//! Totals of the engine stand-in, and its load, which is reported with a lag.
 
 use std::{collections::VecDeque, time::Duration};
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// What the engine computed since it was started.
+/// Totals computed since the engine started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EngineStats {
-    /// Tokens of prompts that were computed.
+    /// Prompt tokens that were computed.
     pub prompt_tokens_computed: u64,
-    /// Tokens of prompts that were in the cache.
+    /// Prompt tokens that were in the cache.
     pub prompt_tokens_cached: u64,
-    /// Tokens that were generated.
+    /// Generated tokens.
     pub generated: u64,
-    /// Most sequences in slots at once.
+    /// Maximum number of sequences in the batch at one time.
     pub peak_batch: u64,
 }
 
-/// The load that an endpoint reports.
+/// Load reported by an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Load {
     /// Calls being served.
     pub running: u64,
-    /// Calls that wait for a slot.
+    /// Calls waiting for a slot.
     pub waiting: u64,
-    /// Calls that can be served at once.
+    /// Maximum number of calls served concurrently.
     pub slots: u64,
-    /// Tokens held in the prefix cache.
+    /// Tokens in the prefix cache.
     pub cache_tokens_used: u64,
-    /// Tokens that the prefix cache can hold.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens_max: u64,
-    /// How old this report is.
+    /// Age of this report.
     pub age_ms: u64,
 }
 
-/// The loads of the last while, so that an old one can be reported.
+/// Load samples of at least one lag, from which the delayed report is taken.
 #[derive(Debug)]
 pub(crate) struct LaggedLoad {
     lag: Duration,
@@ -52,19 +52,19 @@
         }
     }
 
-    /// Notes the load as it is now.
+    /// Records the current load.
     pub(crate) fn sample(&mut self, load: Load, now: Instant) {
         if self.samples.back().is_some_and(|(_, last)| *last == load) {
             return;
         }
         self.samples.push_back((now, load));
-        // The newest sample that is old enough is the one reported; those before it are not needed.
+        // Only the newest sample that is at least one lag old is reported, so older ones are dropped.
         while self.samples.get(1).is_some_and(|(at, _)| *at + self.lag <= now) {
             self.samples.pop_front();
         }
     }
 
-    /// Returns the load as it was one lag ago.
+    /// Returns the load of one lag ago.
     pub(crate) fn report(&self, now: Instant) -> Load {
         let mut old_enough = self.samples.iter().rev().filter(|(at, _)| *at + self.lag <= now);
         let sample = old_enough.next().or(self.samples.front());
--- a/crates/burdockroad-standins/src/engine/text.rs
+++ b/crates/burdockroad-standins/src/engine/text.rs
@@ -1,15 +1,15 @@
-//! Tokens, prompts, and the text that the engine stand-in answers with.
+//! Tokens, prompts and the output text of the engine stand-in.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Bytes of text that make one token; a rest counts as one more.
+/// Bytes of text per token; a remainder counts as one more token.
 pub(crate) const TOKEN_BYTES: usize = 4;
-const ANSWER_MIN_TOKENS: u64 = 16;
-const ANSWER_SPREAD_TOKENS: u64 = 48;
+const OUTPUT_MIN_TOKENS: u64 = 16;
+const OUTPUT_SPREAD_TOKENS: u64 = 48;
 const LETTERS: &[u8; 32] = b"abcdefghijklmnopqrstuvwxyzaeiout";
 
-/// One message of a prompt, by digest and size.
+/// Digest and size of one message of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct PromptPart {
@@ -27,7 +27,7 @@
     }
 }
 
-/// All messages of a prompt in their order.
+/// The messages of a prompt, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
@@ -40,7 +40,7 @@
         self.parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// Returns a number that any change of a message changes.
+    /// Returns a hash of all messages.
     pub(crate) fn digest(&self) -> u64 {
         let parts = self.parts.iter();
         parts.fold(0, |digest, part| {
@@ -48,17 +48,17 @@
         })
     }
 
-    /// Returns the prompt that goes on with an answer to it; the same prompt when the answer is empty.
-    pub(crate) fn answered(&self, answer_tokens: u64) -> Self {
+    /// Returns the prompt extended by its output; the same prompt when the output is empty.
+    pub(crate) fn with_output(&self, output_tokens: u64) -> Self {
         let mut prompt = self.clone();
-        if answer_tokens > 0 {
-            let text = answer_text(self.digest(), 0, answer_tokens);
+        if output_tokens > 0 {
+            let text = output_text(self.digest(), 0, output_tokens);
             prompt.parts.push(PromptPart::new("assistant", &text));
         }
         prompt
     }
 
-    /// Returns the tokens of the messages that both prompts begin with.
+    /// Returns the number of tokens in the messages that both prompts start with.
     pub(crate) fn common_tokens(&self, other: &Self) -> u64 {
         let pairs = self.parts.iter().zip(&other.parts);
         pairs
@@ -73,17 +73,17 @@
     text.len().div_ceil(TOKEN_BYTES) as u64
 }
 
-/// Returns how many tokens the model wants to answer a prompt with.
-pub(crate) fn answer_tokens(digest: u64) -> u64 {
-    ANSWER_MIN_TOKENS + digest % ANSWER_SPREAD_TOKENS
+/// Returns the number of tokens that the model generates for a prompt if no limit applies.
+pub(crate) fn output_tokens(digest: u64) -> u64 {
+    OUTPUT_MIN_TOKENS + digest % OUTPUT_SPREAD_TOKENS
 }
 
-/// Returns the text of some tokens of the answer to a prompt.
-pub(crate) fn answer_text(digest: u64, from: u64, to: u64) -> String {
+/// Returns the text of the output tokens `from..to` for a prompt.
+pub(crate) fn output_text(digest: u64, from: u64, to: u64) -> String {
     (from..to).flat_map(|index| token_text(digest, index)).collect()
 }
 
-/// Returns one token: three letters and a space.
+/// Returns one output token: three letters and a space.
 fn token_text(digest: u64, index: u64) -> [char; 4] {
     let bits = xxh3_64_with_seed(&index.to_le_bytes(), digest).to_le_bytes();
     let letter = |byte: u8| char::from(LETTERS[usize::from(byte) % LETTERS.len()]);
--- a/crates/burdockroad-standins/tests/engine_contract.rs
+++ b/crates/burdockroad-standins/tests/engine_contract.rs
@@ -91,7 +91,7 @@
 #[tokio::test]
 async fn complete_lengths() {
     let options = EngineOptions {
-        answer_tokens: Some(10),
+        output_tokens: Some(10),
         ..EngineOptions::default()
     };
     let fixture = Fixture::start(options).await;
@@ -142,7 +142,7 @@
     // An answer too long to end by itself holds the only slot until the others have come.
     let options = EngineOptions {
         slots: 1,
-        answer_tokens: Some(10_000_000),
+        output_tokens: Some(10_000_000),
         ..EngineOptions::default()
     };
     let fixture = Fixture::start(options).await;
@@ -184,7 +184,7 @@
 #[tokio::test]
 async fn stream_close_and_resume() {
     let options = EngineOptions {
-        answer_tokens: Some(300),
+        output_tokens: Some(300),
         ..EngineOptions::default()
     };
     let fixture = Fixture::start(options).await;
@@ -215,7 +215,7 @@
 async fn stream_close_frees_slot() {
     // Too long to end by itself before the wait for the free slot does.
     let options = EngineOptions {
-        answer_tokens: Some(10_000_000),
+        output_tokens: Some(10_000_000),
         ..EngineOptions::default()
     };
     let fixture = Fixture::start(options).await;
@@ -234,7 +234,7 @@
 #[tokio::test]
 async fn stream_cancel() {
     let options = EngineOptions {
-        answer_tokens: Some(10_000_000),
+        output_tokens: Some(10_000_000),
         ..EngineOptions::default()
     };
     let fixture = Fixture::start(options).await;
@@ -259,7 +259,7 @@
 #[tokio::test]
 async fn faults_table() {
     let options = EngineOptions {
-        answer_tokens: Some(20),
+        output_tokens: Some(20),
         ..EngineOptions::default()
     };
     let fixture = Fixture::start(options).await;
--- a/crates/burdockroad-standins/tests/engine_state_contract.rs
+++ b/crates/burdockroad-standins/tests/engine_state_contract.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use burdockroad_standins::engine::{
-    CacheEvent, CacheEventKind, EngineOptions, Fencing, HeldProgram, Load, Order, OrderRequest, OrderState,
+    CacheEvent, CacheEventKind, CachedPrefix, EngineOptions, Fencing, Load, Order, OrderRequest, OrderState,
     OrdersReport,
 };
 use http::Method;
@@ -37,7 +37,7 @@
     for _ in 0..2 {
         assert_eq!(fixture.send(Method::DELETE, "/cache/p1").await.status, 204);
     }
-    assert_eq!(fixture.engine.held_programs(), []);
+    assert_eq!(fixture.engine.cached_prefixes(), []);
     assert_eq!(cached(turn("another question")).await, 0);
     assert_eq!(fixture.engine.stats().prompt_tokens_cached, 20);
     fixture.engine.close().await;
@@ -55,12 +55,15 @@
             .complete(&[("x-program-id", program)], &body(text, 3))
             .await;
     }
-    let held = |program_id: &str| HeldProgram {
+    let held = |program_id: &str| CachedPrefix {
         program_id: program_id.to_owned(),
         tokens: 4,
     };
     let answer = fixture.send(Method::GET, "/cache").await;
-    assert_eq!(answer.json::<Vec<HeldProgram>>().unwrap(), [held("a"), held("c")]);
+    assert_eq!(
+        answer.json::<Vec<CachedPrefix>>().unwrap(),
+        [held("a"), held("c")]
+    );
     let answer = fixture.send(Method::GET, "/cache/events?since=2").await;
     let events: Vec<_> = answer.json::<Vec<CacheEvent>>().unwrap();
     let events: Vec<_> = events
@@ -148,7 +151,7 @@
 async fn load_lag() {
     let lagging = EngineOptions {
         load_lag: Duration::from_hours(1),
-        answer_tokens: Some(10_000_000),
+        output_tokens: Some(10_000_000),
         ..EngineOptions::default()
     };
     let fresh = EngineOptions {
@@ -179,7 +182,7 @@
         order(6, Order::SetRole("prefill".to_owned())),
     ];
     let cases = [
-        (Fencing::Refused, [202, 409, 202, 202], vec!["n"]),
+        (Fencing::Enforced, [202, 409, 202, 202], vec!["n"]),
         (Fencing::Ignored, [202; 4], vec!["n", "a"]),
     ];
     for (fencing, statuses, models) in cases {
