--- a/crates/burdockroad-standins/src/kv.rs
+++ b/crates/burdockroad-standins/src/kv.rs
@@ -1,8 +1,8 @@
-//! Stand-in of the platform's key-value service: the etcd v3 interface, in memory.
+//! Stand-in for the platform's key-value service: the etcd v3 API, in memory.
 //!
-//! It holds keys, leases and watches as etcd's published interface says, counts each call, and keeps
-//! to its rates by refusing what goes over. It can be told to be slow, to be down, to break watches,
-//! and to lose replies after the write took effect. Leases run out while it is down, too.
+//! It implements keys, leases and watches as published by etcd, counts each call, and refuses calls that
+//! exceed its rate limits. Injected faults make it slow or unavailable, break watches, and lose replies
+//! after the write took effect. Leases expire also while it is unavailable.
 
 pub use crate::kv::{
     faults::{KvFaults, LoseReplies, LostReply},
@@ -31,39 +31,39 @@
     error::Result,
     http_server::{self, Handler, HandlerResult, ReceivedRequest},
     kv::{
-        faults::FaultState,
+        faults::FaultInjector,
+        key_range::KeyRange,
         meter::{CallKind, Meter},
         refusal::Refusal,
         service::KvService,
-        span::Span,
         store::Store,
     },
     server::Server,
 };
 
 mod faults;
+mod key_range;
 mod meter;
 mod refusal;
 mod service;
-mod span;
 mod store;
-mod watching;
+mod watch_stream;
 
 const LEASE_TICK: Duration = Duration::from_millis(20);
 const MESSAGE_MAX_BYTES: usize = 16 << 20;
 
-/// How a key-value stand-in is started.
+/// Options of a key-value stand-in.
 #[derive(Clone, Debug)]
 pub struct KvOptions {
-    /// Loopback address of the gRPC calls; port 0 takes a free one.
+    /// Loopback address for gRPC calls; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Loopback address of the control requests; port 0 takes a free one.
+    /// Loopback address for control requests; port 0 selects a free port.
     pub control_listen: SocketAddr,
-    /// Reads that are let in each second; each waiting watch takes one of them.
+    /// Maximum reads per second; each open watch uses one of them.
     pub reads_per_s: u64,
-    /// Writes that are let in each second.
+    /// Maximum writes per second.
     pub writes_per_s: u64,
-    /// How often a watch that asked for it is told how far it is.
+    /// Interval of progress notifications to the watches that requested them.
     pub progress_interval: Duration,
 }
 
@@ -100,7 +100,7 @@
     shared: Arc<Shared>,
     server: Server,
     control: Server,
-    expiring: JoinHandle<()>,
+    expiry_task: JoinHandle<()>,
 }
 
 impl KvStandin {
@@ -108,57 +108,57 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address is not loopback or cannot be listened on.
+    /// Fails when an address is not a loopback address or listening on it fails.
     pub async fn start(options: KvOptions) -> Result<Self> {
         let shared = Arc::new(Shared::new(&options));
         let server = Server::serve(options.listen, grpc_service(&shared)).await?;
-        let handler = Arc::new(Control {
+        let handler = Arc::new(ControlHandler {
             shared: Arc::clone(&shared),
         });
         let control = http_server::serve(options.control_listen, handler).await?;
-        let expiring = tokio::spawn(expire_leases(Arc::clone(&shared)));
+        let expiry_task = tokio::spawn(expire_leases(Arc::clone(&shared)));
         Ok(Self {
             shared,
             server,
             control,
-            expiring,
+            expiry_task,
         })
     }
 
-    /// Returns the address of the gRPC calls.
+    /// Returns the address for gRPC calls.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns the address that takes `POST /faults` and `GET /counts`.
+    /// Returns the address that serves `POST /faults` and `GET /counts`.
     pub fn control_address(&self) -> SocketAddr {
         self.control.address()
     }
 
-    /// Puts a set of faults in place of the one in force.
+    /// Replaces the active set of faults.
     pub fn set_faults(&self, faults: KvFaults) {
         self.shared.set_faults(faults);
     }
 
-    /// Returns how often the stand-in was called.
+    /// Returns the call counts.
     pub fn counts(&self) -> KvCounts {
         self.shared.state().meter.counts()
     }
 
-    /// Stops the stand-in, ends all its connections and forgets its keys.
+    /// Stops the stand-in, ends all its connections and drops its keys.
     pub async fn close(self) {
-        self.expiring.abort();
+        self.expiry_task.abort();
         self.server.close().await;
         self.control.close().await;
     }
 }
 
-/// What the calls, the control requests and the expiry of leases share.
+/// State shared by the calls, the control requests and the lease expiry task.
 #[derive(Debug)]
 pub(crate) struct Shared {
     state: Mutex<State>,
     changes: watch::Sender<i64>,
-    breaks: watch::Sender<u64>,
+    watch_breaks: watch::Sender<u64>,
     progress_interval: Duration,
 }
 
@@ -166,7 +166,7 @@
 struct State {
     store: Store,
     meter: Meter,
-    faults: FaultState,
+    fault_injector: FaultInjector,
 }
 
 impl Shared {
@@ -174,12 +174,12 @@
         let state = State {
             store: Store::new(),
             meter: Meter::new(options.reads_per_s, options.writes_per_s, Instant::now()),
-            faults: FaultState::new(KvFaults::default()),
+            fault_injector: FaultInjector::new(KvFaults::default()),
         };
         Self {
             state: Mutex::new(state),
             changes: watch::Sender::new(0),
-            breaks: watch::Sender::new(0),
+            watch_breaks: watch::Sender::new(0),
             progress_interval: options.progress_interval,
         }
     }
@@ -188,44 +188,47 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a call and makes it wait or fail as the faults say, before it takes effect.
-    async fn enter(&self, kind: CallKind) -> std::result::Result<(), Status> {
+    /// Counts a call and applies the active faults and rate limits before the call takes effect.
+    async fn admit_call(&self, kind: CallKind) -> std::result::Result<(), Status> {
         let delay_ms = {
             let mut state = self.state();
-            if state.faults.faults.down {
+            if state.fault_injector.faults.down {
                 return Err(Refusal::Down.into());
             }
             state.meter.admit(kind, Instant::now())?;
-            state.faults.faults.delay_ms
+            state.fault_injector.faults.delay_ms
         };
         if delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-            // It may have gone down in the meantime.
-            if self.state().faults.faults.down {
+            // The faults may have changed during the delay.
+            if self.state().fault_injector.faults.down {
                 return Err(Refusal::Down.into());
             }
         }
         Ok(())
     }
 
-    /// Works on the keys and tells the watches of a change.
+    /// Runs an operation on the store and notifies the watches of a change.
     fn with_store<T>(
         &self,
-        work: impl FnOnce(&mut Store) -> std::result::Result<T, Refusal>,
+        operation: impl FnOnce(&mut Store) -> std::result::Result<T, Refusal>,
     ) -> std::result::Result<T, Status> {
         let mut state = self.state();
-        let result = work(&mut state.store);
+        let result = operation(&mut state.store);
         self.announce(state.store.revision());
         Ok(result?)
     }
 
-    /// Sends the reply to a write that took effect, unless it is to be lost.
+    /// Returns the reply to a write that took effect, or loses it as configured.
     async fn reply_to_write<T: Send>(&self, response: T) -> std::result::Result<Response<T>, Status> {
-        let (lost, how) = {
+        let (lost, lost_reply) = {
             let mut state = self.state();
-            (state.faults.loses_reply(), state.faults.faults.lost_reply)
+            (
+                state.fault_injector.should_lose_reply(),
+                state.fault_injector.faults.lost_reply,
+            )
         };
-        match (lost, how) {
+        match (lost, lost_reply) {
             (false, _) => Ok(Response::new(response)),
             (true, LostReply::Error) => Err(Refusal::ConnectionLost.into()),
             (true, LostReply::Hang) => std::future::pending().await,
@@ -233,10 +236,10 @@
     }
 
     fn set_faults(&self, faults: KvFaults) {
-        let breaks = faults.down || faults.break_watches;
-        self.state().faults = FaultState::new(faults);
-        if breaks {
-            self.breaks.send_modify(|number| *number += 1);
+        let break_watches = faults.down || faults.break_watches;
+        self.state().fault_injector = FaultInjector::new(faults);
+        if break_watches {
+            self.watch_breaks.send_modify(|number| *number += 1);
         }
     }
 
@@ -247,9 +250,9 @@
     }
 
     fn announce(&self, revision: i64) {
-        self.changes.send_if_modified(|announced| {
-            let changed = *announced != revision;
-            *announced = revision;
+        self.changes.send_if_modified(|last_revision| {
+            let changed = *last_revision != revision;
+            *last_revision = revision;
             changed
         });
     }
@@ -258,23 +261,26 @@
         self.changes.subscribe()
     }
 
-    fn breaks(&self) -> watch::Receiver<u64> {
-        self.breaks.subscribe()
+    fn watch_breaks(&self) -> watch::Receiver<u64> {
+        self.watch_breaks.subscribe()
     }
 
     fn header(&self) -> ResponseHeader {
         self.state().store.header()
     }
 
-    /// Returns the newest revision, and the lowest that a watch may start from.
+    /// Returns the current revision and the lowest revision that a watch may start from.
     fn revisions(&self) -> (i64, i64) {
         let state = self.state();
         (state.store.revision(), state.store.compacted())
     }
 
-    fn events_since(&self, span: &Span, revision: i64) -> (ResponseHeader, Vec<Event>) {
+    fn events_since(&self, key_range: &KeyRange, revision: i64) -> (ResponseHeader, Vec<Event>) {
         let state = self.state();
-        (state.store.header(), state.store.events_since(span, revision))
+        (
+            state.store.header(),
+            state.store.events_since(key_range, revision),
+        )
     }
 
     fn watch_opened(&self) {
@@ -307,13 +313,13 @@
     TowerToHyperService::new(routes)
 }
 
-/// Answers the control requests.
-struct Control {
+/// Handler of the control requests.
+struct ControlHandler {
     shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for Control {
+impl Handler for ControlHandler {
     async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let response = match (method, path.as_slice()) {
@@ -322,7 +328,7 @@
                     self.shared.set_faults(faults);
                     http_server::empty(StatusCode::NO_CONTENT)
                 }
-                Err(refused) => *refused,
+                Err(error_response) => *error_response,
             },
             ("GET", ["counts"]) => http_server::json(StatusCode::OK, &self.shared.state().meter.counts()),
             _ => http_server::text(StatusCode::NOT_FOUND, "no such control request"),
--- a/crates/burdockroad-standins/src/kv/span.rs
+++ b/crates/burdockroad-standins/src/kv/key_range.rs
@@ -1,28 +1,28 @@
-//! The keys that a call names: one, a range, or all from one on.
+//! Key ranges of calls: a single key, a bounded range, or all keys from a start on.
 
 use std::collections::BTreeSet;
 
 use crate::kv::refusal::Refusal;
 
-/// A range of keys, as `key` and `range_end` of the interface give it.
+/// A range of keys, as given by `key` and `range_end` in the etcd API.
 #[derive(Clone, Debug)]
-pub(crate) struct Span {
+pub(crate) struct KeyRange {
     pub(crate) start: Vec<u8>,
     end: End,
 }
 
 #[derive(Clone, Debug)]
 enum End {
-    /// The span is its start alone.
+    /// The range is a single key.
     Single,
-    /// The span has no end.
+    /// The range is unbounded.
     Open,
-    /// The span ends before this key.
+    /// The range ends before this key.
     Before(Vec<u8>),
 }
 
-impl Span {
-    /// Reads a span; an empty `range_end` means one key, a zero byte all keys from `key` on.
+impl KeyRange {
+    /// Parses a range; an empty `range_end` means a single key, a zero byte all keys from `key` on.
     pub(crate) fn new(key: &[u8], range_end: &[u8]) -> Result<Self, Refusal> {
         if key.is_empty() {
             return Err(Refusal::KeyMissing);
@@ -47,7 +47,9 @@
     }
 }
 
-/// Tells whether any of the keys is in any of the spans.
-pub(crate) fn overlaps(spans: &[Span], keys: &BTreeSet<Vec<u8>>) -> bool {
-    spans.iter().any(|span| keys.iter().any(|key| span.contains(key)))
+/// Returns whether any of the keys is in any of the ranges.
+pub(crate) fn overlaps(ranges: &[KeyRange], keys: &BTreeSet<Vec<u8>>) -> bool {
+    ranges
+        .iter()
+        .any(|range| keys.iter().any(|key| range.contains(key)))
 }
--- a/crates/burdockroad-standins/src/kv/meter.rs
+++ b/crates/burdockroad-standins/src/kv/meter.rs
@@ -1,4 +1,4 @@
-//! Counts the calls of the key-value stand-in and holds them to its rates.
+//! Call counts and rate limits of the key-value stand-in.
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
@@ -8,36 +8,36 @@
 #[cfg(test)]
 mod tests;
 
-/// How often the stand-in was called.
+/// Call counts.
 ///
-/// Leases count as writes, a request for progress as a read.
+/// Lease calls count as writes, and a progress request counts as a read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KvCounts {
-    /// Reads that were let in.
+    /// Admitted reads.
     pub reads: u64,
-    /// Writes that were let in.
+    /// Admitted writes.
     pub writes: u64,
-    /// Calls refused because a rate was reached.
+    /// Calls refused because a rate limit was reached.
     pub refused: u64,
-    /// Watches that wait now; each takes one of the reads of every second.
+    /// Currently open watches; each uses one read per second of the rate limit.
     pub watches_waiting: u64,
-    /// Most reads within one second, waiting watches not counted.
+    /// Maximum number of reads in one second, excluding open watches.
     pub peak_reads_per_s: u64,
-    /// Most writes within one second.
+    /// Maximum number of writes in one second.
     pub peak_writes_per_s: u64,
-    /// Most watches that waited at once.
+    /// Maximum number of watches open at one time.
     pub peak_watches_waiting: u64,
 }
 
-/// Whether a call changes keys or leases.
+/// Kind of a call; writes change keys or leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallKind {
     Read,
     Write,
 }
 
-/// Counts in windows of one second, and refuses what goes over.
+/// Counter and rate limiter with fixed windows of one second.
 #[derive(Debug)]
 pub(crate) struct Meter {
     reads_per_s: u64,
@@ -62,7 +62,7 @@
         self.counts
     }
 
-    /// Counts one call, or refuses it.
+    /// Counts one call as admitted, or refuses it.
     pub(crate) fn admit(&mut self, kind: CallKind, now: Instant) -> Result<(), Refusal> {
         let admitted = match kind {
             CallKind::Read => self.admit_read(now),
--- a/crates/burdockroad-standins/src/kv/meter/tests.rs
+++ b/crates/burdockroad-standins/src/kv/meter/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the rates, with the time passed in.
+//! Tests of the rate limits, with times passed as arguments.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 
 use crate::kv::meter::{CallKind, Meter};
 
-/// Milliseconds since the start, kind, and whether the call is let in.
+/// Milliseconds since the start, kind, and whether the call is admitted.
 type Call = (u64, CallKind, bool);
 
 #[test]
 fn admit_over_rate() {
     use CallKind::{Read, Write};
-    // Waiting watches, then the calls.
+    // Number of open watches, then the calls.
     let cases: &[(u64, &[Call])] = &[
         (
             0,
@@ -48,11 +48,11 @@
         let start = Instant::now();
         let mut meter = Meter::new(3, 1, start);
         (0..*watches).for_each(|_| meter.watch_opened());
-        for (at_ms, kind, let_in) in *calls {
+        for (at_ms, kind, expected) in *calls {
             let admitted = meter.admit(*kind, start + Duration::from_millis(*at_ms));
             assert_eq!(
                 admitted.is_ok(),
-                *let_in,
+                *expected,
                 "{watches} watches, {calls:?}, at {at_ms}"
             );
         }
--- a/crates/burdockroad-standins/src/kv/refusal.rs
+++ b/crates/burdockroad-standins/src/kv/refusal.rs
@@ -1,8 +1,8 @@
-//! Why the key-value stand-in refuses a call, in the codes and words of the etcd v3 interface.
+//! Errors of the key-value stand-in, with the codes and messages of the etcd v3 API.
 
 use tonic::{Code, Status};
 
-/// A call that had no effect.
+/// Reason why a call was refused without effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
     KeyMissing,
--- a/crates/burdockroad-standins/src/kv/service.rs
+++ b/crates/burdockroad-standins/src/kv/service.rs
@@ -1,4 +1,4 @@
-//! The calls of the key-value stand-in over gRPC.
+//! gRPC services of the key-value stand-in.
 
 use std::{pin::Pin, sync::Arc};
 
@@ -13,13 +13,13 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Request, Response, Status, Streaming};
 
-use crate::kv::{Shared, meter::CallKind, watching};
+use crate::kv::{Shared, meter::CallKind, watch_stream};
 
 const WATCH_QUEUE_LEN: usize = 16;
 
-type Answers<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
-/// Serves the calls on the shared state.
+/// Implementation of the gRPC services on the shared state.
 #[derive(Clone, Debug)]
 pub(crate) struct KvService {
     pub(crate) shared: Arc<Shared>,
@@ -28,13 +28,13 @@
 #[tonic::async_trait]
 impl Kv for KvService {
     async fn range(&self, request: Request<RangeRequest>) -> Result<Response<RangeResponse>, Status> {
-        self.shared.enter(CallKind::Read).await?;
+        self.shared.admit_call(CallKind::Read).await?;
         let response = self.shared.with_store(|store| store.range(request.get_ref()))?;
         Ok(Response::new(response))
     }
 
     async fn put(&self, request: Request<PutRequest>) -> Result<Response<PutResponse>, Status> {
-        self.shared.enter(CallKind::Write).await?;
+        self.shared.admit_call(CallKind::Write).await?;
         let response = self.shared.with_store(|store| store.put(request.get_ref()))?;
         self.shared.reply_to_write(response).await
     }
@@ -43,7 +43,7 @@
         &self,
         request: Request<DeleteRangeRequest>,
     ) -> Result<Response<DeleteRangeResponse>, Status> {
-        self.shared.enter(CallKind::Write).await?;
+        self.shared.admit_call(CallKind::Write).await?;
         let response = self
             .shared
             .with_store(|store| store.delete_range(request.get_ref()))?;
@@ -53,7 +53,7 @@
     async fn txn(&self, request: Request<TxnRequest>) -> Result<Response<TxnResponse>, Status> {
         let writes = may_write(request.get_ref());
         let kind = if writes { CallKind::Write } else { CallKind::Read };
-        self.shared.enter(kind).await?;
+        self.shared.admit_call(kind).await?;
         let response = self.shared.with_store(|store| store.txn(request.get_ref()))?;
         if writes {
             self.shared.reply_to_write(response).await
@@ -65,16 +65,16 @@
 
 #[tonic::async_trait]
 impl Lease for KvService {
-    type LeaseKeepAliveStream = Answers<LeaseKeepAliveResponse>;
+    type LeaseKeepAliveStream = ResponseStream<LeaseKeepAliveResponse>;
 
     async fn lease_grant(
         &self,
         request: Request<LeaseGrantRequest>,
     ) -> Result<Response<LeaseGrantResponse>, Status> {
-        self.shared.enter(CallKind::Write).await?;
-        let wanted = request.get_ref();
+        self.shared.admit_call(CallKind::Write).await?;
+        let message = request.get_ref();
         let response = self.shared.with_store(|store| {
-            let (id, ttl) = store.lease_grant(wanted.id, wanted.ttl, Instant::now())?;
+            let (id, ttl) = store.lease_grant(message.id, message.ttl, Instant::now())?;
             Ok(LeaseGrantResponse {
                 header: Some(store.header()),
                 id,
@@ -89,7 +89,7 @@
         &self,
         request: Request<LeaseRevokeRequest>,
     ) -> Result<Response<LeaseRevokeResponse>, Status> {
-        self.shared.enter(CallKind::Write).await?;
+        self.shared.admit_call(CallKind::Write).await?;
         let response = self.shared.with_store(|store| {
             store.lease_revoke(request.get_ref().id)?;
             Ok(LeaseRevokeResponse {
@@ -104,15 +104,15 @@
         request: Request<Streaming<LeaseKeepAliveRequest>>,
     ) -> Result<Response<Self::LeaseKeepAliveStream>, Status> {
         let state = (Arc::clone(&self.shared), request.into_inner());
-        let answers = stream::unfold(state, |(shared, mut requests)| async move {
-            let wanted = requests.next().await?;
-            let answer = match wanted {
-                Ok(wanted) => keep_alive(&shared, wanted.id).await,
+        let responses = stream::unfold(state, |(shared, mut requests)| async move {
+            let message = requests.next().await?;
+            let response = match message {
+                Ok(message) => keep_alive(&shared, message.id).await,
                 Err(status) => Err(status),
             };
-            Some((answer, (shared, requests)))
+            Some((response, (shared, requests)))
         });
-        Ok(Response::new(Box::pin(answers)))
+        Ok(Response::new(Box::pin(responses)))
     }
 }
 
@@ -124,15 +124,15 @@
         &self,
         request: Request<Streaming<WatchRequest>>,
     ) -> Result<Response<Self::WatchStream>, Status> {
-        let (answers, receiver) = mpsc::channel(WATCH_QUEUE_LEN);
+        let (response_sender, receiver) = mpsc::channel(WATCH_QUEUE_LEN);
         let shared = Arc::clone(&self.shared);
-        tokio::spawn(watching::run(shared, request.into_inner(), answers));
+        tokio::spawn(watch_stream::run(shared, request.into_inner(), response_sender));
         Ok(Response::new(ReceiverStream::new(receiver)))
     }
 }
 
 async fn keep_alive(shared: &Shared, id: i64) -> Result<LeaseKeepAliveResponse, Status> {
-    shared.enter(CallKind::Write).await?;
+    shared.admit_call(CallKind::Write).await?;
     shared.with_store(|store| {
         let ttl = store.lease_keep_alive(id, Instant::now());
         Ok(LeaseKeepAliveResponse {
--- a/crates/burdockroad-standins/src/kv/store.rs
+++ b/crates/burdockroad-standins/src/kv/store.rs
@@ -1,4 +1,4 @@
-//! The keys of the key-value stand-in, with their revisions, history and leases.
+//! The keys of the key-value stand-in, with their revisions, change history and leases.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -18,8 +18,8 @@
 use tokio::time::Instant;
 
 use crate::kv::{
+    key_range::{KeyRange, overlaps},
     refusal::Refusal,
-    span::{Span, overlaps},
 };
 
 const HISTORY_MAX_EVENTS: usize = 20_000;
@@ -30,12 +30,12 @@
 const MEMBER_ID: u64 = 1;
 const RAFT_TERM: u64 = 1;
 
-/// All keys and leases; each change of keys adds one to the revision.
+/// All keys and leases; each change of keys increments the revision by one.
 #[derive(Debug)]
 pub(crate) struct Store {
     revision: i64,
     keys: BTreeMap<Vec<u8>, KeyValue>,
-    /// Changes since `compacted`, with what each replaced.
+    /// Changes since revision `compacted`, each with the value that it replaced.
     history: VecDeque<Event>,
     history_bytes: usize,
     compacted: i64,
@@ -81,8 +81,8 @@
     }
 
     pub(crate) fn range(&self, request: &RangeRequest) -> Result<RangeResponse, Refusal> {
-        let span = Span::new(&request.key, &request.range_end)?;
-        let mut found = self.read_at(&span, request.revision)?;
+        let key_range = KeyRange::new(&request.key, &request.range_end)?;
+        let mut found = self.read_at(&key_range, request.revision)?;
         let count = i64::try_from(found.len()).unwrap_or(i64::MAX);
         let limit = usize::try_from(request.limit).unwrap_or(0);
         let more = limit > 0 && found.len() > limit;
@@ -120,7 +120,7 @@
         &mut self,
         request: &DeleteRangeRequest,
     ) -> Result<DeleteRangeResponse, Refusal> {
-        Span::new(&request.key, &request.range_end)?;
+        KeyRange::new(&request.key, &request.range_end)?;
         let revision = self.revision + 1;
         let response = self.apply_delete(request, revision);
         if response.deleted > 0 {
@@ -132,17 +132,20 @@
         })
     }
 
-    /// Runs a transaction: all compares of all levels first, then the chosen branch as one revision.
+    /// Runs a transaction.
+    ///
+    /// All comparisons, including nested ones, are evaluated first. The selected branches are then applied
+    /// as one revision.
     pub(crate) fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, Refusal> {
         self.check_txn(request)?;
-        let mut chosen = VecDeque::new();
-        self.choose(request, &mut chosen);
+        let mut branches = VecDeque::new();
+        self.select_branches(request, &mut branches);
         let revision = self.revision + 1;
-        let mut response = self.apply_txn(request, revision, &mut chosen);
+        let mut response = self.apply_txn(request, revision, &mut branches);
         if self
             .history
             .back()
-            .is_some_and(|event| change_revision(event) == revision)
+            .is_some_and(|event| event_revision(event) == revision)
         {
             self.revision = revision;
         }
@@ -150,14 +153,19 @@
         Ok(response)
     }
 
-    /// Returns the changes to a span since a revision, that revision included.
-    pub(crate) fn events_since(&self, span: &Span, revision: i64) -> Vec<Event> {
+    /// Returns the changes to a key range since a revision, inclusive.
+    pub(crate) fn events_since(&self, key_range: &KeyRange, revision: i64) -> Vec<Event> {
         let start = self
             .history
-            .partition_point(|event| change_revision(event) < revision);
+            .partition_point(|event| event_revision(event) < revision);
         let events = self.history.range(start..);
         events
-            .filter(|event| event.kv.as_ref().is_some_and(|entry| span.contains(&entry.key)))
+            .filter(|event| {
+                event
+                    .kv
+                    .as_ref()
+                    .is_some_and(|entry| key_range.contains(&entry.key))
+            })
             .cloned()
             .collect()
     }
@@ -169,32 +177,32 @@
         if self.leases.contains_key(&id) {
             return Err(Refusal::LeaseExists);
         }
-        let id = if id == 0 { self.free_lease_id() } else { id };
+        let id = if id == 0 { self.unused_lease_id() } else { id };
         let ttl_s = ttl_s.max(1);
         let expires_at = now + lease_duration(ttl_s);
         self.leases.insert(id, Lease { ttl_s, expires_at });
         Ok((id, ttl_s))
     }
 
-    /// Ends a lease and removes its keys, as one revision.
+    /// Revokes a lease and removes its keys as one revision.
     pub(crate) fn lease_revoke(&mut self, id: i64) -> Result<(), Refusal> {
         self.leases.remove(&id).ok_or(Refusal::LeaseNotFound)?;
         let entries = self.keys.values();
-        let held: Vec<_> = entries
+        let attached_keys: Vec<_> = entries
             .filter(|entry| entry.lease == id)
             .map(|entry| entry.key.clone())
             .collect();
-        if held.is_empty() {
+        if attached_keys.is_empty() {
             return Ok(());
         }
         self.revision += 1;
-        for key in held {
+        for key in attached_keys {
             self.remove(&key, self.revision);
         }
         Ok(())
     }
 
-    /// Renews a lease and returns its time to live in seconds; 0 when there is no such lease.
+    /// Renews a lease and returns its TTL in seconds, or 0 if the lease does not exist.
     pub(crate) fn lease_keep_alive(&mut self, id: i64, now: Instant) -> i64 {
         let Some(lease) = self.leases.get_mut(&id) else {
             return 0;
@@ -203,7 +211,7 @@
         lease.ttl_s
     }
 
-    /// Revokes the leases that have run out.
+    /// Revokes the expired leases.
     pub(crate) fn expire_leases(&mut self, now: Instant) {
         let leases = self.leases.iter();
         let expired: Vec<_> = leases
@@ -216,22 +224,22 @@
         }
     }
 
-    fn free_lease_id(&mut self) -> i64 {
+    fn unused_lease_id(&mut self) -> i64 {
         while self.leases.contains_key(&self.next_lease_id) {
             self.next_lease_id += 1;
         }
         self.next_lease_id
     }
 
-    /// Reads a span as it was at a revision; 0 means now.
-    fn read_at(&self, span: &Span, revision: i64) -> Result<Vec<KeyValue>, Refusal> {
+    /// Reads a key range as of a revision; 0 means the current one.
+    fn read_at(&self, key_range: &KeyRange, revision: i64) -> Result<Vec<KeyValue>, Refusal> {
         self.check_revision(revision)?;
         let mut found: BTreeMap<_, _> = self
-            .read_now(span)
+            .read_current(key_range)
             .map(|entry| (entry.key.clone(), entry.clone()))
             .collect();
         if revision > 0 {
-            for event in self.events_since(span, revision + 1).into_iter().rev() {
+            for event in self.events_since(key_range, revision + 1).into_iter().rev() {
                 let key = event.kv.map(|entry| entry.key).unwrap_or_default();
                 match event.prev_kv {
                     Some(previous) => found.insert(key, previous),
@@ -242,11 +250,11 @@
         Ok(found.into_values().collect())
     }
 
-    fn read_now<'a>(&'a self, span: &'a Span) -> impl Iterator<Item = &'a KeyValue> {
-        let entries = self.keys.range(span.start.clone()..);
+    fn read_current<'a>(&'a self, key_range: &'a KeyRange) -> impl Iterator<Item = &'a KeyValue> {
+        let entries = self.keys.range(key_range.start.clone()..);
         entries
             .map(|(_, entry)| entry)
-            .take_while(|entry| span.contains(&entry.key))
+            .take_while(|entry| key_range.contains(&entry.key))
     }
 
     fn check_revision(&self, revision: i64) -> Result<(), Refusal> {
@@ -289,7 +297,7 @@
             match &op.request {
                 None => return Err(Refusal::KeyMissing),
                 Some(Op::RequestRange(range)) => {
-                    Span::new(&range.key, &range.range_end)?;
+                    KeyRange::new(&range.key, &range.range_end)?;
                     self.check_revision(range.revision)?;
                 }
                 Some(Op::RequestPut(put)) => {
@@ -299,7 +307,7 @@
                     }
                 }
                 Some(Op::RequestDeleteRange(delete)) => {
-                    deleted.push(Span::new(&delete.key, &delete.range_end)?);
+                    deleted.push(KeyRange::new(&delete.key, &delete.range_end)?);
                 }
                 Some(Op::RequestTxn(nested)) => self.check_txn(nested)?,
             }
@@ -310,41 +318,46 @@
         Ok(())
     }
 
-    fn choose(&self, request: &TxnRequest, chosen: &mut VecDeque<bool>) {
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
-        chosen.push_back(succeeded);
+    fn select_branches(&self, request: &TxnRequest, branches: &mut VecDeque<bool>) {
+        let succeeded = request
+            .compare
+            .iter()
+            .all(|compare| self.compare_succeeds(compare));
+        branches.push_back(succeeded);
         for op in branch_of(request, succeeded) {
             if let Some(Op::RequestTxn(nested)) = &op.request {
-                self.choose(nested, chosen);
+                self.select_branches(nested, branches);
             }
         }
     }
 
-    /// Tells whether a comparison holds; an absent key counts as all zeros, and has no value.
-    fn holds(&self, compare: &Compare) -> bool {
+    /// Returns whether a comparison succeeds; an absent key has no value, and its numbers are 0.
+    fn compare_succeeds(&self, compare: &Compare) -> bool {
         let entry = self.keys.get(&compare.key);
-        let number = |field: fn(&KeyValue) -> i64| entry.map_or(0, field);
+        let entry_field = |field: fn(&KeyValue) -> i64| entry.map_or(0, field);
         let ordering = match (compare.target(), &compare.target_union) {
             (CompareTarget::Value, union) => {
                 let Some(entry) = entry else {
                     return false;
                 };
-                let wanted: &[u8] = match union {
+                let expected: &[u8] = match union {
                     Some(TargetUnion::Value(value)) => value,
                     _ => &[],
                 };
-                entry.value.as_slice().cmp(wanted)
+                entry.value.as_slice().cmp(expected)
             }
             (CompareTarget::Version, union) => {
-                number(|entry| entry.version).cmp(&wanted_number(union.as_ref()))
+                entry_field(|entry| entry.version).cmp(&expected_number(union.as_ref()))
             }
             (CompareTarget::Create, union) => {
-                number(|entry| entry.create_revision).cmp(&wanted_number(union.as_ref()))
+                entry_field(|entry| entry.create_revision).cmp(&expected_number(union.as_ref()))
             }
             (CompareTarget::Mod, union) => {
-                number(|entry| entry.mod_revision).cmp(&wanted_number(union.as_ref()))
+                entry_field(|entry| entry.mod_revision).cmp(&expected_number(union.as_ref()))
+            }
+            (CompareTarget::Lease, union) => {
+                entry_field(|entry| entry.lease).cmp(&expected_number(union.as_ref()))
             }
-            (CompareTarget::Lease, union) => number(|entry| entry.lease).cmp(&wanted_number(union.as_ref())),
         };
         match compare.result() {
             CompareResult::Equal => ordering.is_eq(),
@@ -354,13 +367,21 @@
         }
     }
 
-    fn apply_txn(&mut self, request: &TxnRequest, revision: i64, chosen: &mut VecDeque<bool>) -> TxnResponse {
-        let succeeded = chosen.pop_front().unwrap_or_default();
+    fn apply_txn(
+        &mut self,
+        request: &TxnRequest,
+        revision: i64,
+        branches: &mut VecDeque<bool>,
+    ) -> TxnResponse {
+        let succeeded = branches.pop_front().unwrap_or_default();
         let branch = branch_of(request, succeeded);
         let responses = branch
             .iter()
             .map(|op| ResponseOp {
-                response: op.request.as_ref().map(|op| self.apply_op(op, revision, chosen)),
+                response: op
+                    .request
+                    .as_ref()
+                    .map(|op| self.apply_op(op, revision, branches)),
             })
             .collect();
         TxnResponse {
@@ -370,15 +391,15 @@
         }
     }
 
-    fn apply_op(&mut self, op: &Op, revision: i64, chosen: &mut VecDeque<bool>) -> OpResponse {
+    fn apply_op(&mut self, op: &Op, revision: i64, branches: &mut VecDeque<bool>) -> OpResponse {
         match op {
-            // Checked before, so it cannot be refused here.
+            // The request was checked before, so it cannot be refused here.
             Op::RequestRange(range) => OpResponse::ResponseRange(self.range(range).unwrap_or_default()),
             Op::RequestPut(put) => OpResponse::ResponsePut(self.apply_put(put, revision)),
             Op::RequestDeleteRange(delete) => {
                 OpResponse::ResponseDeleteRange(self.apply_delete(delete, revision))
             }
-            Op::RequestTxn(nested) => OpResponse::ResponseTxn(self.apply_txn(nested, revision, chosen)),
+            Op::RequestTxn(nested) => OpResponse::ResponseTxn(self.apply_txn(nested, revision, branches)),
         }
     }
 
@@ -393,7 +414,7 @@
             lease: request.lease,
         };
         self.keys.insert(request.key.clone(), entry.clone());
-        self.remember(EventType::Put, entry, previous.clone());
+        self.record_event(EventType::Put, entry, previous.clone());
         PutResponse {
             header: None,
             prev_kv: previous.filter(|_| request.prev_kv),
@@ -401,9 +422,9 @@
     }
 
     fn apply_delete(&mut self, request: &DeleteRangeRequest, revision: i64) -> DeleteRangeResponse {
-        // Checked before: a span that is bad holds nothing.
-        let found = Span::new(&request.key, &request.range_end)
-            .map(|span| self.read_now(&span).cloned().collect::<Vec<_>>())
+        // The range was checked before; an invalid one would match no keys.
+        let found = KeyRange::new(&request.key, &request.range_end)
+            .map(|key_range| self.read_current(&key_range).cloned().collect::<Vec<_>>())
             .unwrap_or_default();
         for entry in &found {
             self.remove(&entry.key, revision);
@@ -422,10 +443,10 @@
             mod_revision: revision,
             ..KeyValue::default()
         };
-        self.remember(EventType::Delete, tombstone, previous);
+        self.record_event(EventType::Delete, tombstone, previous);
     }
 
-    fn remember(&mut self, kind: EventType, entry: KeyValue, previous: Option<KeyValue>) {
+    fn record_event(&mut self, kind: EventType, entry: KeyValue, previous: Option<KeyValue>) {
         let event = Event {
             r#type: kind.into(),
             kv: Some(entry),
@@ -438,7 +459,7 @@
                 break;
             };
             self.history_bytes -= event_bytes(&oldest);
-            self.compacted = change_revision(&oldest) + 1;
+            self.compacted = event_revision(&oldest) + 1;
         }
     }
 }
@@ -451,7 +472,7 @@
     }
 }
 
-fn wanted_number(union: Option<&TargetUnion>) -> i64 {
+fn expected_number(union: Option<&TargetUnion>) -> i64 {
     match union {
         Some(
             TargetUnion::Version(number)
@@ -463,7 +484,7 @@
     }
 }
 
-fn change_revision(event: &Event) -> i64 {
+fn event_revision(event: &Event) -> i64 {
     event.kv.as_ref().map_or(0, |entry| entry.mod_revision)
 }
 
--- a/crates/burdockroad-standins/src/kv/watching.rs
+++ b/crates/burdockroad-standins/src/kv/watch_stream.rs
@@ -1,4 +1,4 @@
-//! One watch stream of the key-value stand-in, which carries any number of watches.
+//! A watch stream of the key-value stand-in, which multiplexes any number of watches.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,61 +12,65 @@
 };
 use tonic::{Status, Streaming};
 
-use crate::kv::{Shared, meter::CallKind, refusal::Refusal, span::Span};
+use crate::kv::{Shared, key_range::KeyRange, meter::CallKind, refusal::Refusal};
 
-/// Watch id of an answer to a request for progress, which speaks for all watches of the stream.
+/// Watch id of a response to a progress request, which covers all watches of the stream.
 const ALL_WATCHES: i64 = -1;
 
-type Answers = mpsc::Sender<Result<WatchResponse, Status>>;
+type ResponseSender = mpsc::Sender<Result<WatchResponse, Status>>;
 
-/// The client is gone, or the stream has to end.
-struct Ended;
+/// The client has disconnected, or the stream must end.
+struct StreamClosed;
 
 struct Watcher {
-    span: Span,
+    key_range: KeyRange,
     next_revision: i64,
-    with_previous: bool,
-    progress: bool,
+    include_previous: bool,
+    progress_notify: bool,
 }
 
 struct WatchStream {
     shared: Arc<Shared>,
-    answers: Answers,
+    response_sender: ResponseSender,
     watchers: BTreeMap<i64, Watcher>,
     next_id: i64,
 }
 
-/// Serves a watch stream until the client leaves or the watches are broken.
-pub(crate) async fn run(shared: Arc<Shared>, mut requests: Streaming<WatchRequest>, answers: Answers) {
+/// Serves a watch stream until the client disconnects or the watches are broken.
+pub(crate) async fn run(
+    shared: Arc<Shared>,
+    mut requests: Streaming<WatchRequest>,
+    response_sender: ResponseSender,
+) {
     let mut changes = shared.changes();
-    let mut breaks = shared.breaks();
-    let mut progress = tokio::time::interval_at(
+    let mut watch_breaks = shared.watch_breaks();
+    let mut progress_timer = tokio::time::interval_at(
         Instant::now() + shared.progress_interval,
         shared.progress_interval,
     );
-    progress.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    progress_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut stream = WatchStream {
         shared: Arc::clone(&shared),
-        answers: answers.clone(),
+        response_sender: response_sender.clone(),
         watchers: BTreeMap::new(),
         next_id: 0,
     };
     loop {
         let outcome = tokio::select! {
-            _ = breaks.changed() => {
-                drop(answers.try_send(Err(Refusal::ConnectionLost.into())));
-                Err(Ended)
+            _ = watch_breaks.changed() => {
+                drop(response_sender.try_send(Err(Refusal::ConnectionLost.into())));
+                Err(StreamClosed)
             }
-            () = answers.closed() => Err(Ended),
+            () = response_sender.closed() => Err(StreamClosed),
             request = requests.next() => match request {
                 Some(Ok(request)) => stream.handle(request).await,
-                _ => Err(Ended),
+                _ => Err(StreamClosed),
             },
             outcome = changes.changed() => match outcome {
                 Ok(()) => stream.publish().await,
-                Err(_closed) => Err(Ended),
+                Err(_closed) => Err(StreamClosed),
             },
-            _ = progress.tick() => stream.notify_progress().await,
+            _ = progress_timer.tick() => stream.notify_progress().await,
         };
         if outcome.is_err() {
             break;
@@ -76,20 +80,20 @@
 }
 
 impl WatchStream {
-    async fn handle(&mut self, request: WatchRequest) -> Result<(), Ended> {
+    async fn handle(&mut self, request: WatchRequest) -> Result<(), StreamClosed> {
         match request.request_union {
             Some(RequestUnion::CreateRequest(create)) => self.create(create).await,
             Some(RequestUnion::CancelRequest(cancel)) => self.cancel(cancel.watch_id).await,
-            Some(RequestUnion::ProgressRequest(_)) => self.answer_progress().await,
+            Some(RequestUnion::ProgressRequest(_)) => self.send_progress().await,
             None => Ok(()),
         }
     }
 
-    async fn create(&mut self, request: WatchCreateRequest) -> Result<(), Ended> {
-        self.enter().await?;
-        let id = self.choose_id(request.watch_id);
-        let span = match Span::new(&request.key, &request.range_end) {
-            Ok(span) if !self.watchers.contains_key(&id) => span,
+    async fn create(&mut self, request: WatchCreateRequest) -> Result<(), StreamClosed> {
+        self.admit_call().await?;
+        let id = self.assign_id(request.watch_id);
+        let key_range = match KeyRange::new(&request.key, &request.range_end) {
+            Ok(key_range) if !self.watchers.contains_key(&id) => key_range,
             _ => return self.refuse(id, "etcdserver: watch cannot be created", 0).await,
         };
         let (revision, compacted) = self.shared.revisions();
@@ -102,10 +106,10 @@
             return self.refuse(id, reason, compacted).await;
         }
         let watcher = Watcher {
-            span,
+            key_range,
             next_revision,
-            with_previous: request.prev_kv,
-            progress: request.progress_notify,
+            include_previous: request.prev_kv,
+            progress_notify: request.progress_notify,
         };
         self.watchers.insert(id, watcher);
         self.shared.watch_opened();
@@ -117,7 +121,7 @@
         self.publish().await
     }
 
-    async fn cancel(&mut self, id: i64) -> Result<(), Ended> {
+    async fn cancel(&mut self, id: i64) -> Result<(), StreamClosed> {
         if self.watchers.remove(&id).is_none() {
             return Ok(());
         }
@@ -129,18 +133,18 @@
         self.send(canceled).await
     }
 
-    async fn answer_progress(&mut self) -> Result<(), Ended> {
-        self.enter().await?;
-        // What was changed before the answer's revision has to come before the answer.
+    async fn send_progress(&mut self) -> Result<(), StreamClosed> {
+        self.admit_call().await?;
+        // Changes up to the revision in the response must be sent before the response.
         self.publish().await?;
         self.send(self.response(ALL_WATCHES)).await
     }
 
-    async fn notify_progress(&mut self) -> Result<(), Ended> {
+    async fn notify_progress(&mut self) -> Result<(), StreamClosed> {
         self.publish().await?;
         let watchers = self.watchers.iter();
         let ids: Vec<_> = watchers
-            .filter(|(_, watcher)| watcher.progress)
+            .filter(|(_, watcher)| watcher.progress_notify)
             .map(|(id, _)| *id)
             .collect();
         for id in ids {
@@ -149,17 +153,19 @@
         Ok(())
     }
 
-    /// Sends each watch the changes that it has not had yet.
-    async fn publish(&mut self) -> Result<(), Ended> {
+    /// Sends each watch the changes that it has not received yet.
+    async fn publish(&mut self) -> Result<(), StreamClosed> {
         self.cancel_compacted().await?;
         let mut responses = Vec::new();
         for (id, watcher) in &mut self.watchers {
-            let (header, mut events) = self.shared.events_since(&watcher.span, watcher.next_revision);
+            let (header, mut events) = self
+                .shared
+                .events_since(&watcher.key_range, watcher.next_revision);
             watcher.next_revision = watcher.next_revision.max(header.revision + 1);
             if events.is_empty() {
                 continue;
             }
-            if !watcher.with_previous {
+            if !watcher.include_previous {
                 for event in &mut events {
                     event.prev_kv = None;
                 }
@@ -177,15 +183,15 @@
         Ok(())
     }
 
-    /// Cancels the watches that fell behind the history that is kept.
-    async fn cancel_compacted(&mut self) -> Result<(), Ended> {
+    /// Cancels the watches whose next revision has been compacted.
+    async fn cancel_compacted(&mut self) -> Result<(), StreamClosed> {
         let (_, compacted) = self.shared.revisions();
         let watchers = self.watchers.iter();
-        let behind: Vec<_> = watchers
+        let compacted_ids: Vec<_> = watchers
             .filter(|(_, watcher)| watcher.next_revision < compacted)
             .map(|(id, _)| *id)
             .collect();
-        for id in behind {
+        for id in compacted_ids {
             self.watchers.remove(&id);
             self.shared.watches_closed(1);
             let canceled = WatchResponse {
@@ -198,8 +204,8 @@
         Ok(())
     }
 
-    async fn refuse(&self, id: i64, reason: &str, compact_revision: i64) -> Result<(), Ended> {
-        // As etcd does it: a watch that cannot be created is answered as created and canceled at once.
+    async fn refuse(&self, id: i64, reason: &str, compact_revision: i64) -> Result<(), StreamClosed> {
+        // Like etcd, the response for a watch that cannot be created sets both `created` and `canceled`.
         let refused = WatchResponse {
             created: true,
             canceled: true,
@@ -210,18 +216,21 @@
         self.send(refused).await
     }
 
-    async fn enter(&self) -> Result<(), Ended> {
-        match self.shared.enter(CallKind::Read).await {
+    async fn admit_call(&self) -> Result<(), StreamClosed> {
+        match self.shared.admit_call(CallKind::Read).await {
             Ok(()) => Ok(()),
             Err(status) => {
-                drop(self.answers.send(Err(status)).await);
-                Err(Ended)
+                drop(self.response_sender.send(Err(status)).await);
+                Err(StreamClosed)
             }
         }
     }
 
-    async fn send(&self, response: WatchResponse) -> Result<(), Ended> {
-        self.answers.send(Ok(response)).await.map_err(|_gone| Ended)
+    async fn send(&self, response: WatchResponse) -> Result<(), StreamClosed> {
+        self.response_sender
+            .send(Ok(response))
+            .await
+            .map_err(|_disconnected| StreamClosed)
     }
 
     fn response(&self, id: i64) -> WatchResponse {
@@ -232,9 +241,9 @@
         }
     }
 
-    fn choose_id(&mut self, wanted: i64) -> i64 {
-        if wanted != 0 {
-            return wanted;
+    fn assign_id(&mut self, requested_id: i64) -> i64 {
+        if requested_id != 0 {
+            return requested_id;
         }
         while self.watchers.contains_key(&self.next_id) {
             self.next_id += 1;
