--- a/crates/burdockroad-standins/src/host_list.rs
+++ b/crates/burdockroad-standins/src/host_list.rs
@@ -1,6 +1,6 @@
-//! Stand-in of the platform's list of hosts: `GET /hosts`, which shows changes after a lag.
+//! Stand-in for the platform's list of hosts: `GET /hosts`, which shows changes after a lag.
 //!
-//! Control requests have an address of their own: `PUT /hosts` sets the list, `POST /faults` makes the
+//! Control requests use a separate address: `PUT /hosts` sets the list, and `POST /faults` makes the
 //! stand-in slow or unavailable.
 
 use std::{
@@ -21,54 +21,54 @@
     server::Server,
 };
 
-/// One host, as the platform lists it.
+/// A host in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListedHost {
-    /// Name of the host.
+    /// Host id.
     pub host_id: String,
-    /// Failure domain that it stands in.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Where its daemon is reached by peers; empty for a host that runs endpoints.
+    /// Address at which peers reach its daemon; empty for a host that runs endpoints.
     #[serde(default)]
     pub peer_address: String,
-    /// Whether it stays or is being taken away.
+    /// Lifecycle state of the host.
     pub state: HostState,
 }
 
-/// Whether a host stays or is being taken away.
+/// Lifecycle state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
     /// In service.
     Live,
-    /// To be taken away; it gets no new work.
+    /// Scheduled for removal; receives no new work.
     Leaving,
 }
 
-/// Faults of the host list; a new set replaces the whole old one.
+/// Faults of the host list; a new set replaces the previous one entirely.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HostListFaults {
-    /// The list is answered 503.
+    /// Requests for the list fail with status 503.
     pub down: bool,
-    /// Each answer waits this long.
+    /// Delay before each response.
     pub delay_ms: u64,
 }
 
-/// How a host list stand-in is started.
+/// Options of a host list stand-in.
 #[derive(Clone, Debug)]
 pub struct HostListOptions {
-    /// Loopback address of the list; port 0 takes a free one.
+    /// Loopback address of the list; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Loopback address of the control requests; port 0 takes a free one.
+    /// Loopback address for control requests; port 0 selects a free port.
     pub control_listen: SocketAddr,
-    /// Hosts that are shown from the start.
+    /// Initial list of hosts.
     pub hosts: Vec<ListedHost>,
-    /// Time until a change is shown.
+    /// Delay before a change becomes visible.
     pub lag: Duration,
 }
 
@@ -96,22 +96,22 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address is not loopback or cannot be listened on.
+    /// Fails when an address is not a loopback address or listening on it fails.
     pub async fn start(options: HostListOptions) -> Result<Self> {
         let state = State {
-            shown: options.hosts,
-            changes: VecDeque::new(),
+            visible: options.hosts,
+            pending_changes: VecDeque::new(),
             faults: HostListFaults::default(),
         };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
             lag: options.lag,
         });
-        let list = List {
+        let list = ListHandler {
             shared: Arc::clone(&shared),
         };
         let server = http_server::serve(options.listen, Arc::new(list)).await?;
-        let control = Control {
+        let control = ControlHandler {
             shared: Arc::clone(&shared),
         };
         let control = http_server::serve(options.control_listen, Arc::new(control)).await?;
@@ -127,17 +127,17 @@
         self.server.address()
     }
 
-    /// Returns the address that takes `PUT /hosts` and `POST /faults`.
+    /// Returns the address that serves `PUT /hosts` and `POST /faults`.
     pub fn control_address(&self) -> SocketAddr {
         self.control.address()
     }
 
-    /// Sets the list, which is shown after the lag.
+    /// Sets the list, which becomes visible after the lag.
     pub fn set_hosts(&self, hosts: Vec<ListedHost>) {
         self.shared.set_hosts(hosts);
     }
 
-    /// Puts a set of faults in place of the one in force.
+    /// Replaces the active set of faults.
     pub fn set_faults(&self, faults: HostListFaults) {
         self.shared.state().faults = faults;
     }
@@ -157,9 +157,9 @@
 
 #[derive(Debug)]
 struct State {
-    shown: Vec<ListedHost>,
-    /// Lists that are not shown yet, with the time from which on they are.
-    changes: VecDeque<(Instant, Vec<ListedHost>)>,
+    visible: Vec<ListedHost>,
+    /// Lists that are not visible yet, with the time at which they become visible.
+    pending_changes: VecDeque<(Instant, Vec<ListedHost>)>,
     faults: HostListFaults,
 }
 
@@ -169,33 +169,36 @@
     }
 
     fn set_hosts(&self, hosts: Vec<ListedHost>) {
-        let shown_at = Instant::now() + self.lag;
-        self.state().changes.push_back((shown_at, hosts));
+        let visible_at = Instant::now() + self.lag;
+        self.state().pending_changes.push_back((visible_at, hosts));
     }
 
     fn hosts(&self) -> Vec<ListedHost> {
         let now = Instant::now();
         let mut state = self.state();
-        while let Some((_, hosts)) = state.changes.pop_front_if(|(shown_at, _)| *shown_at <= now) {
-            state.shown = hosts;
+        while let Some((_, hosts)) = state
+            .pending_changes
+            .pop_front_if(|(visible_at, _)| *visible_at <= now)
+        {
+            state.visible = hosts;
         }
-        state.shown.clone()
+        state.visible.clone()
     }
 }
 
-/// Answers the requests for the list.
-struct List {
+/// Handler of the requests for the list.
+struct ListHandler {
     shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for List {
+impl Handler for ListHandler {
     async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let faults = self.shared.state().faults;
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         if faults.down {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Ok(http_server::text(status, "the host list was told to be down"));
+            return Ok(http_server::text(status, "injected fault: the host list is down"));
         }
         if request.route() != ("GET", vec!["hosts"]) {
             return Ok(http_server::text(StatusCode::NOT_FOUND, "no such request"));
@@ -204,16 +207,16 @@
     }
 }
 
-/// Answers the control requests.
-struct Control {
+/// Handler of the control requests.
+struct ControlHandler {
     shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for Control {
+impl Handler for ControlHandler {
     async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
-        let done = match (method, path.as_slice()) {
+        let result = match (method, path.as_slice()) {
             ("PUT", ["hosts"]) => request.json().map(|hosts| self.shared.set_hosts(hosts)),
             ("POST", ["faults"]) => request.json().map(|faults| self.shared.state().faults = faults),
             _ => {
@@ -223,9 +226,9 @@
                 ));
             }
         };
-        Ok(match done {
+        Ok(match result {
             Ok(()) => http_server::empty(StatusCode::NO_CONTENT),
-            Err(refused) => *refused,
+            Err(error_response) => *error_response,
         })
     }
 }
--- a/crates/burdockroad-standins/src/proxy.rs
+++ b/crates/burdockroad-standins/src/proxy.rs
@@ -1,9 +1,9 @@
-//! A proxy between two processes that passes TCP on, and can be told to fail as networks do.
+//! TCP proxy between two processes that injects network faults.
 //!
-//! Each direction fails by itself. While a direction drops, its bytes vanish and the connections stay
-//! open, and an end of the stream vanishes as well. A connection that lost bytes is cut as soon as its
-//! direction passes again, since no network ever delivers a stream with a hole. Control requests
-//! (`POST /faults`, `GET /counts`) have an address of their own.
+//! The two directions fail independently. While a direction drops, its bytes and its end of stream are
+//! discarded and the connections stay open. A connection that lost bytes is cut as soon as its direction
+//! passes again, because TCP never delivers a stream with a gap. Control requests (`POST /faults`,
+//! `GET /counts`) use a separate address.
 
 pub use crate::proxy::faults::{Backward, Forward, ProxyCounts, ProxyFaults};
 
@@ -25,19 +25,19 @@
 mod connection;
 mod faults;
 
-/// How a proxy is started.
+/// Options of a proxy.
 #[derive(Clone, Debug)]
 pub struct ProxyOptions {
-    /// Loopback address that is listened on; port 0 takes a free one.
+    /// Loopback address that clients connect to; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Loopback address of the control requests; port 0 takes a free one.
+    /// Loopback address for control requests; port 0 selects a free port.
     pub control_listen: SocketAddr,
-    /// Where connections are passed on to.
+    /// Address that connections are forwarded to.
     pub target: SocketAddr,
 }
 
 impl ProxyOptions {
-    /// Makes options for a target, with free ports for the proxy itself.
+    /// Creates options for a target, with free ports for the proxy itself.
     pub fn new(target: SocketAddr) -> Self {
         Self {
             listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
@@ -60,17 +60,17 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address is not loopback or cannot be listened on.
+    /// Fails when an address is not a loopback address or listening on it fails.
     pub async fn start(options: ProxyOptions) -> Result<Self> {
         let shared = Arc::new(Shared::new());
         let target = options.target;
-        let passing = Arc::clone(&shared);
+        let connection_shared = Arc::clone(&shared);
         let server = Server::accept(options.listen, move |client| {
-            let shared = Arc::clone(&passing);
+            let shared = Arc::clone(&connection_shared);
             connection::run(shared, client, target)
         })
         .await?;
-        let control = Control {
+        let control = ControlHandler {
             shared: Arc::clone(&shared),
         };
         let control = http_server::serve(options.control_listen, Arc::new(control)).await?;
@@ -86,17 +86,17 @@
         self.server.address()
     }
 
-    /// Returns the address that takes `POST /faults` and `GET /counts`.
+    /// Returns the address that serves `POST /faults` and `GET /counts`.
     pub fn control_address(&self) -> SocketAddr {
         self.control.address()
     }
 
-    /// Puts a set of faults in place of the one in force.
+    /// Replaces the active set of faults.
     pub fn set_faults(&self, faults: ProxyFaults) {
         self.shared.set_faults(faults);
     }
 
-    /// Returns what was passed on and what vanished.
+    /// Returns the counts of connections and of forwarded and dropped bytes.
     pub fn counts(&self) -> ProxyCounts {
         self.shared.counts()
     }
@@ -108,13 +108,13 @@
     }
 }
 
-/// Answers the control requests.
-struct Control {
+/// Handler of the control requests.
+struct ControlHandler {
     shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for Control {
+impl Handler for ControlHandler {
     async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let response = match (method, path.as_slice()) {
@@ -124,7 +124,7 @@
                     self.shared.set_faults(faults);
                     http_server::empty(StatusCode::NO_CONTENT)
                 }
-                Err(refused) => *refused,
+                Err(error_response) => *error_response,
             },
             _ => http_server::text(StatusCode::NOT_FOUND, "no such control request"),
         };
--- a/crates/burdockroad-standins/src/proxy/connection.rs
+++ b/crates/burdockroad-standins/src/proxy/connection.rs
@@ -1,4 +1,4 @@
-//! One connection through the proxy: two directions, each of which passes, delays or loses bytes.
+//! A connection through the proxy, each direction of which forwards, delays or drops bytes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,19 +16,19 @@
 use crate::proxy::faults::{Direction, ProxyFaults, Shared};
 
 const CHUNK_MAX_BYTES: usize = 16 << 10;
-/// Chunks that are under way in one direction; a full queue stops the reading.
+/// Maximum number of chunks in flight in one direction; a full queue stops reading.
 const QUEUE_CHUNKS: usize = 256;
 
-/// The connection has to be cut.
-struct Broken;
+/// The connection must be cut.
+struct ConnectionBroken;
 
-/// Bytes under way, or the end of the stream.
+/// Bytes in flight, or the end of the stream.
 struct Chunk {
     due: Instant,
     bytes: Option<Bytes>,
 }
 
-/// Passes one connection on until an end closes it or it is cut.
+/// Forwards a connection until both directions have ended or it is cut.
 pub(crate) async fn run(shared: Arc<Shared>, client: TcpStream, target: SocketAddr) {
     let mut cuts = shared.cuts();
     if !shared.admit() {
@@ -40,21 +40,21 @@
     drop(server.set_nodelay(true));
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
-    let forward = pass(&shared, Direction::Forward, client_read, server_write);
-    let backward = pass(&shared, Direction::Backward, server_read, client_write);
+    let forward = relay(&shared, Direction::Forward, client_read, server_write);
+    let backward = relay(&shared, Direction::Backward, server_read, client_write);
     tokio::select! {
         _ = cuts.changed() => {}
-        // Ends when one direction is broken, or both have come to their end.
+        // Completes when one direction is broken, or both have ended.
         _ = async { tokio::try_join!(forward, backward) } => {}
     }
 }
 
-async fn pass(
+async fn relay(
     shared: &Shared,
     direction: Direction,
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
-) -> Result<(), Broken> {
+) -> Result<(), ConnectionBroken> {
     let (queue, chunks) = mpsc::channel(QUEUE_CHUNKS);
     let reading = read(shared.faults(), direction, from, queue);
     let writing = write(shared, direction, chunks, to);
@@ -62,79 +62,79 @@
     Ok(())
 }
 
-/// Reads chunks and gives each the time at which it is due.
+/// Reads chunks and assigns each the time at which it is due.
 async fn read(
     mut faults: watch::Receiver<ProxyFaults>,
     direction: Direction,
     mut from: OwnedReadHalf,
     queue: mpsc::Sender<Chunk>,
-) -> Result<(), Broken> {
+) -> Result<(), ConnectionBroken> {
     loop {
         let mut buffer = BytesMut::with_capacity(CHUNK_MAX_BYTES);
         let Ok(length) = from.read_buf(&mut buffer).await else {
-            // A reset vanishes like any other packet.
-            until_passing(&mut faults, direction).await;
-            return Err(Broken);
+            // A reset is dropped like any other packet.
+            wait_until_passing(&mut faults, direction).await;
+            return Err(ConnectionBroken);
         };
         let delay = Duration::from_millis(faults.borrow().delay_ms);
         let chunk = Chunk {
             due: Instant::now() + delay,
             bytes: (length > 0).then(|| buffer.freeze()),
         };
-        queue.send(chunk).await.map_err(|_closed| Broken)?;
+        queue.send(chunk).await.map_err(|_closed| ConnectionBroken)?;
         if length == 0 {
             return Ok(());
         }
     }
 }
 
-/// Writes chunks when they are due, or lets them vanish.
+/// Writes chunks when they are due, or drops them.
 async fn write(
     shared: &Shared,
     direction: Direction,
     mut chunks: mpsc::Receiver<Chunk>,
     mut to: OwnedWriteHalf,
-) -> Result<(), Broken> {
+) -> Result<(), ConnectionBroken> {
     let mut faults = shared.faults();
-    let mut lossy = false;
+    let mut bytes_lost = false;
     loop {
         let chunk = tokio::select! {
-            chunk = chunks.recv() => chunk.ok_or(Broken)?,
-            () = until_passing(&mut faults, direction), if lossy => return Err(Broken),
+            chunk = chunks.recv() => chunk.ok_or(ConnectionBroken)?,
+            () = wait_until_passing(&mut faults, direction), if bytes_lost => return Err(ConnectionBroken),
         };
         tokio::time::sleep_until(chunk.due).await;
         let drops = faults.borrow().drops(direction);
         match chunk.bytes {
             Some(bytes) if drops => {
-                lossy = true;
+                bytes_lost = true;
                 shared.count(direction, bytes.len(), true);
             }
-            Some(_) if lossy => return Err(Broken),
+            Some(_) if bytes_lost => return Err(ConnectionBroken),
             Some(bytes) => {
-                to.write_all(&bytes).await.map_err(|_reset| Broken)?;
+                to.write_all(&bytes).await.map_err(|_reset| ConnectionBroken)?;
                 shared.count(direction, bytes.len(), false);
             }
-            None => return end(&mut faults, direction, lossy, to).await,
+            None => return relay_end_of_stream(&mut faults, direction, bytes_lost, to).await,
         }
     }
 }
 
-/// Passes the end of the stream on, once the direction passes.
-async fn end(
+/// Forwards the end of the stream once the direction passes.
+async fn relay_end_of_stream(
     faults: &mut watch::Receiver<ProxyFaults>,
     direction: Direction,
-    lossy: bool,
+    bytes_lost: bool,
     mut to: OwnedWriteHalf,
-) -> Result<(), Broken> {
-    until_passing(faults, direction).await;
-    if lossy {
-        return Err(Broken);
+) -> Result<(), ConnectionBroken> {
+    wait_until_passing(faults, direction).await;
+    if bytes_lost {
+        return Err(ConnectionBroken);
     }
-    to.shutdown().await.map_err(|_reset| Broken)
+    to.shutdown().await.map_err(|_reset| ConnectionBroken)
 }
 
-async fn until_passing(faults: &mut watch::Receiver<ProxyFaults>, direction: Direction) {
-    // The sender lives as long as the proxy, so waiting cannot fail before the connection ends.
+async fn wait_until_passing(faults: &mut watch::Receiver<ProxyFaults>, direction: Direction) {
+    // The proxy owns the sender, so waiting cannot fail before the connection ends.
     let passing = faults.wait_for(|faults| !faults.drops(direction)).await;
     drop(passing);
 }
--- a/crates/burdockroad-standins/src/proxy/faults.rs
+++ b/crates/burdockroad-standins/src/proxy/faults.rs
@@ -1,52 +1,52 @@
-//! What the proxy is told to do wrong, and what it counts.
+//! Injected faults and counts of the proxy.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-/// Faults of the proxy; a new set replaces the whole old one.
+/// Faults of the proxy; a new set replaces the previous one entirely.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ProxyFaults {
-    /// What happens from the client to the target.
+    /// Fault in the direction from the client to the target.
     pub forward: Forward,
-    /// What happens from the target to the client.
+    /// Fault in the direction from the target to the client.
     pub backward: Backward,
-    /// Bytes arrive this much later, in both directions.
+    /// Delay of all bytes, in both directions.
     pub delay_ms: u64,
-    /// Cuts all connections that are open now, once.
+    /// Cuts all currently open connections, once.
     pub cut_open: bool,
 }
 
-/// What happens from the client to the target.
+/// Behavior in the direction from the client to the target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Forward {
-    /// Bytes pass.
+    /// Bytes are forwarded.
     #[default]
     Pass,
-    /// Bytes vanish while the connection stays open.
+    /// Bytes are dropped while the connection stays open.
     Drop,
-    /// New connections are closed at once; open ones pass.
+    /// New connections are closed immediately; open ones are forwarded.
     Refuse,
 }
 
-/// What happens from the target to the client.
+/// Behavior in the direction from the target to the client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Backward {
-    /// Bytes pass.
+    /// Bytes are forwarded.
     #[default]
     Pass,
-    /// Bytes vanish while the connection stays open.
+    /// Bytes are dropped while the connection stays open.
     Drop,
 }
 
-/// What the proxy passed on and what vanished.
+/// Counts of connections and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ProxyCounts {
@@ -54,13 +54,13 @@
     pub connections: u64,
     /// Connections that were refused.
     pub refused: u64,
-    /// Bytes passed from clients to the target.
+    /// Bytes forwarded from clients to the target.
     pub forward_bytes: u64,
-    /// Bytes passed from the target to clients.
+    /// Bytes forwarded from the target to clients.
     pub backward_bytes: u64,
-    /// Bytes from clients that vanished.
+    /// Bytes from clients that were dropped.
     pub forward_dropped_bytes: u64,
-    /// Bytes from the target that vanished.
+    /// Bytes from the target that were dropped.
     pub backward_dropped_bytes: u64,
 }
 
@@ -71,7 +71,7 @@
     Backward,
 }
 
-/// What the connections and the control requests share.
+/// State shared by the connections and the control requests.
 #[derive(Debug)]
 pub(crate) struct Shared {
     faults: watch::Sender<ProxyFaults>,
@@ -107,7 +107,7 @@
         *self.counts_mut()
     }
 
-    /// Counts a new connection, or refuses it.
+    /// Counts a new connection as admitted or refused, and returns whether it was admitted.
     pub(crate) fn admit(&self) -> bool {
         let refuses = self.faults.borrow().forward == Forward::Refuse;
         let mut counts = self.counts_mut();
@@ -136,7 +136,7 @@
 }
 
 impl ProxyFaults {
-    /// Tells whether the bytes of a direction vanish.
+    /// Returns whether the bytes of a direction are dropped.
     pub(crate) fn drops(&self, direction: Direction) -> bool {
         match direction {
             Direction::Forward => self.forward == Forward::Drop,
--- a/crates/burdockroad-standins/src/service.rs
+++ b/crates/burdockroad-standins/src/service.rs
@@ -1,8 +1,8 @@
-//! Stand-in of a plain service: it executes whatever request comes, and remembers each execution.
+//! Stand-in for a plain service, which executes every request and records each execution.
 //!
-//! A request is executed even when its caller closes the connection meanwhile, as services do: that is
-//! the case in which a second try would run it twice. `GET /load` reports the load and executes nothing.
-//! Control requests (`POST /faults`, `GET /recorded`) have an address of their own.
+//! Like a real service, it completes a request even if the caller closes the connection during the
+//! execution. In that case a retry would execute the request twice. `GET /load` reports the load and
+//! executes nothing. Control requests (`POST /faults`, `GET /recorded`) use a separate address.
 
 pub use crate::request_faults::RequestFaults as ServiceFaults;
 
@@ -27,16 +27,16 @@
 
 const REQUEST_ID: &str = "x-request-id";
 
-/// How a service stand-in is started.
+/// Options of a service stand-in.
 #[derive(Clone, Debug)]
 pub struct ServiceOptions {
-    /// Loopback address of the service; port 0 takes a free one.
+    /// Loopback address of the service; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Loopback address of the control requests; port 0 takes a free one.
+    /// Loopback address for control requests; port 0 selects a free port.
     pub control_listen: SocketAddr,
-    /// Requests that the reported load says can be executed at once.
+    /// Maximum number of concurrent executions in the reported load; not enforced.
     pub slots: u64,
-    /// Time that each execution takes.
+    /// Duration of each execution.
     pub execution_time: Duration,
 }
 
@@ -51,32 +51,32 @@
     }
 }
 
-/// One request that the service was sent.
+/// A request that the service received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceRequest {
-    /// The request as it came.
+    /// The request as received.
     #[serde(flatten)]
     pub request: RecordedRequest,
-    /// Value of its `X-Request-Id`.
+    /// Value of the `X-Request-Id` header.
     pub request_id: Option<String>,
-    /// Number of its execution, from 1; none when it was not executed.
+    /// Number of its execution, starting at 1; `None` if it was not executed.
     pub execution: Option<u64>,
 }
 
-/// What the service answers to an executed request.
+/// Response to an executed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct ServiceAnswer {
-    /// Number of the execution, from 1.
+pub struct ServiceResponse {
+    /// Number of the execution, starting at 1.
     pub execution: u64,
     /// Method of the request.
     pub method: String,
     /// Path and query of the request.
     pub target: String,
-    /// Value of its `X-Request-Id`.
+    /// Value of the `X-Request-Id` header.
     pub request_id: Option<String>,
-    /// As many bytes as the faults say.
+    /// Padding of `answer_bytes` bytes.
     pub padding: String,
 }
 
@@ -93,24 +93,24 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address is not loopback or cannot be listened on.
+    /// Fails when an address is not a loopback address or listening on it fails.
     pub async fn start(options: ServiceOptions) -> Result<Self> {
         let state = State {
             requests: Vec::new(),
             executions: 0,
             running: 0,
-            faults: RequestFaultInjector::new(ServiceFaults::default()),
+            fault_injector: RequestFaultInjector::new(ServiceFaults::default()),
         };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
             slots: options.slots,
             execution_time: options.execution_time,
         });
-        let service = Service {
+        let service = ServiceHandler {
             shared: Arc::clone(&shared),
         };
         let server = http_server::serve(options.listen, Arc::new(service)).await?;
-        let control = Control {
+        let control = ControlHandler {
             shared: Arc::clone(&shared),
         };
         let control = http_server::serve(options.control_listen, Arc::new(control)).await?;
@@ -126,22 +126,22 @@
         self.server.address()
     }
 
-    /// Returns the address that takes `POST /faults` and `GET /recorded`.
+    /// Returns the address that serves `POST /faults` and `GET /recorded`.
     pub fn control_address(&self) -> SocketAddr {
         self.control.address()
     }
 
-    /// Puts a set of faults in place of the one in force.
+    /// Replaces the active set of faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
-        self.shared.state().faults = RequestFaultInjector::new(faults);
+        self.shared.state().fault_injector = RequestFaultInjector::new(faults);
     }
 
-    /// Returns every request that the service was sent, the oldest first.
+    /// Returns all received requests, oldest first.
     pub fn recorded(&self) -> Vec<ServiceRequest> {
         self.shared.state().requests.clone()
     }
 
-    /// Returns how many requests were executed.
+    /// Returns the number of executed requests.
     pub fn executions(&self) -> u64 {
         self.shared.state().executions
     }
@@ -165,7 +165,7 @@
     requests: Vec<ServiceRequest>,
     executions: u64,
     running: u64,
-    faults: RequestFaultInjector,
+    fault_injector: RequestFaultInjector,
 }
 
 impl Shared {
@@ -173,30 +173,30 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a request and decides what goes wrong with it.
-    fn take_in(&self, request: &ReceivedRequest) -> (usize, RequestFault, Duration) {
+    /// Records a request and chooses the fault to inject into it.
+    fn record_request(&self, request: &ReceivedRequest) -> (usize, RequestFault, Duration) {
         let mut state = self.state();
         state.requests.push(ServiceRequest {
             request: RecordedRequest::new(request),
             request_id: request.header(REQUEST_ID).map(str::to_owned),
             execution: None,
         });
-        let delay = Duration::from_millis(state.faults.faults.delay_ms);
-        (state.requests.len() - 1, state.faults.next_fault(), delay)
+        let delay = Duration::from_millis(state.fault_injector.faults.delay_ms);
+        (state.requests.len() - 1, state.fault_injector.next_fault(), delay)
     }
 
-    /// Executes a request that was taken in.
-    async fn execute(&self, place: usize, delay: Duration) -> Option<ServiceAnswer> {
+    /// Executes a recorded request.
+    async fn execute(&self, index: usize, delay: Duration) -> Option<ServiceResponse> {
         self.state().running += 1;
         tokio::time::sleep(delay + self.execution_time).await;
         let mut state = self.state();
         state.running -= 1;
         state.executions += 1;
         let execution = state.executions;
-        let padding = "x".repeat(state.faults.faults.answer_bytes);
-        let request = state.requests.get_mut(place)?;
+        let padding = "x".repeat(state.fault_injector.faults.answer_bytes);
+        let request = state.requests.get_mut(index)?;
         request.execution = Some(execution);
-        Some(ServiceAnswer {
+        Some(ServiceResponse {
             execution,
             method: request.request.method.clone(),
             target: request.request.target.clone(),
@@ -216,51 +216,51 @@
     }
 }
 
-/// Answers the requests of the service's own address.
-struct Service {
+/// Handler of the requests on the service's own address.
+struct ServiceHandler {
     shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for Service {
+impl Handler for ServiceHandler {
     async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         if request.route() == ("GET", vec!["load"]) {
             return Ok(http_server::json(StatusCode::OK, &self.shared.load()));
         }
-        let (place, fault, delay) = self.shared.take_in(&request);
+        let (index, fault, delay) = self.shared.record_request(&request);
         if fault == RequestFault::Fail {
             let status = StatusCode::INTERNAL_SERVER_ERROR;
-            return Ok(http_server::text(status, "the service was told to fail"));
+            return Ok(http_server::text(status, "injected fault: request failed"));
         }
         let shared = Arc::clone(&self.shared);
-        // A task of its own goes on when the caller's connection, and with it this future, ends.
-        let executing = tokio::spawn(async move { shared.execute(place, delay).await });
-        let answer = executing.await.ok().flatten().ok_or(ConnectionCut)?;
+        // This future is dropped when the caller disconnects; a separate task completes the execution.
+        let execution_task = tokio::spawn(async move { shared.execute(index, delay).await });
+        let response = execution_task.await.ok().flatten().ok_or(ConnectionCut)?;
         match fault {
             RequestFault::Hang => std::future::pending().await,
             RequestFault::Cut { .. } => Err(ConnectionCut),
-            RequestFault::None | RequestFault::Fail => Ok(http_server::json(StatusCode::OK, &answer)),
+            RequestFault::None | RequestFault::Fail => Ok(http_server::json(StatusCode::OK, &response)),
         }
     }
 }
 
-/// Answers the control requests.
-struct Control {
+/// Handler of the control requests.
+struct ControlHandler {
     shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for Control {
+impl Handler for ControlHandler {
     async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let response = match (method, path.as_slice()) {
             ("GET", ["recorded"]) => http_server::json(StatusCode::OK, &self.shared.state().requests),
             ("POST", ["faults"]) => match request.json() {
                 Ok(faults) => {
-                    self.shared.state().faults = RequestFaultInjector::new(faults);
+                    self.shared.state().fault_injector = RequestFaultInjector::new(faults);
                     http_server::empty(StatusCode::NO_CONTENT)
                 }
-                Err(refused) => *refused,
+                Err(error_response) => *error_response,
             },
             _ => http_server::text(StatusCode::NOT_FOUND, "no such control request"),
         };
--- a/crates/burdockroad-standins/src/weight_store.rs
+++ b/crates/burdockroad-standins/src/weight_store.rs
@@ -1,7 +1,7 @@
-//! Stand-in of the store that engines load weights from: `GET /weights/{model}`, held to a rate.
+//! Stand-in for the store that engines load weights from: `GET /weights/{model}`, with a rate limit.
 //!
-//! A request over the rate is answered 429 with `Retry-After`. `GET /counts` on the control address
-//! tells how many were served and refused.
+//! A request over the limit gets status 429 with `Retry-After`. `GET /counts` on the control address
+//! returns the numbers of served and refused requests.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -21,17 +21,17 @@
     window::FixedWindowCounter,
 };
 
-/// Seconds after which a refused request may be tried again: the length of a window.
+/// Value of `Retry-After` in seconds: the length of a counting window.
 const RETRY_AFTER_S: &str = "1";
 
-/// How a weight store stand-in is started.
+/// Options of a weight store stand-in.
 #[derive(Clone, Debug)]
 pub struct WeightStoreOptions {
-    /// Loopback address of the store; port 0 takes a free one.
+    /// Loopback address of the store; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Loopback address of the control requests; port 0 takes a free one.
+    /// Loopback address for control requests; port 0 selects a free port.
     pub control_listen: SocketAddr,
-    /// Requests that are served each second.
+    /// Maximum requests served per second.
     pub rate_per_s: u64,
     /// Size of the weights of each model.
     pub weights_bytes: usize,
@@ -48,13 +48,13 @@
     }
 }
 
-/// What the store was asked for.
+/// Request counts of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WeightStoreCounts {
-    /// Requests that got weights.
+    /// Requests that were served.
     pub served: u64,
-    /// Requests over the rate.
+    /// Requests that were over the rate limit.
     pub refused: u64,
 }
 
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address is not loopback or cannot be listened on.
+    /// Fails when an address is not a loopback address or listening on it fails.
     pub async fn start(options: WeightStoreOptions) -> Result<Self> {
         let state = State {
             window: FixedWindowCounter::new(Instant::now()),
@@ -82,11 +82,11 @@
             rate_per_s: options.rate_per_s,
             weights: Bytes::from(vec![0; options.weights_bytes]),
         });
-        let store = Store {
+        let store = StoreHandler {
             shared: Arc::clone(&shared),
         };
         let server = http_server::serve(options.listen, Arc::new(store)).await?;
-        let control = Control {
+        let control = ControlHandler {
             shared: Arc::clone(&shared),
         };
         let control = http_server::serve(options.control_listen, Arc::new(control)).await?;
@@ -102,12 +102,12 @@
         self.server.address()
     }
 
-    /// Returns the address that takes `GET /counts`.
+    /// Returns the address that serves `GET /counts`.
     pub fn control_address(&self) -> SocketAddr {
         self.control.address()
     }
 
-    /// Returns what the store was asked for.
+    /// Returns the request counts.
     pub fn counts(&self) -> WeightStoreCounts {
         self.shared.state().counts
     }
@@ -137,7 +137,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a request and tells whether it is within the rate.
+    /// Counts a request and returns whether it is within the rate limit.
     fn admit(&self) -> bool {
         let mut state = self.state();
         if state.window.count(Instant::now()) >= self.rate_per_s {
@@ -150,13 +150,13 @@
     }
 }
 
-/// Answers the requests for weights.
-struct Store {
+/// Handler of the requests for weights.
+struct StoreHandler {
     shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for Store {
+impl Handler for StoreHandler {
     async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         let (method, path) = request.route();
         let ("GET", ["weights", _model]) = (method, path.as_slice()) else {
@@ -170,20 +170,20 @@
                 weights,
             ));
         }
-        let mut response = http_server::text(StatusCode::TOO_MANY_REQUESTS, "over the rate");
+        let mut response = http_server::text(StatusCode::TOO_MANY_REQUESTS, "rate limit exceeded");
         let retry_after = header::HeaderValue::from_static(RETRY_AFTER_S);
         response.headers_mut().insert(header::RETRY_AFTER, retry_after);
         Ok(response)
     }
 }
 
-/// Answers the control requests.
-struct Control {
+/// Handler of the control requests.
+struct ControlHandler {
     shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for Control {
+impl Handler for ControlHandler {
     async fn handle(&self, request: ReceivedRequest) -> HandlerResult {
         Ok(match request.route() {
             ("GET", path) if path == ["counts"] => {
--- a/crates/burdockroad-standins/tests/service_contract.rs
+++ b/crates/burdockroad-standins/tests/service_contract.rs
@@ -5,7 +5,7 @@
 use burdockroad_standins::{
     HeaderField,
     http_client::{self, HttpClient},
-    service::{ServiceAnswer, ServiceFaults, ServiceOptions, ServiceRequest, ServiceStandin},
+    service::{ServiceFaults, ServiceOptions, ServiceRequest, ServiceResponse, ServiceStandin},
 };
 use bytes::Bytes;
 use http::{HeaderValue, Method, StatusCode};
@@ -42,14 +42,14 @@
         request.headers_mut().insert("x-request-id", id);
         let answer = client.send(request).await.unwrap();
         assert_eq!(answer.status, StatusCode::OK);
-        let expected = ServiceAnswer {
+        let expected = ServiceResponse {
             execution: number as u64 + 1,
             method: method.to_string(),
             target: (*target).to_owned(),
             request_id: Some(format!("r{number}")),
             padding: String::new(),
         };
-        assert_eq!(answer.json::<ServiceAnswer>().unwrap(), expected);
+        assert_eq!(answer.json::<ServiceResponse>().unwrap(), expected);
     }
     let url = format!("http://{}/recorded", service.control_address());
     let recorded: Vec<ServiceRequest> = client.get_json(&url).await.unwrap();
@@ -94,7 +94,7 @@
         ..ServiceFaults::default()
     });
     let url = format!("http://{}/", service.address());
-    let answer: ServiceAnswer = client.get_json(&url).await.unwrap();
+    let answer: ServiceResponse = client.get_json(&url).await.unwrap();
     assert_eq!(answer.padding.len(), 1000);
     service.close().await;
 }
