--- a/crates/burdockroad-standins/src/bin/burdockroad-load.rs
+++ b/crates/burdockroad-standins/src/bin/burdockroad-load.rs
@@ -1,4 +1,4 @@
-//! Generates a bounded load on loopback addresses and prints one line of figures for each account.
+//! Generates a bounded load on loopback addresses and prints one line of statistics per account.
 
 use std::{fs, path::PathBuf, process::ExitCode};
 
@@ -15,21 +15,21 @@
 FILE holds JSON: [{\"account_id\": \"a\", \"key\": \"...\", \"programs_per_s\": 5, \"concurrency\": 20}].
 With programs_per_s 0, each of `concurrency` callers runs one program after the other.
 
-  --model NAME          model that is asked for (m)
-  --direct              call engines, with the whole history and without keys
-  --whole               ask for whole answers instead of streams
-  --turns N             calls of each program (4)
-  --tool-pause-ms MS    pause between two calls (50)
+  --model NAME          requested model (m)
+  --direct              call engines directly, with the complete history and without keys
+  --whole               request complete responses instead of streams
+  --turns N             calls per program (4)
+  --tool-pause-ms MS    pause between two calls of a program (50)
   --prompt-bytes N      new text in each call (400)
-  --max-tokens N        tokens that each call may have generated (64)
-  --retries N           further tries of a call (20)
-  --call-timeout-ms MS  time for one try (30000)
-  --programs N          programs of each account, at most (1000)
-  --duration-s S        time after which no more are started (10)
-  --drain-s S           time that those under way then have (30)
-  --seed N              seed of the starting times (0)
+  --max-tokens N        maximum tokens generated per call (64)
+  --retries N           maximum retries of a call (20)
+  --call-timeout-ms MS  timeout of each attempt (30000)
+  --programs N          maximum programs per account (1000)
+  --duration-s S        time after which no programs are started (10)
+  --drain-s S           time that running programs then have to finish (30)
+  --seed N              seed of the random start times (0)
 
-Exit status: 0 when every program completed, 1 for an error, 2 when some did not.
+Exit status: 0 when every program completed, 1 on an error, 2 when a program did not complete.
 ";
 
 fn main() -> ExitCode {
@@ -98,5 +98,5 @@
 
 fn read_accounts(path: &PathBuf) -> anyhow::Result<Vec<LoadAccount>> {
     let text = fs::read_to_string(path).with_context(|| format!("cannot read {}", path.display()))?;
-    serde_json::from_str(&text).with_context(|| format!("{} does not list accounts", path.display()))
+    serde_json::from_str(&text).with_context(|| format!("{} is not a valid list of accounts", path.display()))
 }
--- a/crates/burdockroad-standins/src/bin/burdockroad-standin/main.rs
+++ b/crates/burdockroad-standins/src/bin/burdockroad-standin/main.rs
@@ -1,7 +1,7 @@
-//! Runs one stand-in as a process of its own, until it is told to end.
+//! Runs one stand-in as a separate process until SIGTERM or SIGINT.
 //!
-//! The first line on the standard output is `address=IP:PORT`, followed by `control=IP:PORT` where the
-//! stand-in takes control requests.
+//! The first line on standard output is `address=IP:PORT`, followed by `control=IP:PORT` if the stand-in
+//! accepts control requests.
 
 use std::process::ExitCode;
 
@@ -9,7 +9,7 @@
 use pico_args::Arguments;
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::running::Running;
+use crate::running::RunningStandin;
 
 mod running;
 
@@ -18,7 +18,7 @@
 
 Kinds and their options:
   kv      key-value service    --reads-per-s N --writes-per-s N
-  engine  model engine         --model NAME (repeatable; without it any model) --slots N --token-ms MS
+  engine  model engine         --model NAME (repeatable; default: any model) --slots N --token-ms MS
                                --batch-slowdown SHARE --prefill-us-per-token US --cache-tokens N
                                --transfer-us-per-token US --answer-tokens N --event-lag-ms MS
                                --event-gap-probability P --load-lag-ms MS --fencing refused|ignored
@@ -53,7 +53,7 @@
     runtime.block_on(run(&kind, arguments))
 }
 
-/// Worker threads of a stand-in; several of them share a machine in a test.
+/// Worker threads of a stand-in; low because a test runs several stand-ins on one machine.
 const WORKER_THREADS: usize = 2;
 
 async fn run(kind: &str, mut arguments: Arguments) -> anyhow::Result<()> {
@@ -63,12 +63,12 @@
     if !unused.is_empty() {
         bail!("unknown arguments {unused:?}; see --help");
     }
-    println!("{}", running.first_line());
+    println!("{}", running.address_line());
     tokio::select! {
         _ = terminated.recv() => {}
         interrupted = tokio::signal::ctrl_c() => interrupted?,
     }
-    let Running { closing, .. } = running;
+    let RunningStandin { closing, .. } = running;
     closing.await;
     Ok(())
 }
--- a/crates/burdockroad-standins/src/bin/burdockroad-standin/running.rs
+++ b/crates/burdockroad-standins/src/bin/burdockroad-standin/running.rs
@@ -1,4 +1,4 @@
-//! Starts a stand-in from its command line.
+//! Starts a stand-in from its command-line options.
 
 use std::{net::SocketAddr, pin::Pin};
 
@@ -14,17 +14,17 @@
 };
 use pico_args::Arguments;
 
-/// A started stand-in, whatever its kind.
-pub(crate) struct Running {
+/// A running stand-in of any kind.
+pub(crate) struct RunningStandin {
     address: SocketAddr,
     control: Option<SocketAddr>,
-    /// Closes the stand-in when it is awaited.
+    /// Future that closes the stand-in.
     pub(crate) closing: Pin<Box<dyn Future<Output = ()>>>,
 }
 
-impl Running {
-    /// Returns the line that tells a parent process where the stand-in listens.
-    pub(crate) fn first_line(&self) -> String {
+impl RunningStandin {
+    /// Returns the line that reports the listening addresses to the parent process.
+    pub(crate) fn address_line(&self) -> String {
         match self.control {
             Some(control) => format!("address={} control={control}", self.address),
             None => format!("address={}", self.address),
@@ -32,8 +32,8 @@
     }
 }
 
-/// Starts the stand-in of a kind with the options that are left on the command line.
-pub(crate) async fn start(kind: &str, arguments: &mut Arguments) -> anyhow::Result<Running> {
+/// Starts a stand-in of the given kind with the remaining command-line options.
+pub(crate) async fn start(kind: &str, arguments: &mut Arguments) -> anyhow::Result<RunningStandin> {
     match kind {
         "kv" => start_kv(arguments).await,
         "engine" => start_engine(arguments).await,
@@ -45,21 +45,21 @@
     }
 }
 
-async fn start_kv(arguments: &mut Arguments) -> anyhow::Result<Running> {
+async fn start_kv(arguments: &mut Arguments) -> anyhow::Result<RunningStandin> {
     let mut options = KvOptions::default();
     parse_option(arguments, "--listen", &mut options.listen)?;
     parse_option(arguments, "--control-listen", &mut options.control_listen)?;
     parse_option(arguments, "--reads-per-s", &mut options.reads_per_s)?;
     parse_option(arguments, "--writes-per-s", &mut options.writes_per_s)?;
     let kv = KvStandin::start(options).await?;
-    Ok(Running {
+    Ok(RunningStandin {
         address: kv.address(),
         control: Some(kv.control_address()),
         closing: Box::pin(kv.close()),
     })
 }
 
-async fn start_engine(arguments: &mut Arguments) -> anyhow::Result<Running> {
+async fn start_engine(arguments: &mut Arguments) -> anyhow::Result<RunningStandin> {
     let mut options = EngineOptions::default();
     parse_option(arguments, "--listen", &mut options.listen)?;
     parse_option(arguments, "--control-listen", &mut options.control_listen)?;
@@ -88,7 +88,7 @@
         &mut options.event_gap_probability,
     )?;
     parse_duration_option(arguments, "--load-lag-ms", MS_PER_S, &mut options.load_lag)?;
-    if let Some(fencing) = arguments.opt_value_from_fn("--fencing", read_fencing)? {
+    if let Some(fencing) = arguments.opt_value_from_fn("--fencing", parse_fencing)? {
         options.fencing = fencing;
     }
     parse_duration_option(arguments, "--load-ms", MS_PER_S, &mut options.load_time)?;
@@ -96,77 +96,77 @@
     parse_option(arguments, "--record-limit", &mut options.record_limit)?;
     parse_option(arguments, "--seed", &mut options.seed)?;
     let engine = EngineStandin::start(options).await?;
-    Ok(Running {
+    Ok(RunningStandin {
         address: engine.address(),
         control: Some(engine.control_address()),
         closing: Box::pin(engine.close()),
     })
 }
 
-async fn start_service(arguments: &mut Arguments) -> anyhow::Result<Running> {
+async fn start_service(arguments: &mut Arguments) -> anyhow::Result<RunningStandin> {
     let mut options = ServiceOptions::default();
     parse_option(arguments, "--listen", &mut options.listen)?;
     parse_option(arguments, "--control-listen", &mut options.control_listen)?;
     parse_option(arguments, "--slots", &mut options.slots)?;
     parse_duration_option(arguments, "--execution-ms", MS_PER_S, &mut options.execution_time)?;
     let service = ServiceStandin::start(options).await?;
-    Ok(Running {
+    Ok(RunningStandin {
         address: service.address(),
         control: Some(service.control_address()),
         closing: Box::pin(service.close()),
     })
 }
 
-async fn start_host_list(arguments: &mut Arguments) -> anyhow::Result<Running> {
+async fn start_host_list(arguments: &mut Arguments) -> anyhow::Result<RunningStandin> {
     let mut options = HostListOptions::default();
     parse_option(arguments, "--listen", &mut options.listen)?;
     parse_option(arguments, "--control-listen", &mut options.control_listen)?;
-    if let Some(hosts) = arguments.opt_value_from_fn("--hosts", read_hosts)? {
+    if let Some(hosts) = arguments.opt_value_from_fn("--hosts", parse_hosts)? {
         options.hosts = hosts;
     }
     parse_duration_option(arguments, "--lag-ms", MS_PER_S, &mut options.lag)?;
     let list = HostListStandin::start(options).await?;
-    Ok(Running {
+    Ok(RunningStandin {
         address: list.address(),
         control: Some(list.control_address()),
         closing: Box::pin(list.close()),
     })
 }
 
-async fn start_proxy(arguments: &mut Arguments) -> anyhow::Result<Running> {
+async fn start_proxy(arguments: &mut Arguments) -> anyhow::Result<RunningStandin> {
     let mut options = ProxyOptions::new(arguments.value_from_str("--target")?);
     parse_option(arguments, "--listen", &mut options.listen)?;
     parse_option(arguments, "--control-listen", &mut options.control_listen)?;
     let proxy = ProxyStandin::start(options).await?;
-    Ok(Running {
+    Ok(RunningStandin {
         address: proxy.address(),
         control: Some(proxy.control_address()),
         closing: Box::pin(proxy.close()),
     })
 }
 
-async fn start_weight_store(arguments: &mut Arguments) -> anyhow::Result<Running> {
+async fn start_weight_store(arguments: &mut Arguments) -> anyhow::Result<RunningStandin> {
     let mut options = WeightStoreOptions::default();
     parse_option(arguments, "--listen", &mut options.listen)?;
     parse_option(arguments, "--control-listen", &mut options.control_listen)?;
     parse_option(arguments, "--rate-per-s", &mut options.rate_per_s)?;
     parse_option(arguments, "--weights-bytes", &mut options.weights_bytes)?;
     let store = WeightStoreStandin::start(options).await?;
-    Ok(Running {
+    Ok(RunningStandin {
         address: store.address(),
         control: Some(store.control_address()),
         closing: Box::pin(store.close()),
     })
 }
 
-fn read_hosts(text: &str) -> serde_json::Result<Vec<ListedHost>> {
+fn parse_hosts(text: &str) -> serde_json::Result<Vec<ListedHost>> {
     serde_json::from_str(text)
 }
 
-fn read_fencing(text: &str) -> anyhow::Result<Fencing> {
+fn parse_fencing(text: &str) -> anyhow::Result<Fencing> {
     match text {
         "refused" => Ok(Fencing::Enforced),
         "ignored" => Ok(Fencing::Ignored),
-        _ => bail!("--fencing is refused or ignored, not {text:?}"),
+        _ => bail!("--fencing must be refused or ignored, got {text:?}"),
     }
 }
--- a/crates/burdockroad-standins/src/load.rs
+++ b/crates/burdockroad-standins/src/load.rs
@@ -1,10 +1,10 @@
-//! A load generator: programs of several turns, with tool pauses, for several client accounts.
+//! Load generator: multi-turn programs with tool pauses, for several client accounts.
 //!
-//! It is bounded in count and time, and sends to loopback addresses only. With a rate, programs start
-//! when they are due, and their latency counts from then on, whether or not the system kept up. Without
-//! one, each of a number of callers runs one program after the other.
+//! It is bounded in count and time, and sends to loopback addresses only. With a rate, the load is
+//! open-loop: programs are due at given times, and their latency counts from the due time even if they
+//! start late. Without a rate, each of a number of callers runs one program after the other.
 
-pub use crate::load::figures::{AccountReport, LatencyFigures, LoadReport, RefusalCount};
+pub use crate::load::stats::{AccountReport, LatencySummary, LoadReport, RefusalCount};
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,51 +21,51 @@
     error::{Result, StandinError},
     http_client::HttpClient,
     load::{
-        figures::Figures,
         program::{Program, ProgramShape},
+        stats::AccountStats,
     },
 };
 
-mod figures;
 mod program;
+mod stats;
 
 const DURATION_MAX: Duration = Duration::from_mins(10);
 const PROGRAMS_MAX: u64 = 100_000;
 const CONCURRENCY_MAX: usize = 2048;
 const TURNS_MAX: u32 = 1000;
 
-/// What load to generate.
+/// Options of a load.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// Callers' addresses; the calls of a program go to each in turn.
+    /// Addresses that calls are sent to; the calls of a program rotate over them.
     pub targets: Vec<SocketAddr>,
-    /// Client accounts that programs are run for.
+    /// Client accounts for which programs are run.
     pub accounts: Vec<LoadAccount>,
-    /// Model that is asked for.
+    /// Requested model.
     pub model: String,
-    /// Whether calls go straight to an engine, with the whole history and without keys.
+    /// Whether calls go directly to an engine, with the complete history and without keys.
     pub direct: bool,
-    /// Whether answers are streamed.
+    /// Whether responses are streamed.
     pub stream: bool,
-    /// Calls of each program.
+    /// Calls per program.
     pub turns: u32,
-    /// Pause between two calls of a program, in which its tool runs.
+    /// Pause between two calls of a program, which represents a tool run.
     pub tool_pause: Duration,
     /// Bytes of new text in each call.
     pub prompt_bytes: usize,
-    /// Tokens that each call may have generated.
+    /// Maximum number of tokens generated per call.
     pub max_tokens: u64,
-    /// Further tries of a call that was refused or broke off.
+    /// Maximum number of retries of a call that was refused or broken off.
     pub retries: u32,
-    /// Time after which a call without a whole answer counts as broken off.
+    /// Timeout after which a call without a complete response counts as broken off.
     pub call_timeout: Duration,
-    /// Programs that are started at most, for each account.
+    /// Maximum number of programs started per account.
     pub programs: u64,
-    /// Time after which no more programs are started.
+    /// Time after which no programs are started.
     pub duration: Duration,
-    /// Time that programs under way then have to end.
+    /// Time that running programs then have to finish.
     pub drain: Duration,
-    /// Seed of the times at which programs start.
+    /// Seed of the random start times.
     pub seed: u64,
 }
 
@@ -91,25 +91,25 @@
     }
 }
 
-/// One client account and how much it sends.
+/// A client account and its load.
 #[derive(Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadAccount {
-    /// Name of the account, for the figures.
+    /// Account id, used in the report.
     pub account_id: String,
-    /// Key that its calls carry; empty sends none.
+    /// API key sent with its calls; if empty, none is sent.
     #[serde(default)]
     pub key: String,
-    /// Programs that start each second; 0 starts one as soon as another has ended.
+    /// Programs started per second; 0 starts a program as soon as another has ended.
     #[serde(default)]
     pub programs_per_s: f64,
-    /// Programs that run at once at most.
+    /// Maximum number of concurrent programs.
     pub concurrency: usize,
 }
 
 impl std::fmt::Debug for LoadAccount {
-    // Keys are kept out of whatever is printed.
+    // Keys must not appear in debug output.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("LoadAccount")
             .field("account_id", &self.account_id)
@@ -119,30 +119,30 @@
     }
 }
 
-/// Runs the load and reports what its callers saw.
+/// Runs the load and returns a report of its outcomes and latencies.
 ///
 /// # Errors
 ///
-/// Fails before anything is sent when a target is not loopback or a bound is exceeded.
+/// Fails before sending anything when a target is not a loopback address or an option is out of range.
 pub async fn run(options: LoadOptions) -> Result<LoadReport> {
-    check(&options)?;
+    validate(&options)?;
     let shape = Arc::new(ProgramShape::new(&options));
     let start = Instant::now();
     let mut running = JoinSet::new();
     for (index, account) in options.accounts.iter().enumerate() {
-        let stream = AccountLoad {
+        let load = AccountLoad {
             account: account.clone(),
             index,
             shape: Arc::clone(&shape),
-            figures: Arc::new(Figures::default()),
+            stats: Arc::new(AccountStats::default()),
             client: HttpClient::with_timeout(options.call_timeout),
             start,
             programs: options.programs,
             stop_at: start + options.duration,
-            drained_at: start + options.duration + options.drain,
+            drain_deadline: start + options.duration + options.drain,
             rng: ChaCha8Rng::seed_from_u64(options.seed.wrapping_add(index as u64)),
         };
-        running.spawn(stream.run());
+        running.spawn(load.run());
     }
     let mut reports = running.join_all().await;
     reports.sort_by(|a, b| a.account_id.cmp(&b.account_id));
@@ -152,55 +152,55 @@
     })
 }
 
-fn check(options: &LoadOptions) -> Result<()> {
+fn validate(options: &LoadOptions) -> Result<()> {
     if let Some(target) = options.targets.iter().find(|target| !target.ip().is_loopback()) {
         return Err(StandinError::NotLoopback(*target));
     }
     let concurrency: usize = options.accounts.iter().map(|account| account.concurrency).sum();
-    let rates_ok = options
+    let rates_valid = options
         .accounts
         .iter()
         .all(|account| account.programs_per_s.is_finite() && account.programs_per_s >= 0.0);
     let checks = [
-        (!options.targets.is_empty(), "there is no target"),
-        (!options.accounts.is_empty(), "there is no account"),
-        (rates_ok, "programs_per_s must be 0 or more"),
+        (!options.targets.is_empty(), "no target was given"),
+        (!options.accounts.is_empty(), "no account was given"),
+        (rates_valid, "programs_per_s must be 0 or more"),
         (
             options.accounts.iter().all(|account| account.concurrency > 0),
             "concurrency must be at least 1",
         ),
         (
             concurrency <= CONCURRENCY_MAX,
-            "at most 2048 programs run at once",
+            "at most 2048 programs may run concurrently",
         ),
         (
             options.programs <= PROGRAMS_MAX,
-            "at most 100000 programs are started",
+            "programs must be at most 100000",
         ),
-        (options.duration <= DURATION_MAX, "the duration is at most 600 s"),
-        (options.drain <= DURATION_MAX, "the drain time is at most 600 s"),
+        (options.duration <= DURATION_MAX, "duration must be at most 600 s"),
+        (options.drain <= DURATION_MAX, "drain must be at most 600 s"),
         (
             (1..=TURNS_MAX).contains(&options.turns),
-            "turns must be 1 to 1000",
+            "turns must be from 1 to 1000",
         ),
     ];
-    match checks.iter().find(|(holds, _)| !holds) {
+    match checks.iter().find(|(valid, _)| !valid) {
         None => Ok(()),
         Some((_, reason)) => Err(StandinError::Option((*reason).to_owned())),
     }
 }
 
-/// The programs of one account.
+/// Load of one account.
 struct AccountLoad {
     account: LoadAccount,
     index: usize,
     shape: Arc<ProgramShape>,
-    figures: Arc<Figures>,
+    stats: Arc<AccountStats>,
     client: HttpClient,
     start: Instant,
     programs: u64,
     stop_at: Instant,
-    drained_at: Instant,
+    drain_deadline: Instant,
     rng: ChaCha8Rng,
 }
 
@@ -220,8 +220,8 @@
                 self.count_unstarted(due, self.programs - number);
                 break;
             };
-            let begun = if self.is_paced() { due } else { Instant::now() };
-            let program = self.program(number, begun);
+            let latency_start = if self.is_open_loop() { due } else { Instant::now() };
+            let program = self.program(number, latency_start);
             running.spawn(async move {
                 program.run().await;
                 drop(slot);
@@ -229,53 +229,55 @@
             while running.try_join_next().is_some() {}
         }
         self.drain(running).await;
-        self.figures.report(&self.account.account_id)
+        self.stats.report(&self.account.account_id)
     }
 
-    /// Counts the programs that were due before the time was over; without a rate none ever is.
-    fn count_unstarted(&mut self, mut due: Instant, left: u64) {
-        if !self.is_paced() {
+    /// Counts the programs that were due before `stop_at` and not started; without a rate, none is counted.
+    fn count_unstarted(&mut self, mut due: Instant, remaining: u64) {
+        if !self.is_open_loop() {
             return;
         }
-        for _ in 0..left {
+        for _ in 0..remaining {
             if due >= self.stop_at {
                 break;
             }
-            self.figures.add_unstarted();
+            self.stats.add_unstarted();
             due = self.next_due(due);
         }
     }
 
-    fn is_paced(&self) -> bool {
+    fn is_open_loop(&self) -> bool {
         self.account.programs_per_s > 0.0
     }
 
-    /// Draws the time at which the next program starts, so that starts are independent of each other.
+    /// Returns the random due time of the next program.
+    ///
+    /// The due times form a Poisson process, so program starts are independent of each other.
     fn next_due(&mut self, last: Instant) -> Instant {
-        if !self.is_paced() {
+        if !self.is_open_loop() {
             return last;
         }
-        let share: f64 = self.rng.random();
-        let interval_s = -(1.0 - share).ln() / self.account.programs_per_s;
+        let sample: f64 = self.rng.random();
+        let interval_s = -(1.0 - sample).ln() / self.account.programs_per_s;
         last + Duration::try_from_secs_f64(interval_s).unwrap_or(DURATION_MAX)
     }
 
-    fn program(&self, number: u64, begun: Instant) -> Program {
+    fn program(&self, number: u64, latency_start: Instant) -> Program {
         Program {
             shape: Arc::clone(&self.shape),
-            figures: Arc::clone(&self.figures),
+            stats: Arc::clone(&self.stats),
             client: self.client.clone(),
             key: self.account.key.clone(),
             label: format!("load-{}-{number}", self.index),
             first_target: usize::try_from(number).unwrap_or_default() + self.index,
-            begun,
+            latency_start,
         }
     }
 
-    /// Waits for the programs under way, and gives up those that take too long.
+    /// Waits for the running programs, and aborts those that still run at the drain deadline.
     async fn drain(&self, mut running: JoinSet<()>) {
-        while let Ok(Some(_)) = timeout_at(self.drained_at, running.join_next()).await {}
-        self.figures.add_unfinished(running.len() as u64);
+        while let Ok(Some(_)) = timeout_at(self.drain_deadline, running.join_next()).await {}
+        self.stats.add_unfinished(running.len() as u64);
         running.shutdown().await;
     }
 }
--- a/crates/burdockroad-standins/src/load/program.rs
+++ b/crates/burdockroad-standins/src/load/program.rs
@@ -1,4 +1,4 @@
-//! One program of a load: its calls in their order, with pauses and retries.
+//! A program of a load: sequential calls with pauses and retries.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,17 +13,17 @@
     http_client::{self, HttpClient, HttpResponse},
     load::{
         LoadOptions,
-        figures::{Figures, TokenCounts},
+        stats::{AccountStats, TokenCounts},
     },
 };
 
-/// Wait before a call that broke off is tried again.
-const BROKEN_RETRY: Duration = Duration::from_millis(100);
+/// Backoff before a retry of a call that broke off.
+const BROKEN_CALL_BACKOFF: Duration = Duration::from_millis(100);
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 const FILLER: &str = "the convoy waits for a passage plan and the buyer for a price ";
-const END_MARK: &str = "data: [DONE]";
+const STREAM_END: &str = "data: [DONE]";
 
-/// What all programs of a load have in common.
+/// Parameters common to all programs of a load.
 pub(crate) struct ProgramShape {
     targets: Vec<SocketAddr>,
     model: String,
@@ -52,17 +52,17 @@
     }
 }
 
-/// One program that is to be run.
+/// A program to run.
 pub(crate) struct Program {
     pub(crate) shape: Arc<ProgramShape>,
-    pub(crate) figures: Arc<Figures>,
+    pub(crate) stats: Arc<AccountStats>,
     pub(crate) client: HttpClient,
     pub(crate) key: String,
-    /// Tells this program's texts from those of all others.
+    /// Prefix of all its prompts, which makes them differ from those of other programs.
     pub(crate) label: String,
     pub(crate) first_target: usize,
-    /// When the program was due.
-    pub(crate) begun: Instant,
+    /// Start of the latency: the due time, or without a rate the actual start.
+    pub(crate) latency_start: Instant,
 }
 
 #[derive(Serialize)]
@@ -144,24 +144,24 @@
     ran: Option<String>,
 }
 
-/// A whole answer to a call.
-struct CallAnswer {
+/// Complete response to a call.
+struct CallCompletion {
     text: String,
     tokens: TokenCounts,
 }
 
-/// What a try came to, short of an answer.
-struct Refusal {
+/// A failed attempt, with the backoff before the next one if a retry is allowed.
+struct AttemptFailure {
     retry_after: Option<Duration>,
 }
 
 impl Program {
-    /// Runs the program and adds to the figures what came of it.
+    /// Runs the program and records its outcome.
     pub(crate) async fn run(self) {
         match self.run_turns().await {
-            Ok(()) => self.figures.add_completed(self.begun.elapsed()),
-            // Why a try failed is counted where it failed; what is left to say is that the program did.
-            Err(_reason) => self.figures.add_failed(),
+            Ok(()) => self.stats.add_completed(self.latency_start.elapsed()),
+            // Each failed attempt was counted when it failed, so only the program is counted here.
+            Err(_reason) => self.stats.add_failed(),
         }
     }
 
@@ -176,18 +176,18 @@
             if turn > 1 {
                 tokio::time::sleep(self.shape.tool_pause).await;
             }
-            let question = self.question(turn);
+            let user_message = self.user_message(turn);
             let messages = if self.shape.direct {
-                history.push(question);
+                history.push(user_message);
                 history.clone()
             } else {
-                vec![question]
+                vec![user_message]
             };
-            let answer = self.call(&program_id, turn, &messages).await?;
+            let response = self.call(&program_id, turn, &messages).await?;
             if self.shape.direct {
                 history.push(Message {
                     role: "assistant",
-                    content: answer.text,
+                    content: response.text,
                 });
             }
         }
@@ -199,26 +199,26 @@
             max_tokens: self.shape.max_tokens * u64::from(self.shape.turns),
             max_calls: self.shape.turns,
         };
-        let answer = self
-            .retried(0, |target| {
+        let response = self
+            .send_with_retries(0, |target| {
                 let url = format!("http://{target}/v1/programs");
                 let request = http_client::json_request(Method::POST, &url, &NewProgram { budget })?;
                 self.authorized(request)
             })
             .await?;
-        Ok(answer.json::<CreatedProgram>()?.id)
+        Ok(response.json::<CreatedProgram>()?.id)
     }
 
-    async fn call(&self, program_id: &str, turn: u32, messages: &[Message]) -> Result<CallAnswer> {
-        let begun = Instant::now();
-        let answer = self
-            .retried(turn, |target| {
+    async fn call(&self, program_id: &str, turn: u32, messages: &[Message]) -> Result<CallCompletion> {
+        let started_at = Instant::now();
+        let response = self
+            .send_with_retries(turn, |target| {
                 self.call_request(target, program_id, turn, messages)
             })
             .await?;
-        let answer = read_answer(&answer)?;
-        self.figures.add_call(begun.elapsed(), answer.tokens);
-        Ok(answer)
+        let response = parse_completion(&response)?;
+        self.stats.add_call(started_at.elapsed(), response.tokens);
+        Ok(response)
     }
 
     fn call_request(
@@ -256,23 +256,23 @@
         Ok(request)
     }
 
-    /// Sends a request until it is answered, to the next target at each try.
-    async fn retried(
+    /// Sends a request until it succeeds or may not be retried, with a different target for each attempt.
+    async fn send_with_retries(
         &self,
         turn: u32,
-        make: impl Fn(SocketAddr) -> Result<Request<Full<Bytes>>> + Send + Sync,
+        make_request: impl Fn(SocketAddr) -> Result<Request<Full<Bytes>>> + Send + Sync,
     ) -> Result<HttpResponse> {
         for attempt in 0..=self.shape.retries {
             if attempt > 0 {
-                self.figures.add_retry();
+                self.stats.add_retry();
             }
             let target = self.target(turn, attempt);
-            match self.try_once(make(target)?).await {
-                Ok(answer) => return Ok(answer),
-                Err(Refusal {
-                    retry_after: Some(wait),
-                }) if attempt < self.shape.retries => tokio::time::sleep(wait).await,
-                Err(_refused_for_good) => break,
+            match self.send_once(make_request(target)?).await {
+                Ok(response) => return Ok(response),
+                Err(AttemptFailure {
+                    retry_after: Some(backoff),
+                }) if attempt < self.shape.retries => tokio::time::sleep(backoff).await,
+                Err(_final_failure) => break,
             }
         }
         Err(StandinError::Request(format!(
@@ -281,37 +281,40 @@
         )))
     }
 
-    async fn try_once(&self, request: Request<Full<Bytes>>) -> std::result::Result<HttpResponse, Refusal> {
-        let broken = Refusal {
-            retry_after: Some(BROKEN_RETRY),
+    async fn send_once(
+        &self,
+        request: Request<Full<Bytes>>,
+    ) -> std::result::Result<HttpResponse, AttemptFailure> {
+        let broken = AttemptFailure {
+            retry_after: Some(BROKEN_CALL_BACKOFF),
         };
-        let Ok(answer) = self.client.send(request).await else {
-            self.figures.add_broken();
+        let Ok(response) = self.client.send(request).await else {
+            self.stats.add_broken();
             return Err(broken);
         };
-        if answer.status.is_success() {
-            if is_whole(&answer) {
-                return Ok(answer);
+        if response.status.is_success() {
+            if is_complete(&response) {
+                return Ok(response);
             }
-            self.figures.add_broken();
+            self.stats.add_broken();
             return Err(broken);
         }
-        let problem = answer.json::<Problem>().ok();
-        self.figures
-            .add_refusal(&kind_of(problem.as_ref(), answer.status));
+        let problem = response.json::<Problem>().ok();
+        self.stats
+            .add_refusal(&refusal_kind(problem.as_ref(), response.status));
         let ran = problem.and_then(|problem| problem.ran);
-        let may_repeat = ran.as_deref() != Some("yes");
-        Err(Refusal {
-            retry_after: retry_after(&answer).filter(|_| may_repeat),
+        let may_retry = ran.as_deref() != Some("yes");
+        Err(AttemptFailure {
+            retry_after: retry_after(&response).filter(|_| may_retry),
         })
     }
 
     fn target(&self, turn: u32, attempt: u32) -> SocketAddr {
-        let step = usize::try_from(turn + attempt).unwrap_or_default();
-        self.shape.targets[(self.first_target + step) % self.shape.targets.len()]
+        let offset = usize::try_from(turn + attempt).unwrap_or_default();
+        self.shape.targets[(self.first_target + offset) % self.shape.targets.len()]
     }
 
-    fn question(&self, turn: u32) -> Message {
+    fn user_message(&self, turn: u32) -> Message {
         let start = format!("{} turn {turn}: ", self.label);
         let content = start.chars().chain(FILLER.chars().cycle());
         let length = self.shape.prompt_bytes.max(start.len());
@@ -327,26 +330,26 @@
         .map_err(|_unprintable| StandinError::Option("a header value is not ASCII".to_owned()))
 }
 
-/// Tells whether an answer is whole; one that is streamed ends with its mark.
-fn is_whole(answer: &HttpResponse) -> bool {
-    let is_stream = answer
+/// Returns whether a response is complete; a streamed one must end with `[DONE]`.
+fn is_complete(response: &HttpResponse) -> bool {
+    let is_stream = response
         .headers
         .get(header::CONTENT_TYPE)
         .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
-    !is_stream || answer.text().trim_end().ends_with(END_MARK)
+    !is_stream || response.text().trim_end().ends_with(STREAM_END)
 }
 
-fn read_answer(answer: &HttpResponse) -> Result<CallAnswer> {
-    let text = answer.text();
-    let pieces: Vec<Completion> = if text.starts_with("data:") {
+fn parse_completion(response: &HttpResponse) -> Result<CallCompletion> {
+    let text = response.text();
+    let chunks: Vec<Completion> = if text.starts_with("data:") {
         let events = text.lines().filter_map(|line| line.strip_prefix("data: "));
         events
             .filter_map(|event| serde_json::from_str(event).ok())
             .collect()
     } else {
-        vec![answer.json()?]
+        vec![response.json()?]
     };
-    let usage = pieces.iter().rev().find_map(|piece| piece.usage.as_ref());
+    let usage = chunks.iter().rev().find_map(|chunk| chunk.usage.as_ref());
     let tokens = usage.map_or_else(TokenCounts::default, |usage| TokenCounts {
         prompt: usage.prompt_tokens,
         cached: usage
@@ -355,21 +358,21 @@
             .map_or(0, |details| details.cached_tokens),
         completion: usage.completion_tokens,
     });
-    let choices = pieces.iter().flat_map(|piece| &piece.choices);
+    let choices = chunks.iter().flat_map(|chunk| &chunk.choices);
     let text = choices
         .filter_map(|choice| choice.message.content.as_deref())
         .collect();
-    Ok(CallAnswer { text, tokens })
+    Ok(CallCompletion { text, tokens })
 }
 
-fn kind_of(problem: Option<&Problem>, status: StatusCode) -> String {
+fn refusal_kind(problem: Option<&Problem>, status: StatusCode) -> String {
     let kind = problem.and_then(|problem| problem.r#type.as_deref());
     let last = kind.and_then(|kind| kind.rsplit([':', '/']).next());
     last.map_or_else(|| format!("status-{}", status.as_u16()), str::to_owned)
 }
 
-fn retry_after(answer: &HttpResponse) -> Option<Duration> {
-    let value = answer.headers.get(header::RETRY_AFTER)?;
+fn retry_after(response: &HttpResponse) -> Option<Duration> {
+    let value = response.headers.get(header::RETRY_AFTER)?;
     let seconds = value.to_str().ok()?.parse().ok()?;
     Some(Duration::from_secs(seconds).min(RETRY_AFTER_MAX))
 }
--- a/crates/burdockroad-standins/src/load/figures.rs
+++ b/crates/burdockroad-standins/src/load/stats.rs
@@ -1,4 +1,4 @@
-//! What the callers of a load saw, as histograms and counts.
+//! Statistics of a load, as histograms and counts.
 
 use std::{
     collections::BTreeMap,
@@ -13,53 +13,53 @@
 const SIGNIFICANT_DIGITS: u8 = 3;
 const US_PER_MS: f64 = 1e3;
 
-/// What all accounts of a load saw.
+/// Report of a load for all accounts.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct LoadReport {
-    /// Time from the start to the end of the last program.
+    /// Time from the start of the load to the end of the last program.
     pub duration: Duration,
-    /// One report for each account, by name.
+    /// Reports per account, ordered by account id.
     pub accounts: Vec<AccountReport>,
 }
 
-/// What one account saw.
+/// Report for one account.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct AccountReport {
-    /// Name of the account.
+    /// Account id.
     pub account_id: String,
-    /// Programs that got all their answers.
+    /// Programs that received all their responses.
     pub completed: u64,
-    /// Programs that ended without.
+    /// Programs that ended without all their responses.
     pub failed: u64,
-    /// Programs that were still under way when the time was over.
+    /// Programs that were still running at the drain deadline.
     pub unfinished: u64,
-    /// Programs that were due, and could not start before the time was over.
+    /// Programs that were due and could not start before `duration` had passed.
     pub unstarted: u64,
-    /// Latency of whole programs that completed, with their tool pauses.
-    pub program_latency: LatencyFigures,
-    /// Latency of answered calls, with the tries before.
-    pub call_latency: LatencyFigures,
-    /// Refused tries by kind.
+    /// Latency of completed programs, including their tool pauses.
+    pub program_latency: LatencySummary,
+    /// Latency of successful calls, including earlier attempts.
+    pub call_latency: LatencySummary,
+    /// Refused attempts by kind.
     pub refusals: Vec<RefusalCount>,
-    /// Tries that broke off without a whole answer.
+    /// Attempts that broke off without a complete response.
     pub broken: u64,
-    /// Tries after the first.
+    /// Attempts after the first.
     pub retries: u64,
-    /// Tokens of prompts.
+    /// Prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of prompts that were cached.
+    /// Prompt tokens that were cached.
     pub cached_tokens: u64,
-    /// Tokens that were generated.
+    /// Generated tokens.
     pub completion_tokens: u64,
 }
 
-/// How long something took.
+/// Summary of a latency distribution.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Serialize)]
-pub struct LatencyFigures {
-    /// How often it happened.
+pub struct LatencySummary {
+    /// Number of samples.
     pub count: u64,
     /// Median, in milliseconds.
     pub p50_ms: f64,
@@ -67,17 +67,17 @@
     pub p95_ms: f64,
     /// 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// Longest, in milliseconds.
+    /// Maximum, in milliseconds.
     pub max_ms: f64,
 }
 
-/// How often calls were refused in one way.
+/// Number of refusals of one kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct RefusalCount {
-    /// Last part of the problem's type, or the status where there is none.
+    /// Last segment of the problem type, or the status code if there is no problem type.
     pub kind: String,
-    /// How often.
+    /// Number of refusals.
     pub count: u64,
 }
 
@@ -109,22 +109,22 @@
     }
 }
 
-fn latency_fields(name: &str, latency: &LatencyFigures) -> String {
+fn latency_fields(name: &str, latency: &LatencySummary) -> String {
     let mut fields = format!("{name}_count={}", latency.count);
-    let figures = [
+    let percentiles = [
         ("p50", latency.p50_ms),
         ("p95", latency.p95_ms),
         ("p99", latency.p99_ms),
         ("max", latency.max_ms),
     ];
-    for (figure, milliseconds) in figures {
+    for (label, ms) in percentiles {
         // Writing to a string cannot fail.
-        write!(fields, " {name}_{figure}_ms={milliseconds:.3}").unwrap_or_default();
+        write!(fields, " {name}_{label}_ms={ms:.3}").unwrap_or_default();
     }
     fields
 }
 
-/// Tokens that one answer reports.
+/// Token counts reported by one response.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TokenCounts {
     pub(crate) prompt: u64,
@@ -132,14 +132,14 @@
     pub(crate) completion: u64,
 }
 
-/// The figures of one account while its programs run.
+/// Statistics of one account while its programs run.
 #[derive(Debug, Default)]
-pub(crate) struct Figures {
-    table: Mutex<Table>,
+pub(crate) struct AccountStats {
+    counters: Mutex<Counters>,
 }
 
 #[derive(Debug)]
-struct Table {
+struct Counters {
     completed: u64,
     failed: u64,
     unfinished: u64,
@@ -152,7 +152,7 @@
     tokens: TokenCounts,
 }
 
-impl Default for Table {
+impl Default for Counters {
     fn default() -> Self {
         Self {
             completed: 0,
@@ -169,95 +169,95 @@
     }
 }
 
-impl Figures {
+impl AccountStats {
     pub(crate) fn add_completed(&self, latency: Duration) {
-        let mut table = self.table();
-        table.completed += 1;
-        record(&mut table.program_us, latency);
+        let mut counters = self.counters();
+        counters.completed += 1;
+        record_latency(&mut counters.program_us, latency);
     }
 
     pub(crate) fn add_failed(&self) {
-        self.table().failed += 1;
+        self.counters().failed += 1;
     }
 
     pub(crate) fn add_unfinished(&self, number: u64) {
-        self.table().unfinished += number;
+        self.counters().unfinished += number;
     }
 
     pub(crate) fn add_unstarted(&self) {
-        self.table().unstarted += 1;
+        self.counters().unstarted += 1;
     }
 
     pub(crate) fn add_call(&self, latency: Duration, tokens: TokenCounts) {
-        let mut table = self.table();
-        record(&mut table.call_us, latency);
-        table.tokens.prompt += tokens.prompt;
-        table.tokens.cached += tokens.cached;
-        table.tokens.completion += tokens.completion;
+        let mut counters = self.counters();
+        record_latency(&mut counters.call_us, latency);
+        counters.tokens.prompt += tokens.prompt;
+        counters.tokens.cached += tokens.cached;
+        counters.tokens.completion += tokens.completion;
     }
 
     pub(crate) fn add_refusal(&self, kind: &str) {
-        *self.table().refusals.entry(kind.to_owned()).or_default() += 1;
+        *self.counters().refusals.entry(kind.to_owned()).or_default() += 1;
     }
 
     pub(crate) fn add_broken(&self) {
-        self.table().broken += 1;
+        self.counters().broken += 1;
     }
 
     pub(crate) fn add_retry(&self) {
-        self.table().retries += 1;
+        self.counters().retries += 1;
     }
 
     pub(crate) fn report(&self, account_id: &str) -> AccountReport {
-        let table = self.table();
-        let refusals = table.refusals.iter().map(|(kind, count)| RefusalCount {
+        let counters = self.counters();
+        let refusals = counters.refusals.iter().map(|(kind, count)| RefusalCount {
             kind: kind.clone(),
             count: *count,
         });
         AccountReport {
             account_id: account_id.to_owned(),
-            completed: table.completed,
-            failed: table.failed,
-            unfinished: table.unfinished,
-            unstarted: table.unstarted,
-            program_latency: latency_figures(&table.program_us),
-            call_latency: latency_figures(&table.call_us),
+            completed: counters.completed,
+            failed: counters.failed,
+            unfinished: counters.unfinished,
+            unstarted: counters.unstarted,
+            program_latency: summarize_latency(&counters.program_us),
+            call_latency: summarize_latency(&counters.call_us),
             refusals: refusals.collect(),
-            broken: table.broken,
-            retries: table.retries,
-            prompt_tokens: table.tokens.prompt,
-            cached_tokens: table.tokens.cached,
-            completion_tokens: table.tokens.completion,
+            broken: counters.broken,
+            retries: counters.retries,
+            prompt_tokens: counters.tokens.prompt,
+            cached_tokens: counters.tokens.cached,
+            completion_tokens: counters.tokens.completion,
         }
     }
 
-    fn table(&self) -> MutexGuard<'_, Table> {
-        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+    fn counters(&self) -> MutexGuard<'_, Counters> {
+        self.counters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 fn new_histogram() -> Histogram<u64> {
-    // The constructor refuses only a number of digits above five.
-    Histogram::new(SIGNIFICANT_DIGITS).expect("the number of digits is allowed")
+    // The constructor rejects only more than five significant digits.
+    Histogram::new(SIGNIFICANT_DIGITS).expect("the number of significant digits is valid")
 }
 
-fn record(histogram: &mut Histogram<u64>, latency: Duration) {
+fn record_latency(histogram: &mut Histogram<u64>, latency: Duration) {
     let microseconds = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
-    // A histogram that grows by itself takes any number.
+    // An auto-resizing histogram accepts any value.
     histogram.record(microseconds).unwrap_or_default();
 }
 
-fn latency_figures(histogram: &Histogram<u64>) -> LatencyFigures {
-    let at = |quantile: f64| milliseconds(histogram.value_at_quantile(quantile));
-    LatencyFigures {
+fn summarize_latency(histogram: &Histogram<u64>) -> LatencySummary {
+    let at = |quantile: f64| us_to_ms(histogram.value_at_quantile(quantile));
+    LatencySummary {
         count: histogram.len(),
         p50_ms: at(0.5),
         p95_ms: at(0.95),
         p99_ms: at(0.99),
-        max_ms: milliseconds(histogram.max()),
+        max_ms: us_to_ms(histogram.max()),
     }
 }
 
-fn milliseconds(microseconds: u64) -> f64 {
+fn us_to_ms(microseconds: u64) -> f64 {
     f64::from(u32::try_from(microseconds).unwrap_or(u32::MAX)) / US_PER_MS
 }
--- a/crates/burdockroad-standins/src/processes.rs
+++ b/crates/burdockroad-standins/src/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of the workspace's own binaries, for tests that kill, pause and restart them.
+//! Control of processes of the workspace's binaries, for tests that kill, pause and restart them.
 
 use std::{
     collections::VecDeque,
@@ -26,12 +26,12 @@
 
 use crate::error::{Result, StandinError};
 
-/// Longest wait for the line that says where a process listens.
+/// Timeout for a new process to print its listening address.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-const OUTPUT_LINES_KEPT: usize = 2000;
+const OUTPUT_LINES_MAX: usize = 2000;
 const ADDRESS_KEY: &str = "address";
 
-/// A running process, killed when it is dropped.
+/// A running process, which is killed when the handle is dropped.
 ///
 /// # Example
 ///
@@ -51,17 +51,19 @@
 pub struct Process {
     name: String,
     child: Child,
-    first_line: String,
+    address_line: String,
     output: Output,
 }
 
 impl Process {
-    /// Starts a binary that stands beside the running test, and waits until it says where it listens.
+    /// Starts a workspace binary and waits until it prints its listening address.
+    ///
+    /// The binary must be in the target directory of the current executable.
     ///
     /// # Errors
     ///
-    /// Fails when the binary is missing, or ends or stays silent before it has printed a line that
-    /// begins with `address=`.
+    /// Fails when the binary is missing, when the process exits before it prints a line that starts with
+    /// `address=`, or when no such line is printed within 30 s.
     pub async fn spawn(binary: &str, arguments: &[&str]) -> Result<Self> {
         let path = binary_path(binary)?;
         let failed = |reason: String| StandinError::Process(format!("{binary}: {reason}"));
@@ -76,34 +78,34 @@
         let output = Output::new();
         let (line, mut lines) = watch::channel(None);
         if let Some(stdout) = child.stdout.take() {
-            tokio::spawn(collect(stdout, output.clone(), Some(line)));
+            tokio::spawn(collect_output(stdout, output.clone(), Some(line)));
         }
         if let Some(stderr) = child.stderr.take() {
-            tokio::spawn(collect(stderr, output.clone(), None));
+            tokio::spawn(collect_output(stderr, output.clone(), None));
         }
-        let started = tokio::time::timeout(START_TIMEOUT, lines.wait_for(Option::is_some)).await;
-        let first_line = match started {
+        let result = tokio::time::timeout(START_TIMEOUT, lines.wait_for(Option::is_some)).await;
+        let address_line = match result {
             Ok(Ok(line)) => line.clone().unwrap_or_default(),
-            Ok(Err(_ended)) => return Err(failed(format!("ended at once: {}", output.text()))),
-            Err(_elapsed) => return Err(failed(format!("said no address in time: {}", output.text()))),
+            Ok(Err(_ended)) => return Err(failed(format!("ended without address: {}", output.text()))),
+            Err(_elapsed) => return Err(failed(format!("no address within 30 s: {}", output.text()))),
         };
         Ok(Self {
             name: binary.to_owned(),
             child,
-            first_line,
+            address_line,
             output,
         })
     }
 
-    /// Returns a value of the line that says where the process listens.
+    /// Returns the value of a `key=value` field of the address line.
     pub fn field(&self, key: &str) -> Option<&str> {
-        let fields = self.first_line.split_whitespace();
+        let fields = self.address_line.split_whitespace();
         fields
             .filter_map(|field| field.split_once('='))
             .find_map(|(name, value)| (name == key).then_some(value))
     }
 
-    /// Returns the address behind `address=`.
+    /// Returns the value of `address` in the address line.
     ///
     /// # Errors
     ///
@@ -112,27 +114,27 @@
         self.address_of(ADDRESS_KEY)
     }
 
-    /// Returns an address of the line that says where the process listens.
+    /// Returns the value of `key` in the address line as an address.
     ///
     /// # Errors
     ///
-    /// Fails when there is no such key, or its value is not an address.
+    /// Fails when the key is missing, or its value is not an address.
     pub fn address_of(&self, key: &str) -> Result<SocketAddr> {
         let address = self.field(key).and_then(|value| value.parse().ok());
-        address.ok_or_else(|| self.failed(&format!("no {key} in {:?}", self.first_line)))
+        address.ok_or_else(|| self.failed(&format!("no {key} in {:?}", self.address_line)))
     }
 
-    /// Returns the last lines that the process printed, on both its outputs.
+    /// Returns the last lines that the process wrote to standard output and standard error.
     pub fn output(&self) -> String {
         self.output.text()
     }
 
-    /// Returns the id of the process; none once it has ended.
+    /// Returns the process id, or `None` after the process has ended.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Kills the process (SIGKILL) and waits for its end.
+    /// Kills the process (SIGKILL) and waits until it has ended.
     ///
     /// # Errors
     ///
@@ -149,14 +151,14 @@
     /// Fails when the process has ended.
     pub fn stop(&self) -> Result<()> {
         self.signal(Signal::SIGSTOP)?;
-        // The signal alone takes effect a little later, and the process may still answer meanwhile.
+        // The signal takes effect asynchronously, and until then the process may still respond.
         let stopped = WaitPidFlag::WSTOPPED | WaitPidFlag::WNOWAIT;
         let waited = wait::waitid(Id::Pid(self.pid()?), stopped);
         waited.map_err(|error| self.failed(error.desc()))?;
         Ok(())
     }
 
-    /// Lets a paused process go on (SIGCONT).
+    /// Resumes a paused process (SIGCONT).
     ///
     /// # Errors
     ///
@@ -165,7 +167,7 @@
         self.signal(Signal::SIGCONT)
     }
 
-    /// Asks the process to end (SIGTERM).
+    /// Requests termination of the process (SIGTERM).
     ///
     /// # Errors
     ///
@@ -174,22 +176,22 @@
         self.signal(Signal::SIGTERM)
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process has ended.
     ///
     /// # Errors
     ///
-    /// Fails when it does not end in time.
+    /// Fails when it does not end within `timeout`.
     pub async fn wait(&mut self, timeout: Duration) -> Result<ExitStatus> {
         match tokio::time::timeout(timeout, self.child.wait()).await {
             Ok(Ok(status)) => Ok(status),
             Ok(Err(error)) => Err(self.failed(&error.to_string())),
-            Err(_elapsed) => Err(self.failed("did not end in time")),
+            Err(_elapsed) => Err(self.failed("timed out waiting for its end")),
         }
     }
 
-    /// Kills the process where it still runs.
+    /// Kills the process if it is still running.
     pub async fn close(mut self) {
-        // One that has ended already needs no killing.
+        // Killing a process that has already ended has no effect.
         drop(self.child.kill().await);
     }
 
@@ -199,7 +201,7 @@
 
     fn pid(&self) -> Result<Pid> {
         let id = self.child.id().and_then(|id| i32::try_from(id).ok());
-        let id = id.ok_or_else(|| self.failed("has ended"))?;
+        let id = id.ok_or_else(|| self.failed("has already ended"))?;
         Ok(Pid::from_raw(id))
     }
 
@@ -209,7 +211,7 @@
 }
 
 impl Drop for Process {
-    /// Shows what the process printed when the test that started it fails.
+    /// Prints the output of the process when the owning test panics.
     fn drop(&mut self) {
         if thread::panicking() {
             eprintln!("output of {}:\n{}", self.name, self.output.text());
@@ -217,7 +219,7 @@
     }
 }
 
-/// Returns loopback ports that were free a moment ago, all different.
+/// Returns distinct loopback ports that were free at the time of the call.
 ///
 /// # Errors
 ///
@@ -225,7 +227,7 @@
 pub fn free_ports(number: usize) -> Result<Vec<u16>> {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let failed = |source| StandinError::Listen { address, source };
-    // All are held until the last is found, so that none is given twice.
+    // All listeners stay open until the last port is found, so that no port is returned twice.
     let listeners: std::result::Result<Vec<_>, _> = (0..number).map(|_| TcpListener::bind(address)).collect();
     let listeners = listeners.map_err(failed)?;
     let addresses = listeners.iter().map(TcpListener::local_addr);
@@ -234,11 +236,11 @@
         .collect()
 }
 
-/// Checks that binaries of the workspace are built, before anything that needs them begins.
+/// Checks that workspace binaries are built.
 ///
 /// # Errors
 ///
-/// Names the first binary that is missing, and the command that builds it.
+/// Fails with the name of the first missing binary and the command that builds it.
 pub fn require_binaries(binaries: &[&str]) -> Result<()> {
     for binary in binaries {
         binary_path(binary)?;
@@ -246,24 +248,24 @@
     Ok(())
 }
 
-/// Finds a binary of the workspace beside the running test, example or binary.
+/// Finds a workspace binary in the target directory of the current test, example or binary.
 fn binary_path(binary: &str) -> Result<PathBuf> {
-    let running = env::current_exe().map_err(|error| StandinError::Process(error.to_string()))?;
-    // Tests run in `deps`, examples in `examples`, one below the folder of the binaries.
-    let candidates = running
+    let current_exe = env::current_exe().map_err(|error| StandinError::Process(error.to_string()))?;
+    // Tests run in `deps` and examples in `examples`, which are subdirectories of the target directory.
+    let candidates = current_exe
         .ancestors()
         .skip(1)
         .take(2)
-        .map(|folder| folder.join(binary));
+        .map(|directory| directory.join(binary));
     let found = candidates.into_iter().find(|path| path.is_file());
     found.ok_or_else(|| {
         StandinError::Process(format!(
-            "{binary} is not built; run cargo build --workspace, with --release where this binary was"
+            "{binary} is not built; run cargo build --workspace, with --release for a release build"
         ))
     })
 }
 
-/// The last lines of a process.
+/// The last lines that a process printed.
 #[derive(Clone, Debug)]
 struct Output {
     lines: Arc<Mutex<VecDeque<String>>>,
@@ -278,7 +280,7 @@
 
     fn push(&self, line: String) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.len() == OUTPUT_LINES_KEPT {
+        if lines.len() == OUTPUT_LINES_MAX {
             lines.pop_front();
         }
         lines.push_back(line);
@@ -290,17 +292,17 @@
     }
 }
 
-/// Reads what a process prints until its end, and hands the line with its address on.
-async fn collect(
+/// Collects the output of a process until its end, and sends the first address line to the channel.
+async fn collect_output(
     stream: impl AsyncRead + Unpin,
     output: Output,
     mut address_line: Option<watch::Sender<Option<String>>>,
 ) {
     let mut lines = BufReader::new(stream).lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        let says_address = line.starts_with("address=");
+        let has_address = line.starts_with("address=");
         output.push(line.clone());
-        if says_address && let Some(sender) = address_line.take() {
+        if has_address && let Some(sender) = address_line.take() {
             sender.send_replace(Some(line));
         }
     }
