--- a/crates/burdockroad-standins/tests/engine_contract.rs
+++ b/crates/burdockroad-standins/tests/engine_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the engine stand-in: chat completions as published, streams, and faults.
+//! Contract tests of the engine stand-in: chat completions in the published format, streams and faults.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use http::Method;
 use serde_json::{Value, json};
 
-use crate::support::{Fixture, answer_text, body, streaming};
+use crate::support::{Fixture, body, completion_text, streaming};
 
 #[path = "support/engine.rs"]
 mod support;
 
-/// Wait after which a request that must never be answered counts as hanging.
+/// Time without a response after which a request counts as hanging.
 const HANG: Duration = Duration::from_millis(300);
 
-/// Returns the events of a body, without the end mark.
+/// Parses the events of a body, without `[DONE]`.
 fn events(text: &str) -> Vec<Value> {
     let events = text
         .split("\n\n")
@@ -34,7 +34,9 @@
     contents.collect()
 }
 
-/// Reads events until there are `number` of them, or the answer ends or is cut.
+/// Reads at least `number` events, or all until the response ends or is cut.
+///
+/// The flag is false if the connection was cut.
 async fn read_events(stream: &mut HttpStream, number: usize) -> (Vec<Value>, bool) {
     let mut text = String::new();
     loop {
@@ -75,10 +77,10 @@
         (body("hello", 1), &[("x-priority", "high")], 400, "invalid_value"),
     ];
     for (request, headers, status, code) in cases {
-        let answer = fixture.complete(headers, &request).await;
-        assert_eq!(answer.status, status, "{request}");
+        let response = fixture.complete(headers, &request).await;
+        assert_eq!(response.status, status, "{request}");
         assert_eq!(
-            answer.json::<Value>().unwrap()["error"]["code"],
+            response.json::<Value>().unwrap()["error"]["code"],
             code,
             "{request}"
         );
@@ -95,23 +97,23 @@
         ..EngineOptions::default()
     };
     let fixture = Fixture::start(options).await;
-    // Text, limit, tokens of the prompt, tokens of the answer, reason of its end.
+    // Text, token limit, prompt tokens, completion tokens, finish reason.
     let cases = [
         ("hello", 3, 2, 3, "length"),
         ("abcd", 10, 1, 10, "stop"),
         ("abcde fgh", 50, 3, 10, "stop"),
     ];
     for (text, limit, prompt_tokens, tokens, reason) in cases {
-        let answer: Value = fixture.complete(&[], &body(text, limit)).await.json().unwrap();
-        assert_eq!(answer["object"], "chat.completion");
-        assert_eq!(answer["choices"][0]["finish_reason"], reason);
-        let content = answer["choices"][0]["message"]["content"].as_str().unwrap();
+        let response: Value = fixture.complete(&[], &body(text, limit)).await.json().unwrap();
+        assert_eq!(response["object"], "chat.completion");
+        assert_eq!(response["choices"][0]["finish_reason"], reason);
+        let content = response["choices"][0]["message"]["content"].as_str().unwrap();
         assert_eq!(content.len(), 4 * tokens);
         let usage = json!({
             "prompt_tokens": prompt_tokens, "completion_tokens": tokens, "total_tokens": prompt_tokens + tokens,
             "prompt_tokens_details": {"cached_tokens": 0},
         });
-        assert_eq!(answer["usage"], usage);
+        assert_eq!(response["usage"], usage);
     }
     fixture.engine.close().await;
 }
@@ -119,15 +121,15 @@
 #[tokio::test]
 async fn complete_streamed() {
     let fixture = Fixture::start(EngineOptions::default()).await;
-    let whole = answer_text(&fixture.complete(&[], &body("same prompt", 12)).await);
-    let other = answer_text(&fixture.complete(&[], &body("same prompt.", 12)).await);
-    assert_ne!(whole, other);
-    let answer = fixture.complete(&[], &streaming(body("same prompt", 12))).await;
-    assert_eq!(answer.headers["content-type"], "text/event-stream");
-    assert!(answer.text().ends_with("data: [DONE]\n\n"));
-    let events = events(&answer.text());
-    assert_eq!(streamed_text(&events), whole);
-    // One event a token, one for the reason, one for the usage.
+    let full_text = completion_text(&fixture.complete(&[], &body("same prompt", 12)).await);
+    let other = completion_text(&fixture.complete(&[], &body("same prompt.", 12)).await);
+    assert_ne!(full_text, other);
+    let response = fixture.complete(&[], &streaming(body("same prompt", 12))).await;
+    assert_eq!(response.headers["content-type"], "text/event-stream");
+    assert!(response.text().ends_with("data: [DONE]\n\n"));
+    let events = events(&response.text());
+    assert_eq!(streamed_text(&events), full_text);
+    // One event per token, one for the finish reason, one for the usage.
     assert_eq!(events.len(), 12 + 2);
     assert_eq!(events[0]["choices"][0]["delta"]["role"], "assistant");
     assert_eq!(events[0]["usage"], Value::Null);
@@ -139,45 +141,48 @@
 
 #[tokio::test]
 async fn priority_order() {
-    // An answer too long to end by itself holds the only slot until the others have come.
+    // A completion that is too long to finish occupies the only slot until the others are queued.
     let options = EngineOptions {
         slots: 1,
         output_tokens: Some(10_000_000),
         ..EngineOptions::default()
     };
     let fixture = Fixture::start(options).await;
-    let holder = fixture
+    let occupant = fixture
         .open(
-            &[("x-request-id", "holder")],
-            &streaming(body("hold", 10_000_000)),
+            &[("x-request-id", "occupant")],
+            &streaming(body("occupy", 10_000_000)),
         )
         .await;
-    let (ended, mut order) = tokio::sync::mpsc::unbounded_channel();
+    let (finished, mut completions) = tokio::sync::mpsc::unbounded_channel();
     for (position, priority) in ["5", "1", "0", "1"].into_iter().enumerate() {
         let client = fixture.client.clone();
         let request = fixture.chat(&[("x-priority", priority)], &body(&format!("q{position}"), 1));
-        let ended = ended.clone();
+        let finished = finished.clone();
         tokio::spawn(async move {
-            let answer = client.send(request).await.unwrap();
-            ended.send((position, answer.status)).unwrap();
+            let response = client.send(request).await.unwrap();
+            finished.send((position, response.status)).unwrap();
         });
         fixture
             .wait_for_load(|load| load.waiting == position as u64 + 1)
             .await;
     }
     assert_eq!(
-        fixture.send(Method::POST, "/streams/holder/cancel").await.status,
+        fixture
+            .send(Method::POST, "/streams/occupant/cancel")
+            .await
+            .status,
         204
     );
     let mut positions = Vec::new();
     for _ in 0..4 {
-        let (position, status) = order.recv().await.unwrap();
+        let (position, status) = completions.recv().await.unwrap();
         assert_eq!(status, 200);
         positions.push(position);
     }
-    // Each answer takes one step, so the answers leave in the order in which the slot was given.
+    // Each completion takes one step, so they finish in the order in which they got the slot.
     assert_eq!(positions, [2, 1, 3, 0]);
-    drop(holder);
+    drop(occupant);
     fixture.engine.close().await;
 }
 
@@ -188,22 +193,22 @@
         ..EngineOptions::default()
     };
     let fixture = Fixture::start(options).await;
-    let whole = answer_text(&fixture.complete(&[], &body("question", 300)).await);
+    let full_text = completion_text(&fixture.complete(&[], &body("question", 300)).await);
     let named = [("x-request-id", "s"), ("x-program-id", "p")];
     let mut stream = fixture.open(&named, &streaming(body("question", 300))).await;
     let (first, _) = read_events(&mut stream, 1).await;
     drop(stream);
     fixture.wait_for_load(|load| load.running == 0).await;
     let received = first.len();
-    let answer = fixture
+    let response = fixture
         .send(Method::GET, &format!("/streams/s?from={received}"))
         .await;
-    let rest = events(&answer.text());
-    assert_eq!(streamed_text(&first) + &streamed_text(&rest), whole);
+    let rest = events(&response.text());
+    assert_eq!(streamed_text(&first) + &streamed_text(&rest), full_text);
     assert_eq!(rest.last().unwrap()["usage"]["completion_tokens"], 300);
-    // A stream that has ended can be read again.
-    let answer = fixture.send(Method::GET, "/streams/s?from=298").await;
-    assert_eq!(streamed_text(&events(&answer.text())), whole[298 * 4..]);
+    // An ended stream can be read again.
+    let response = fixture.send(Method::GET, "/streams/s?from=298").await;
+    assert_eq!(streamed_text(&events(&response.text())), full_text[298 * 4..]);
     assert_eq!(
         fixture.send(Method::GET, "/streams/none?from=0").await.status,
         404
@@ -213,20 +218,20 @@
 
 #[tokio::test]
 async fn stream_close_frees_slot() {
-    // Too long to end by itself before the wait for the free slot does.
+    // Too long to finish before the wait for the free slot times out.
     let options = EngineOptions {
         output_tokens: Some(10_000_000),
         ..EngineOptions::default()
     };
     let fixture = Fixture::start(options).await;
-    let whole = fixture.chat(&[], &body("question", 10_000_000));
+    let unstreamed = fixture.chat(&[], &body("question", 10_000_000));
     let client = fixture.client.clone();
-    let whole = tokio::spawn(async move { client.send(whole).await });
+    let unstreamed = tokio::spawn(async move { client.send(unstreamed).await });
     let streamed = fixture.open(&[], &streaming(body("question", 10_000_000))).await;
     fixture.wait_for_load(|load| load.running == 2).await;
     drop(streamed);
     fixture.wait_for_load(|load| load.running == 1).await;
-    whole.abort();
+    unstreamed.abort();
     fixture.wait_for_load(|load| load.running == 0).await;
     fixture.engine.close().await;
 }
@@ -245,8 +250,8 @@
         409
     );
     assert_eq!(fixture.send(Method::POST, "/streams/s/cancel").await.status, 204);
-    let (_, whole) = read_events(&mut stream, usize::MAX).await;
-    assert!(!whole, "a cancelled answer must not look like a whole one");
+    let (_, complete) = read_events(&mut stream, usize::MAX).await;
+    assert!(!complete, "a cancelled response must not appear complete");
     assert_eq!(fixture.engine.load().running, 0);
     assert_eq!(fixture.send(Method::GET, "/streams/s?from=0").await.status, 410);
     assert_eq!(
@@ -277,7 +282,11 @@
     });
     let hanging = fixture.client.send(fixture.chat(&[], &request));
     tokio::time::timeout(HANG, hanging).await.unwrap_err();
-    assert_eq!(fixture.engine.stats().generated, 0, "neither of them may run");
+    assert_eq!(
+        fixture.engine.stats().generated,
+        0,
+        "neither request may generate tokens"
+    );
 
     fixture.engine.set_faults(EngineFaults {
         cut_next: 1,
@@ -285,8 +294,8 @@
         ..EngineFaults::default()
     });
     let mut stream = fixture.open(&[("x-request-id", "cut")], &request).await;
-    let (events, whole) = read_events(&mut stream, usize::MAX).await;
-    assert_eq!((events.len(), whole), (7, false));
+    let (events, complete) = read_events(&mut stream, usize::MAX).await;
+    assert_eq!((events.len(), complete), (7, false));
 
     fixture.engine.set_faults(EngineFaults {
         cut_next: 1,
@@ -304,7 +313,7 @@
 }
 
 #[tokio::test]
-async fn control_apart() {
+async fn control_requests_on_separate_address() {
     let fixture = Fixture::start(EngineOptions::default()).await;
     for (method, path) in [
         (Method::GET, "/recorded"),
@@ -333,19 +342,19 @@
         .unwrap();
     assert_eq!(stats["generated"], 1);
     let faults = json!({"fail_next": 1});
-    let answer = fixture
+    let response = fixture
         .client
         .send_json(Method::POST, &format!("{control}/faults"), &faults)
         .await
         .unwrap();
-    assert_eq!(answer.status, 204);
+    assert_eq!(response.status, 204);
     assert_eq!(fixture.complete(&[], &body("seen", 1)).await.status, 500);
     let unknown = json!({"fail_nxet": 1});
-    let answer = fixture
+    let response = fixture
         .client
         .send_json(Method::POST, &format!("{control}/faults"), &unknown)
         .await
         .unwrap();
-    assert_eq!(answer.status, 400);
+    assert_eq!(response.status, 400);
     fixture.engine.close().await;
 }
--- a/crates/burdockroad-standins/tests/engine_state_contract.rs
+++ b/crates/burdockroad-standins/tests/engine_state_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the engine stand-in: its prefix cache, its load, and orders to it.
+//! Contract tests of the engine stand-in: prefix cache, load and orders.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use http::Method;
 use serde_json::{Value, json};
 
-use crate::support::{DEADLINE, Fixture, answer_text, body, streaming};
+use crate::support::{DEADLINE, Fixture, body, completion_text, streaming};
 
 #[path = "support/engine.rs"]
 mod support;
@@ -18,16 +18,16 @@
 async fn cache_prefix() {
     let fixture = Fixture::start(EngineOptions::default()).await;
     let program = [("x-program-id", "p1")];
-    let first = answer_text(&fixture.complete(&program, &body("first question", 5)).await);
-    // 14 bytes are 4 tokens; the answer is 5.
+    let first = completion_text(&fixture.complete(&program, &body("first question", 5)).await);
+    // The question of 14 bytes is 4 tokens; the completion is 5 tokens.
     let turn = |question: &str| {
         json!({"model": "m", "max_tokens": 1, "messages": [
             {"role": "user", "content": question}, {"role": "assistant", "content": first},
             {"role": "user", "content": "second"}]})
     };
     let cached = async |request: Value| -> u64 {
-        let answer: Value = fixture.complete(&program, &request).await.json().unwrap();
-        answer["usage"]["prompt_tokens_details"]["cached_tokens"]
+        let response: Value = fixture.complete(&program, &request).await.json().unwrap();
+        response["usage"]["prompt_tokens_details"]["cached_tokens"]
             .as_u64()
             .unwrap()
     };
@@ -55,17 +55,17 @@
             .complete(&[("x-program-id", program)], &body(text, 3))
             .await;
     }
-    let held = |program_id: &str| CachedPrefix {
+    let prefix = |program_id: &str| CachedPrefix {
         program_id: program_id.to_owned(),
         tokens: 4,
     };
-    let answer = fixture.send(Method::GET, "/cache").await;
+    let response = fixture.send(Method::GET, "/cache").await;
     assert_eq!(
-        answer.json::<Vec<CachedPrefix>>().unwrap(),
-        [held("a"), held("c")]
+        response.json::<Vec<CachedPrefix>>().unwrap(),
+        [prefix("a"), prefix("c")]
     );
-    let answer = fixture.send(Method::GET, "/cache/events?since=2").await;
-    let events: Vec<_> = answer.json::<Vec<CacheEvent>>().unwrap();
+    let response = fixture.send(Method::GET, "/cache/events?since=2").await;
+    let events: Vec<_> = response.json::<Vec<CacheEvent>>().unwrap();
     let events: Vec<_> = events
         .iter()
         .map(|event| (event.sequence, event.kind, event.program_id.as_str()))
@@ -84,22 +84,22 @@
 }
 
 #[tokio::test]
-async fn cache_events_late_and_lost() {
-    let late = EngineOptions {
+async fn cache_events_delayed_and_lost() {
+    let delayed = EngineOptions {
         event_lag: Duration::from_hours(1),
         ..EngineOptions::default()
     };
-    let lost = EngineOptions {
+    let all_lost = EngineOptions {
         event_gap_probability: 1.0,
         ..EngineOptions::default()
     };
-    let some = EngineOptions {
+    let some_lost = EngineOptions {
         event_gap_probability: 0.5,
         seed: 7,
         ..EngineOptions::default()
     };
-    // Options, then the least and the most events of 20 that are seen.
-    for (options, least, most) in [(late, 0, 0), (lost, 0, 0), (some, 1, 19)] {
+    // Options, then the minimum and maximum number of the 20 events that are published.
+    for (options, min_events, max_events) in [(delayed, 0, 0), (all_lost, 0, 0), (some_lost, 1, 19)] {
         let fixture = Fixture::start(options).await;
         for number in 0..20 {
             let program = number.to_string();
@@ -107,9 +107,12 @@
                 .complete(&[("x-program-id", &program)], &body("x", 1))
                 .await;
         }
-        let answer = fixture.send(Method::GET, "/cache/events").await;
-        let seen = answer.json::<Vec<CacheEvent>>().unwrap().len();
-        assert!((least..=most).contains(&seen), "{seen} of {least}..={most}");
+        let response = fixture.send(Method::GET, "/cache/events").await;
+        let published = response.json::<Vec<CacheEvent>>().unwrap().len();
+        assert!(
+            (min_events..=max_events).contains(&published),
+            "{published} of {min_events}..={max_events}"
+        );
         fixture.engine.close().await;
     }
 }
@@ -127,20 +130,20 @@
         .await;
     assert_eq!(from.send(Method::GET, "/cache/none/export").await.status, 404);
     let exported: Value = from.send(Method::GET, "/cache/p/export").await.json().unwrap();
-    for (fixture, status, held_tokens) in [(&to, 204, 6), (&small, 507, 0)] {
+    for (fixture, status, cached_tokens) in [(&to, 204, 6), (&small, 507, 0)] {
         let url = fixture.url("/cache/p");
-        let answer = fixture
+        let response = fixture
             .client
             .send_json(Method::PUT, &url, &exported)
             .await
             .unwrap();
-        assert_eq!(answer.status, status);
-        assert_eq!(fixture.engine.load().cache_tokens_used, held_tokens);
+        assert_eq!(response.status, status);
+        assert_eq!(fixture.engine.load().cache_tokens_used, cached_tokens);
     }
-    let answer = to
+    let response = to
         .complete(&[("x-program-id", "p")], &body("a long question", 2))
         .await;
-    let usage = &answer.json::<Value>().unwrap()["usage"];
+    let usage = &response.json::<Value>().unwrap()["usage"];
     assert_eq!(usage["prompt_tokens_details"]["cached_tokens"], 4);
     for fixture in [from, to, small] {
         fixture.engine.close().await;
@@ -194,10 +197,10 @@
         let fixture = Fixture::start(options).await;
         for (order, status) in orders.iter().zip(statuses) {
             let url = fixture.url("/orders");
-            let answer = fixture.client.send_json(Method::POST, &url, order).await.unwrap();
-            assert_eq!(answer.status, status, "{fencing:?} {order:?}");
+            let response = fixture.client.send_json(Method::POST, &url, order).await.unwrap();
+            assert_eq!(response.status, status, "{fencing:?} {order:?}");
         }
-        let done = async {
+        let all_done = async {
             loop {
                 let report: OrdersReport = fixture.send(Method::GET, "/orders").await.json().unwrap();
                 if report.orders.iter().all(|order| order.state == OrderState::Done) {
@@ -206,7 +209,7 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        let report = tokio::time::timeout(DEADLINE, done).await.unwrap();
+        let report = tokio::time::timeout(DEADLINE, all_done).await.unwrap();
         assert_eq!(report.models, models);
         assert_eq!((report.version.as_str(), report.role.as_str()), ("v2", "prefill"));
         assert_eq!(report.highest_fencing_number, 6);
--- a/crates/burdockroad-standins/tests/host_list_contract.rs
+++ b/crates/burdockroad-standins/tests/host_list_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the host list stand-in: the list as JSON, shown after a lag.
+//! Contract tests of the host list stand-in: the JSON format, the lag and faults.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn hosts_published_form() {
+async fn hosts_published_format() {
     let options = HostListOptions {
         hosts: vec![host(1, HostState::Live), host(2, HostState::Leaving)],
         ..HostListOptions::default()
@@ -39,7 +39,7 @@
 async fn hosts_after_lag() {
     let first = vec![host(1, HostState::Live)];
     let second = vec![host(1, HostState::Leaving)];
-    // The lag, and what is shown right after the change.
+    // The lag, and the list visible right after the change.
     let cases = [
         (Duration::ZERO, second.clone()),
         (Duration::from_hours(1), first.clone()),
@@ -53,11 +53,11 @@
         let list = HostListStandin::start(options).await.unwrap();
         let client = HttpClient::new();
         let control = format!("http://{}/hosts", list.control_address());
-        let answer = client.send_json(Method::PUT, &control, &second).await.unwrap();
-        assert_eq!(answer.status, StatusCode::NO_CONTENT);
+        let response = client.send_json(Method::PUT, &control, &second).await.unwrap();
+        assert_eq!(response.status, StatusCode::NO_CONTENT);
         let url = format!("http://{}/hosts", list.address());
-        let shown: Vec<ListedHost> = client.get_json(&url).await.unwrap();
-        assert_eq!(shown, expected, "{lag:?}");
+        let visible: Vec<ListedHost> = client.get_json(&url).await.unwrap();
+        assert_eq!(visible, expected, "{lag:?}");
         list.close().await;
     }
 }
@@ -92,8 +92,8 @@
         (Method::GET, format!("{main}/hosts"), json!(null), 503),
     ];
     for (method, url, body, status) in cases {
-        let answer = client.send_json(method, &url, &body).await.unwrap();
-        assert_eq!(answer.status, status, "{url} {body}");
+        let response = client.send_json(method, &url, &body).await.unwrap();
+        assert_eq!(response.status, status, "{url} {body}");
     }
     list.set_faults(HostListFaults::default());
     let hosts: Vec<ListedHost> = client.get_json(&format!("{main}/hosts")).await.unwrap();
--- a/crates/burdockroad-standins/tests/kv_contract.rs
+++ b/crates/burdockroad-standins/tests/kv_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the key-value stand-in, as etcd's published v3 interface gives it.
+//! Contract tests of the key-value stand-in against the published etcd v3 API.
 
 use burdockroad_proto::{
     etcdserverpb::{
@@ -127,7 +127,7 @@
         ..range("a", &[])
     };
     assert_eq!(code_of(fixture.keys.range(future).await), Code::OutOfRange);
-    // Only the largest value that is allowed took effect.
+    // Only the write of the largest allowed value took effect.
     let header = fixture
         .keys
         .range(range("a", &[]))
@@ -147,7 +147,7 @@
     let lease = LeaseGrantRequest { id: 9, ttl: 600 };
     fixture.leases.lease_grant(lease).await.unwrap();
     fixture.keys.put(put("a", "1")).await.unwrap();
-    // Create revision 2, mod revision 3, version 2, value 2, lease 9.
+    // The key now has create revision 2, mod revision 3, version 2, value 2 and lease 9.
     fixture
         .keys
         .put(PutRequest {
@@ -264,7 +264,7 @@
 }
 
 #[tokio::test]
-async fn lease_life() {
+async fn lease_lifecycle() {
     let mut fixture = start(KvOptions::default()).await;
     for (id, ttl) in [(1, 3), (2, 600)] {
         let granted = fixture
@@ -304,27 +304,27 @@
         watch.next().await.unwrap().unwrap().events[0].r#type(),
         EventType::Put
     );
-    // The lease runs out without anything being done.
+    // The lease expires without any further call.
     assert_eq!(
         watch.next().await.unwrap().unwrap().events[0].r#type(),
         EventType::Delete
     );
     let requests = tokio_stream::iter([1, 2].map(|id| LeaseKeepAliveRequest { id }));
-    let mut answers = fixture
+    let mut responses = fixture
         .leases
         .lease_keep_alive(requests)
         .await
         .unwrap()
         .into_inner();
-    assert_eq!(answers.message().await.unwrap().unwrap().ttl, 0);
-    assert_eq!(answers.message().await.unwrap().unwrap().ttl, 600);
+    assert_eq!(responses.message().await.unwrap().unwrap().ttl, 0);
+    assert_eq!(responses.message().await.unwrap().unwrap().ttl, 600);
     fixture
         .leases
         .lease_revoke(LeaseRevokeRequest { id: 2 })
         .await
         .unwrap();
-    let left = fixture.keys.range(range("a", &[0])).await.unwrap().into_inner();
-    assert_eq!(left.count, 0);
+    let remaining = fixture.keys.range(range("a", &[0])).await.unwrap().into_inner();
+    assert_eq!(remaining.count, 0);
     let unknown = LeaseRevokeRequest { id: 2 };
     assert_eq!(
         code_of(fixture.leases.lease_revoke(unknown).await),
--- a/crates/burdockroad-standins/tests/kv_faults_contract.rs
+++ b/crates/burdockroad-standins/tests/kv_faults_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the key-value stand-in: its faults, its rates, and its control requests.
+//! Contract tests of the key-value stand-in: faults, rate limits and control requests.
 
 use burdockroad_proto::etcdserverpb::{
     LeaseGrantRequest, WatchCreateRequest, WatchProgressRequest, watch_request::RequestUnion,
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn faults_lose_replies() {
     let mut fixture = start(KvOptions::default()).await;
-    // Which replies are lost, and the codes of three writes.
+    // Lost replies, and the codes of three writes.
     let cases = [
         (
             LoseReplies::Next(2),
@@ -64,7 +64,7 @@
                 "{lose_replies:?}"
             );
         }
-        // The writes took effect all the same.
+        // The writes took effect nevertheless.
         let entry = fixture
             .keys
             .range(range("a", &[]))
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn rates_refuse() {
+async fn rates_refuse_excess_calls() {
     let options = KvOptions {
         writes_per_s: 0,
         ..KvOptions::default()
@@ -113,7 +113,7 @@
         code_of(fixture.leases.lease_grant(grant).await),
         Code::ResourceExhausted
     );
-    // A range, a new watch and a request for progress are a read each.
+    // A range, a new watch and a progress request each count as one read.
     let found = fixture.keys.range(range("a", &[])).await.unwrap().into_inner();
     assert_eq!(found.count, 0);
     let create = WatchCreateRequest {
@@ -134,7 +134,7 @@
     let mut fixture = start(KvOptions::default()).await;
     let control = format!("http://{}", fixture.standin.control_address());
     let client = HttpClient::new();
-    // Faults, the status of the control request, and the code of a write after it.
+    // Faults, the status of the control request, and the code of the write after it.
     let cases = [
         (
             json!({"down": true, "delay_ms": 1, "seed": 3}),
@@ -147,11 +147,11 @@
         (json!({"dwon": true}), 400, Code::Ok),
     ];
     for (faults, status, code) in cases {
-        let answer = client
+        let response = client
             .send_json(Method::POST, &format!("{control}/faults"), &faults)
             .await
             .unwrap();
-        assert_eq!(answer.status, status, "{faults}");
+        assert_eq!(response.status, status, "{faults}");
         assert_eq!(code_of(fixture.keys.put(put("a", "1")).await), code, "{faults}");
     }
     let counts: KvCounts = client.get_json(&format!("{control}/counts")).await.unwrap();
--- a/crates/burdockroad-standins/tests/load.rs
+++ b/crates/burdockroad-standins/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load generator: what it sends, when it tries again, and what it refuses to do.
+//! Tests of the load generator: requests, retries and rejected options.
 
 use std::{
     collections::VecDeque,
@@ -18,7 +18,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// Program without pauses, so that tests are short.
+/// Returns options without tool pauses, to keep the tests short.
 fn options(target: SocketAddr) -> LoadOptions {
     LoadOptions {
         targets: vec![target],
@@ -74,12 +74,12 @@
                 (4, 12)
             );
             let latency = account.program_latency;
-            assert!(latency.p50_ms >= 20.0, "two pauses of 10 ms each are part of it");
+            assert!(latency.p50_ms >= 20.0, "the latency includes two pauses of 10 ms");
             assert!(latency.p50_ms <= latency.p95_ms && latency.p99_ms <= latency.max_ms);
             assert_eq!(account.completion_tokens, 4 * 3 * 5);
             assert!(
                 account.cached_tokens > 0,
-                "later turns find the prefix of earlier ones"
+                "later turns reuse the cached prefix of earlier ones"
             );
         }
     }
@@ -97,26 +97,32 @@
     let problem = |kind: &str, ran: &str| {
         format!("{{\"type\": \"urn:burdockroad:problem:{kind}\", \"ran\": \"{ran}\"}}")
     };
-    let answer = "{\"choices\": [{\"message\": {\"content\": \"x\"}}], \"usage\": {\"prompt_tokens\": 1, \"completion_tokens\": 1}}";
-    let created = Scripted::new(200, "{\"id\": \"p-0001-a\"}", None);
-    let whole = Scripted::new(200, answer, None);
-    let cut = Scripted::stream("data: {}\n\n");
-    let busy = Scripted::new(503, &problem("overloaded", "no"), Some(0));
-    let over_budget = Scripted::new(402, &problem("over-budget", "no"), None);
-    let ran = Scripted::new(502, &problem("endpoint-failed", "yes"), Some(0));
-    // Answers to one program of three calls, then completed, refusals, broken tries and retries.
+    let completion = "{\"choices\": [{\"message\": {\"content\": \"x\"}}], \"usage\": {\"prompt_tokens\": 1, \"completion_tokens\": 1}}";
+    let created = ScriptedResponse::new(200, "{\"id\": \"p-0001-a\"}", None);
+    let complete = ScriptedResponse::new(200, completion, None);
+    let cut = ScriptedResponse::stream("data: {}\n\n");
+    let busy = ScriptedResponse::new(503, &problem("overloaded", "no"), Some(0));
+    let over_budget = ScriptedResponse::new(402, &problem("over-budget", "no"), None);
+    let ran = ScriptedResponse::new(502, &problem("endpoint-failed", "yes"), Some(0));
+    // Responses to one program of three calls, then completed, refusals, broken attempts and retries.
     let cases = [
-        (vec![&created, &whole, &whole, &whole], 1, vec![], 0, 0),
+        (vec![&created, &complete, &complete, &complete], 1, vec![], 0, 0),
         (
-            vec![&busy, &created, &busy, &busy, &whole, &whole, &whole],
+            vec![&busy, &created, &busy, &busy, &complete, &complete, &complete],
             1,
             vec![("overloaded", 3)],
             0,
             3,
         ),
-        (vec![&created, &cut, &whole, &whole, &whole], 1, vec![], 1, 1),
         (
-            vec![&created, &whole, &over_budget],
+            vec![&created, &cut, &complete, &complete, &complete],
+            1,
+            vec![],
+            1,
+            1,
+        ),
+        (
+            vec![&created, &complete, &over_budget],
             0,
             vec![("over-budget", 1)],
             0,
@@ -131,8 +137,8 @@
             3,
         ),
     ];
-    for (answers, completed, refusals, broken, retries) in cases {
-        let server = ScriptedServer::start(answers.into_iter().cloned().collect()).await;
+    for (responses, completed, refusals, broken, retries) in cases {
+        let server = ScriptedServer::start(responses.into_iter().cloned().collect()).await;
         let options = LoadOptions {
             programs: 1,
             retries: 3,
@@ -153,15 +159,15 @@
             .collect();
         assert_eq!(account.refusals, refusals);
         assert_eq!((account.broken, account.retries), (broken, retries), "{account}");
-        assert_eq!(server.left(), 0, "every answer was asked for");
+        assert_eq!(server.remaining(), 0, "every response must be requested");
         server.check_headers();
     }
 }
 
 #[tokio::test]
-async fn run_paced() {
+async fn run_open_loop() {
     let engine = EngineStandin::start(EngineOptions::default()).await.unwrap();
-    let paced = LoadAccount {
+    let open_loop = LoadAccount {
         programs_per_s: 200.0,
         ..account("a", 1)
     };
@@ -172,7 +178,7 @@
     for _ in 0..2 {
         let options = LoadOptions {
             direct: true,
-            accounts: vec![paced.clone()],
+            accounts: vec![open_loop.clone()],
             programs: 1000,
             duration: Duration::from_millis(300),
             ..options(engine.address())
@@ -180,68 +186,68 @@
         let report = load::run(options).await.unwrap();
         counts.push(count(&report.accounts[0]));
     }
-    // What is due follows from the seed alone, whether or not it could be started.
+    // The number of due programs depends only on the seed, whether or not they could be started.
     assert_eq!(counts[0], counts[1]);
     assert!(counts[0] > 0);
     engine.close().await;
 }
 
 #[tokio::test]
-async fn check_table() {
+async fn validate_table() {
     let target: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let elsewhere: SocketAddr = "192.0.2.1:80".parse().unwrap();
-    let good = options(target);
+    let non_loopback: SocketAddr = "192.0.2.1:80".parse().unwrap();
+    let valid = options(target);
     let cases = [
         (
             LoadOptions {
-                targets: vec![target, elsewhere],
-                ..good.clone()
+                targets: vec![target, non_loopback],
+                ..valid.clone()
             },
             "not a loopback",
         ),
         (
             LoadOptions {
                 targets: vec![],
-                ..good.clone()
+                ..valid.clone()
             },
             "no target",
         ),
         (
             LoadOptions {
                 accounts: vec![],
-                ..good.clone()
+                ..valid.clone()
             },
             "no account",
         ),
         (
             LoadOptions {
                 accounts: vec![account("a", 0)],
-                ..good.clone()
+                ..valid.clone()
             },
             "concurrency",
         ),
         (
             LoadOptions {
                 accounts: vec![account("a", 5000)],
-                ..good.clone()
+                ..valid.clone()
             },
             "2048",
         ),
         (
             LoadOptions {
                 programs: 100_001,
-                ..good.clone()
+                ..valid.clone()
             },
             "100000",
         ),
         (
             LoadOptions {
                 duration: Duration::from_mins(11),
-                ..good.clone()
+                ..valid.clone()
             },
             "600 s",
         ),
-        (LoadOptions { turns: 0, ..good }, "turns"),
+        (LoadOptions { turns: 0, ..valid }, "turns"),
     ];
     for (options, reason) in cases {
         let error = load::run(options).await.unwrap_err().to_string();
@@ -249,16 +255,16 @@
     }
 }
 
-/// One answer of a scripted server.
+/// A response of the scripted server.
 #[derive(Clone, Debug)]
-struct Scripted {
+struct ScriptedResponse {
     status: u16,
     body: String,
     retry_after: Option<u64>,
     media_type: &'static str,
 }
 
-impl Scripted {
+impl ScriptedResponse {
     fn new(status: u16, body: &str, retry_after: Option<u64>) -> Self {
         Self {
             status,
@@ -276,32 +282,32 @@
     }
 }
 
-/// A server that gives its answers in order, and keeps the headers that it was sent.
+/// A server that sends its responses in order and records the request headers.
 struct ScriptedServer {
     address: SocketAddr,
-    answers: Arc<Mutex<VecDeque<Scripted>>>,
+    responses: Arc<Mutex<VecDeque<ScriptedResponse>>>,
     headers: Arc<Mutex<Vec<(String, HeaderMap)>>>,
 }
 
 impl ScriptedServer {
-    async fn start(answers: VecDeque<Scripted>) -> Self {
+    async fn start(responses: VecDeque<ScriptedResponse>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = Self {
             address: listener.local_addr().unwrap(),
-            answers: Arc::new(Mutex::new(answers)),
+            responses: Arc::new(Mutex::new(responses)),
             headers: Arc::default(),
         };
-        let (answers, headers) = (Arc::clone(&server.answers), Arc::clone(&server.headers));
+        let (responses, headers) = (Arc::clone(&server.responses), Arc::clone(&server.headers));
         tokio::spawn(async move {
             while let Ok((socket, _)) = listener.accept().await {
-                let (answers, headers) = (Arc::clone(&answers), Arc::clone(&headers));
+                let (responses, headers) = (Arc::clone(&responses), Arc::clone(&headers));
                 let service = service_fn(move |request: Request<Incoming>| {
-                    let (answers, headers) = (Arc::clone(&answers), Arc::clone(&headers));
+                    let (responses, headers) = (Arc::clone(&responses), Arc::clone(&headers));
                     async move {
                         let path = request.uri().path().to_owned();
                         headers.lock().unwrap().push((path, request.headers().clone()));
                         request.collect().await?;
-                        Ok::<_, hyper::Error>(respond(&answers.lock().unwrap().pop_front().unwrap()))
+                        Ok::<_, hyper::Error>(respond(&responses.lock().unwrap().pop_front().unwrap()))
                     }
                 });
                 tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(socket), service));
@@ -310,11 +316,11 @@
         server
     }
 
-    fn left(&self) -> usize {
-        self.answers.lock().unwrap().len()
+    fn remaining(&self) -> usize {
+        self.responses.lock().unwrap().len()
     }
 
-    /// Checks that each call carried its key, and its place in the program.
+    /// Checks that each call carried its key, its program id and its call number.
     fn check_headers(&self) {
         let mut last_number = 0;
         for (path, headers) in self.headers.lock().unwrap().iter() {
@@ -329,13 +335,13 @@
     }
 }
 
-fn respond(answer: &Scripted) -> Response<Full<Bytes>> {
-    let mut response = Response::builder().status(answer.status);
-    response = response.header(header::CONTENT_TYPE, answer.media_type);
-    if let Some(seconds) = answer.retry_after {
+fn respond(scripted: &ScriptedResponse) -> Response<Full<Bytes>> {
+    let mut response = Response::builder().status(scripted.status);
+    response = response.header(header::CONTENT_TYPE, scripted.media_type);
+    if let Some(seconds) = scripted.retry_after {
         response = response.header(header::RETRY_AFTER, seconds);
     }
     response
-        .body(Full::new(Bytes::from(answer.body.clone())))
+        .body(Full::new(Bytes::from(scripted.body.clone())))
         .unwrap()
 }
--- a/crates/burdockroad-standins/tests/processes.rs
+++ b/crates/burdockroad-standins/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes of their own: how they start, pause, and end.
+//! Tests of the stand-ins as separate processes: start, pause, resume and end.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use http::Method;
 use serde_json::{Value, json};
 
-/// Longest wait for something that has to come; a wait that ends by it is a failure.
+/// Timeout for expected events; reaching it fails the test.
 const DEADLINE: Duration = Duration::from_secs(20);
-/// Wait after which a paused process counts as silent.
+/// Time without a response after which a process counts as paused.
 const SILENCE: Duration = Duration::from_millis(200);
 
 const BINARY: &str = "burdockroad-standin";
@@ -50,7 +50,7 @@
 
 #[tokio::test]
 async fn spawn_refusal_table() {
-    // Arguments, and what the error says.
+    // Arguments, and text that the error contains.
     let cases: [(&[&str], &str); 6] = [
         (&[], "KIND is missing"),
         (&["kvv"], "unknown kind"),
@@ -82,17 +82,17 @@
     tokio::pin!(request);
     tokio::time::timeout(SILENCE, &mut request).await.unwrap_err();
     process.resume().unwrap();
-    let answer = tokio::time::timeout(DEADLINE, request).await.unwrap().unwrap();
-    assert_eq!(answer["execution"], 2);
+    let response = tokio::time::timeout(DEADLINE, request).await.unwrap().unwrap();
+    assert_eq!(response["execution"], 2);
     process.kill().await.unwrap();
     client.get_json::<Value>(&url).await.unwrap_err();
-    // A new process takes the address of the one that was killed.
+    // A new process can listen on the address of the killed one.
     let listen = address.to_string();
     let restarted = Process::spawn(BINARY, &["service", "--listen", &listen])
         .await
         .unwrap();
-    let answer = client.send_json(Method::POST, &url, &json!({})).await.unwrap();
-    assert_eq!(answer.json::<Value>().unwrap()["execution"], 1);
+    let response = client.send_json(Method::POST, &url, &json!({})).await.unwrap();
+    assert_eq!(response.json::<Value>().unwrap()["execution"], 1);
     restarted.close().await;
 }
 
--- a/crates/burdockroad-standins/tests/proxy_contract.rs
+++ b/crates/burdockroad-standins/tests/proxy_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the proxy: what passes, what vanishes, and when a connection is cut.
+//! Contract tests of the proxy: forwarded bytes, dropped bytes and cut connections.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Longest wait for something that has to come; a wait that ends by it is a failure.
+/// Timeout for expected events; reaching it fails the test.
 const DEADLINE: Duration = Duration::from_secs(20);
-/// Wait after which bytes that must not arrive count as vanished.
+/// Time without any bytes after which a connection counts as silent.
 const SILENCE: Duration = Duration::from_millis(200);
 
 const DROP_FORWARD: ProxyFaults = ProxyFaults {
@@ -32,22 +32,22 @@
     cut_open: false,
 };
 
-/// What an end of a connection reads.
+/// Outcome of a read at one end of a connection.
 #[derive(Debug, PartialEq, Eq)]
-enum Read {
+enum ReadOutcome {
     Bytes(Vec<u8>),
-    End,
-    Nothing,
+    Closed,
+    TimedOut,
 }
 
-/// A connection through the proxy, with both its ends.
-struct Pair {
+/// A connection through the proxy, with both ends.
+struct ProxiedConnection {
     proxy: ProxyStandin,
     client: TcpStream,
     server: TcpStream,
 }
 
-impl Pair {
+impl ProxiedConnection {
     async fn connect() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let options = ProxyOptions::new(listener.local_addr().unwrap());
@@ -71,135 +71,146 @@
     }
 }
 
-async fn read(stream: &mut TcpStream, longest: Duration) -> Read {
+async fn read(stream: &mut TcpStream, timeout: Duration) -> ReadOutcome {
     let mut buffer = [0; 64];
-    match tokio::time::timeout(longest, stream.read(&mut buffer)).await {
-        Ok(Ok(0) | Err(_)) => Read::End,
-        Ok(Ok(length)) => Read::Bytes(buffer[..length].to_vec()),
-        Err(_elapsed) => Read::Nothing,
+    match tokio::time::timeout(timeout, stream.read(&mut buffer)).await {
+        Ok(Ok(0) | Err(_)) => ReadOutcome::Closed,
+        Ok(Ok(length)) => ReadOutcome::Bytes(buffer[..length].to_vec()),
+        Err(_elapsed) => ReadOutcome::TimedOut,
     }
 }
 
 #[tokio::test]
 async fn pass_both_ways() {
-    let mut pair = Pair::connect().await;
+    let mut connection = ProxiedConnection::connect().await;
     for delay_ms in [0, 20] {
-        pair.proxy.set_faults(ProxyFaults {
+        connection.proxy.set_faults(ProxyFaults {
             delay_ms,
             ..ProxyFaults::default()
         });
-        pair.client.write_all(b"question").await.unwrap();
+        connection.client.write_all(b"question").await.unwrap();
         assert_eq!(
-            read(&mut pair.server, DEADLINE).await,
-            Read::Bytes(b"question".to_vec())
+            read(&mut connection.server, DEADLINE).await,
+            ReadOutcome::Bytes(b"question".to_vec())
         );
-        pair.server.write_all(b"answer").await.unwrap();
+        connection.server.write_all(b"answer").await.unwrap();
         assert_eq!(
-            read(&mut pair.client, DEADLINE).await,
-            Read::Bytes(b"answer".to_vec())
+            read(&mut connection.client, DEADLINE).await,
+            ReadOutcome::Bytes(b"answer".to_vec())
         );
     }
-    pair.client.shutdown().await.unwrap();
-    assert_eq!(read(&mut pair.server, DEADLINE).await, Read::End);
-    pair.server.write_all(b"late").await.unwrap();
+    connection.client.shutdown().await.unwrap();
+    assert_eq!(read(&mut connection.server, DEADLINE).await, ReadOutcome::Closed);
+    connection.server.write_all(b"late").await.unwrap();
     assert_eq!(
-        read(&mut pair.client, DEADLINE).await,
-        Read::Bytes(b"late".to_vec())
+        read(&mut connection.client, DEADLINE).await,
+        ReadOutcome::Bytes(b"late".to_vec())
     );
-    let counts = pair.proxy.counts();
+    let counts = connection.proxy.counts();
     assert_eq!(
         (counts.connections, counts.forward_bytes, counts.backward_bytes),
         (1, 16, 16)
     );
-    pair.proxy.close().await;
+    connection.proxy.close().await;
 }
 
 #[tokio::test]
 async fn drop_one_way() {
     for faults in [DROP_FORWARD, DROP_BACKWARD] {
-        let mut pair = Pair::connect().await;
-        pair.proxy.set_faults(faults);
-        pair.client.write_all(b"forward").await.unwrap();
-        pair.server.write_all(b"backward").await.unwrap();
+        let mut connection = ProxiedConnection::connect().await;
+        connection.proxy.set_faults(faults);
+        connection.client.write_all(b"forward").await.unwrap();
+        connection.server.write_all(b"backward").await.unwrap();
         let dropped = if faults == DROP_FORWARD { (7, 0) } else { (0, 8) };
         let total = |counts: ProxyCounts| (counts.forward_dropped_bytes, counts.backward_dropped_bytes);
-        pair.wait_for_counts(|counts| total(counts) == dropped).await;
-        let (lost, passed, bytes) = if faults == DROP_FORWARD {
-            (&mut pair.server, &mut pair.client, b"backward".to_vec())
+        connection
+            .wait_for_counts(|counts| total(counts) == dropped)
+            .await;
+        let (dropping, passing, bytes) = if faults == DROP_FORWARD {
+            (
+                &mut connection.server,
+                &mut connection.client,
+                b"backward".to_vec(),
+            )
         } else {
-            (&mut pair.client, &mut pair.server, b"forward".to_vec())
+            (
+                &mut connection.client,
+                &mut connection.server,
+                b"forward".to_vec(),
+            )
         };
-        assert_eq!(read(passed, DEADLINE).await, Read::Bytes(bytes));
+        assert_eq!(read(passing, DEADLINE).await, ReadOutcome::Bytes(bytes));
         assert_eq!(
-            read(lost, SILENCE).await,
-            Read::Nothing,
-            "the connection stays open"
+            read(dropping, SILENCE).await,
+            ReadOutcome::TimedOut,
+            "the connection must stay open"
         );
-        // A stream with a hole is never delivered.
-        pair.proxy.set_faults(ProxyFaults::default());
-        assert_eq!(read(lost, DEADLINE).await, Read::End);
-        pair.proxy.close().await;
+        // A stream with a gap must never be delivered.
+        connection.proxy.set_faults(ProxyFaults::default());
+        assert_eq!(read(dropping, DEADLINE).await, ReadOutcome::Closed);
+        connection.proxy.close().await;
     }
 }
 
 #[tokio::test]
-async fn drop_then_pass_under_way() {
-    let mut pair = Pair::connect().await;
-    pair.proxy.set_faults(ProxyFaults {
+async fn drop_then_pass_with_bytes_in_flight() {
+    let mut connection = ProxiedConnection::connect().await;
+    connection.proxy.set_faults(ProxyFaults {
         delay_ms: 200,
         ..DROP_FORWARD
     });
-    pair.client.write_all(b"lost").await.unwrap();
-    pair.wait_for_counts(|counts| counts.forward_dropped_bytes == 4)
+    connection.client.write_all(b"lost").await.unwrap();
+    connection
+        .wait_for_counts(|counts| counts.forward_dropped_bytes == 4)
         .await;
-    // These bytes are under way when the direction passes again, behind the ones that are gone.
-    pair.client.write_all(b"behind").await.unwrap();
+    // These bytes are in flight when the direction passes again, after the bytes that were dropped.
+    connection.client.write_all(b"behind").await.unwrap();
     tokio::time::sleep(Duration::from_millis(50)).await;
-    pair.proxy.set_faults(ProxyFaults::default());
-    assert_eq!(read(&mut pair.server, DEADLINE).await, Read::End);
-    pair.proxy.close().await;
+    connection.proxy.set_faults(ProxyFaults::default());
+    assert_eq!(read(&mut connection.server, DEADLINE).await, ReadOutcome::Closed);
+    connection.proxy.close().await;
 }
 
 #[tokio::test]
 async fn drop_end_of_stream() {
-    let mut pair = Pair::connect().await;
-    pair.proxy.set_faults(DROP_FORWARD);
-    pair.client.shutdown().await.unwrap();
-    assert_eq!(read(&mut pair.server, SILENCE).await, Read::Nothing);
-    pair.proxy.set_faults(ProxyFaults::default());
-    assert_eq!(read(&mut pair.server, DEADLINE).await, Read::End);
-    pair.proxy.close().await;
+    let mut connection = ProxiedConnection::connect().await;
+    connection.proxy.set_faults(DROP_FORWARD);
+    connection.client.shutdown().await.unwrap();
+    assert_eq!(read(&mut connection.server, SILENCE).await, ReadOutcome::TimedOut);
+    connection.proxy.set_faults(ProxyFaults::default());
+    assert_eq!(read(&mut connection.server, DEADLINE).await, ReadOutcome::Closed);
+    connection.proxy.close().await;
 }
 
 #[tokio::test]
 async fn refuse_new_connections() {
-    let mut pair = Pair::connect().await;
-    pair.proxy.set_faults(ProxyFaults {
+    let mut connection = ProxiedConnection::connect().await;
+    connection.proxy.set_faults(ProxyFaults {
         forward: Forward::Refuse,
         ..ProxyFaults::default()
     });
-    let mut refused = TcpStream::connect(pair.proxy.address()).await.unwrap();
-    assert_eq!(read(&mut refused, DEADLINE).await, Read::End);
-    pair.client.write_all(b"open").await.unwrap();
+    let mut refused = TcpStream::connect(connection.proxy.address()).await.unwrap();
+    assert_eq!(read(&mut refused, DEADLINE).await, ReadOutcome::Closed);
+    connection.client.write_all(b"open").await.unwrap();
     assert_eq!(
-        read(&mut pair.server, DEADLINE).await,
-        Read::Bytes(b"open".to_vec())
+        read(&mut connection.server, DEADLINE).await,
+        ReadOutcome::Bytes(b"open".to_vec())
     );
-    let counts = pair.proxy.counts();
+    let counts = connection.proxy.counts();
     assert_eq!((counts.connections, counts.refused), (1, 1));
-    pair.proxy.close().await;
+    connection.proxy.close().await;
 }
 
 #[tokio::test]
 async fn cut_open_connections() {
-    let mut pair = Pair::connect().await;
-    pair.proxy.set_faults(ProxyFaults {
+    let mut connection = ProxiedConnection::connect().await;
+    connection.proxy.set_faults(ProxyFaults {
         cut_open: true,
         ..ProxyFaults::default()
     });
-    assert_eq!(read(&mut pair.client, DEADLINE).await, Read::End);
-    assert_eq!(read(&mut pair.server, DEADLINE).await, Read::End);
-    pair.proxy.close().await;
+    assert_eq!(read(&mut connection.client, DEADLINE).await, ReadOutcome::Closed);
+    assert_eq!(read(&mut connection.server, DEADLINE).await, ReadOutcome::Closed);
+    connection.proxy.close().await;
 }
 
 #[tokio::test]
@@ -210,14 +221,14 @@
         .unwrap();
     let client = HttpClient::new();
     let control = format!("http://{}", proxy.control_address());
-    let answer: Value = client
+    let response: Value = client
         .get_json(&format!("http://{}/", proxy.address()))
         .await
         .unwrap();
-    assert_eq!(answer["execution"], 1);
+    assert_eq!(response["execution"], 1);
     let counts: ProxyCounts = client.get_json(&format!("{control}/counts")).await.unwrap();
     assert!(counts.forward_bytes > 0 && counts.backward_bytes > 0);
-    // Faults and the status of the control request.
+    // Faults and the expected status of the control request.
     let cases = [
         (
             json!({"forward": "drop", "backward": "drop", "delay_ms": 1, "cut_open": true}),
@@ -229,8 +240,8 @@
     ];
     for (faults, status) in cases {
         let url = format!("{control}/faults");
-        let answer = client.send_json(Method::POST, &url, &faults).await.unwrap();
-        assert_eq!(answer.status, status, "{faults}");
+        let response = client.send_json(Method::POST, &url, &faults).await.unwrap();
+        assert_eq!(response.status, status, "{faults}");
     }
     proxy.close().await;
     service.close().await;
--- a/crates/burdockroad-standins/tests/service_contract.rs
+++ b/crates/burdockroad-standins/tests/service_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the service stand-in: what is executed, what is recorded, and what fails.
+//! Contract tests of the service stand-in: execution, recording and faults.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 use http::{HeaderValue, Method, StatusCode};
 use serde_json::{Value, json};
 
-/// Longest wait for something that has to come; a wait that ends by it is a failure.
+/// Timeout for expected events; reaching it fails the test.
 const DEADLINE: Duration = Duration::from_secs(20);
-/// Wait after which a request that must never be answered counts as hanging.
+/// Time without a response after which a request counts as hanging.
 const HANG: Duration = Duration::from_millis(300);
 
-/// What the caller of a request sees.
+/// Outcome of a request, as observed by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Seen {
-    Answered,
+enum Outcome {
+    Succeeded,
     Failed,
     Cut,
-    Nothing,
+    TimedOut,
 }
 
 #[tokio::test]
@@ -40,8 +40,8 @@
         let mut request = http_client::request(method.clone(), &url, Bytes::from(*body)).unwrap();
         let id = HeaderValue::from_str(&format!("r{number}")).unwrap();
         request.headers_mut().insert("x-request-id", id);
-        let answer = client.send(request).await.unwrap();
-        assert_eq!(answer.status, StatusCode::OK);
+        let response = client.send(request).await.unwrap();
+        assert_eq!(response.status, StatusCode::OK);
         let expected = ServiceResponse {
             execution: number as u64 + 1,
             method: method.to_string(),
@@ -49,7 +49,7 @@
             request_id: Some(format!("r{number}")),
             padding: String::new(),
         };
-        assert_eq!(answer.json::<ServiceResponse>().unwrap(), expected);
+        assert_eq!(response.json::<ServiceResponse>().unwrap(), expected);
     }
     let url = format!("http://{}/recorded", service.control_address());
     let recorded: Vec<ServiceRequest> = client.get_json(&url).await.unwrap();
@@ -69,22 +69,26 @@
     let service = ServiceStandin::start(ServiceOptions::default()).await.unwrap();
     let client = HttpClient::new();
     let control = format!("http://{}/faults", service.control_address());
-    // Faults, what the caller sees, and whether the request was executed.
+    // Faults, the outcome for the caller, and whether the request was executed.
     let cases = [
-        (json!({}), Seen::Answered, true),
-        (json!({"fail_next": 1}), Seen::Failed, false),
-        (json!({"hang_next": 1}), Seen::Nothing, true),
-        (json!({"cut_next": 1}), Seen::Cut, true),
-        (json!({"cut_probability": 1.0}), Seen::Cut, true),
-        (json!({"fail_probability": 1.0}), Seen::Failed, false),
-        (json!({"delay_ms": 5}), Seen::Answered, true),
+        (json!({}), Outcome::Succeeded, true),
+        (json!({"fail_next": 1}), Outcome::Failed, false),
+        (json!({"hang_next": 1}), Outcome::TimedOut, true),
+        (json!({"cut_next": 1}), Outcome::Cut, true),
+        (json!({"cut_probability": 1.0}), Outcome::Cut, true),
+        (json!({"fail_probability": 1.0}), Outcome::Failed, false),
+        (json!({"delay_ms": 5}), Outcome::Succeeded, true),
     ];
     for (faults, expected, executed) in cases {
-        let answer = client.send_json(Method::POST, &control, &faults).await.unwrap();
-        assert_eq!(answer.status, StatusCode::NO_CONTENT);
+        let response = client.send_json(Method::POST, &control, &faults).await.unwrap();
+        assert_eq!(response.status, StatusCode::NO_CONTENT);
         let before = service.executions();
-        let longest = if expected == Seen::Nothing { HANG } else { DEADLINE };
-        assert_eq!(call(&client, &service, longest).await, expected, "{faults}");
+        let timeout = if expected == Outcome::TimedOut {
+            HANG
+        } else {
+            DEADLINE
+        };
+        assert_eq!(call(&client, &service, timeout).await, expected, "{faults}");
         assert_eq!(service.executions() - before, u64::from(executed), "{faults}");
         let last = service.recorded().pop().unwrap();
         assert_eq!(last.execution.is_some(), executed, "{faults}");
@@ -94,13 +98,13 @@
         ..ServiceFaults::default()
     });
     let url = format!("http://{}/", service.address());
-    let answer: ServiceResponse = client.get_json(&url).await.unwrap();
-    assert_eq!(answer.padding.len(), 1000);
+    let response: ServiceResponse = client.get_json(&url).await.unwrap();
+    assert_eq!(response.padding.len(), 1000);
     service.close().await;
 }
 
 #[tokio::test]
-async fn execute_after_caller_left() {
+async fn execute_after_caller_disconnects() {
     let service = ServiceStandin::start(ServiceOptions::default()).await.unwrap();
     service.set_faults(ServiceFaults {
         delay_ms: 500,
@@ -109,12 +113,12 @@
     let url = format!("http://{}/book", service.address());
     let request = http_client::request(Method::POST, &url, Bytes::new()).unwrap();
     let caller = tokio::spawn(async move { HttpClient::new().send(request).await });
-    let taken_in = async {
+    let recorded = async {
         while service.recorded().is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(DEADLINE, taken_in).await.unwrap();
+    tokio::time::timeout(DEADLINE, recorded).await.unwrap();
     caller.abort();
     let executed = async {
         while service.executions() == 0 {
@@ -139,13 +143,13 @@
     service.close().await;
 }
 
-async fn call(client: &HttpClient, service: &ServiceStandin, longest: Duration) -> Seen {
+async fn call(client: &HttpClient, service: &ServiceStandin, timeout: Duration) -> Outcome {
     let url = format!("http://{}/book", service.address());
     let request = http_client::request(Method::POST, &url, Bytes::new()).unwrap();
-    match tokio::time::timeout(longest, client.send(request)).await {
-        Ok(Ok(answer)) if answer.status.is_success() => Seen::Answered,
-        Ok(Ok(_)) => Seen::Failed,
-        Ok(Err(_)) => Seen::Cut,
-        Err(_elapsed) => Seen::Nothing,
+    match tokio::time::timeout(timeout, client.send(request)).await {
+        Ok(Ok(response)) if response.status.is_success() => Outcome::Succeeded,
+        Ok(Ok(_)) => Outcome::Failed,
+        Ok(Err(_)) => Outcome::Cut,
+        Err(_elapsed) => Outcome::TimedOut,
     }
 }
--- a/crates/burdockroad-standins/tests/support/engine.rs
+++ b/crates/burdockroad-standins/tests/support/engine.rs
@@ -1,4 +1,4 @@
-//! An engine stand-in and a client of it.
+//! An engine stand-in with a client.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use http_body_util::Full;
 use serde_json::{Value, json};
 
-/// Longest wait for something that has to come; a wait that ends by it is a failure.
+/// Timeout for expected events; reaching it fails the test.
 pub(crate) const DEADLINE: Duration = Duration::from_secs(20);
 
-/// An engine and a client of it.
+/// An engine with a client.
 pub(crate) struct Fixture {
     pub(crate) engine: EngineStandin,
     pub(crate) client: HttpClient,
@@ -75,9 +75,9 @@
     body
 }
 
-pub(crate) fn answer_text(answer: &HttpResponse) -> String {
-    let answer: Value = answer.json().unwrap();
-    answer["choices"][0]["message"]["content"]
+pub(crate) fn completion_text(response: &HttpResponse) -> String {
+    let response: Value = response.json().unwrap();
+    response["choices"][0]["message"]["content"]
         .as_str()
         .unwrap()
         .to_owned()
--- a/crates/burdockroad-standins/tests/support/kv.rs
+++ b/crates/burdockroad-standins/tests/support/kv.rs
@@ -1,4 +1,4 @@
-//! A key-value stand-in and clients of it.
+//! A key-value stand-in with clients.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Code, Streaming, transport::Channel};
 
-/// Longest wait for something that has to come; a wait that ends by it is a failure.
+/// Timeout for expected events; reaching it fails the test.
 const DEADLINE: Duration = Duration::from_secs(20);
 
-/// A stand-in and clients of its services.
+/// A stand-in with a client for each of its services.
 pub(crate) struct Fixture {
     pub(crate) standin: KvStandin,
     pub(crate) keys: KvClient<Channel>,
--- a/crates/burdockroad-standins/tests/weight_store_contract.rs
+++ b/crates/burdockroad-standins/tests/weight_store_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the weight store stand-in: weights within the rate, a refusal over it.
+//! Contract tests of the weight store stand-in: requests within and over the rate limit.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use bytes::Bytes;
 use http::Method;
 
-/// Longest wait for something that has to come; a wait that ends by it is a failure.
+/// Timeout for expected events; reaching it fails the test.
 const DEADLINE: Duration = Duration::from_secs(20);
 
 #[tokio::test]
 async fn weights_table() {
-    // Rate, path, status, size of the answer, `Retry-After`.
+    // Rate, path, status, body size, `Retry-After`.
     let cases = [
         (1000, "/weights/m", 200, Some(100), None),
         (0, "/weights/m", 429, None, Some("1")),
@@ -31,12 +31,12 @@
         let store = WeightStoreStandin::start(options).await.unwrap();
         let url = format!("http://{}{path}", store.address());
         let request = http_client::request(Method::GET, &url, Bytes::new()).unwrap();
-        let answer = HttpClient::new().send(request).await.unwrap();
-        assert_eq!(answer.status, status, "{path}");
+        let response = HttpClient::new().send(request).await.unwrap();
+        assert_eq!(response.status, status, "{path}");
         if let Some(size) = size {
-            assert_eq!(answer.body.len(), size);
+            assert_eq!(response.body.len(), size);
         }
-        let header = answer.headers.get("retry-after");
+        let header = response.headers.get("retry-after");
         assert_eq!(header.map(|value| value.to_str().unwrap()), retry_after);
         let expected = WeightStoreCounts {
             served: u64::from(status == 200),
@@ -67,7 +67,7 @@
         };
         client.send_json(Method::POST, &url, &order).await.unwrap();
     }
-    let done = async {
+    let all_done = async {
         loop {
             let report: OrdersReport = client.get_json(&url).await.unwrap();
             if report.orders.iter().all(|order| order.state == OrderState::Done) {
@@ -76,7 +76,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let report = tokio::time::timeout(DEADLINE, done).await.unwrap();
+    let report = tokio::time::timeout(DEADLINE, all_done).await.unwrap();
     assert_eq!(report.models, ["c"]);
     assert_eq!(store.counts().served, 3);
     engine.close().await;
