--- a/crates/burdockroad-standins/src/engine.rs
+++ b/crates/burdockroad-standins/src/engine.rs
@@ -11,7 +11,7 @@
 //! | `GET /v1/models` | lists the loaded models |
 //! | `POST /streams/{id}/cancel` | cancels a stream permanently |
 //! | `GET /streams/{id}?from=N` | sends a stream from token N and detaches its previous reader |
-//! | `GET /cache`, `DELETE /cache/{program}` | lists the cached prefixes, frees the one of a program |
+//! | `GET /cache`, `DELETE /cache/{program}` | lists the cached prefixes, frees a program's prefix |
 //! | `GET /cache/{program}/export`, `PUT /cache/{program}` | exports and imports a prefix |
 //! | `GET /cache/events?since=N` | returns cache events, delayed and with gaps |
 //! | `GET /load` | returns the load, delayed |
--- a/crates/burdockroad-standins/src/engine/cache/tests.rs
+++ b/crates/burdockroad-standins/src/engine/cache/tests.rs
@@ -44,9 +44,9 @@
         ),
         (&[Free("a"), LookUp("a")], &[]),
     ];
-    for (operations, expected) in cases {
+    for (uses, expected) in cases {
         let mut cache = Cache::new(8, EventLog::new(Duration::ZERO, 0.0, 0));
-        for operation in *operations {
+        for operation in *uses {
             apply(&mut cache, *operation);
         }
         let cached: Vec<_> = cache
@@ -54,8 +54,8 @@
             .into_iter()
             .map(|program| program.program_id)
             .collect();
-        assert_eq!(cached, *expected, "{operations:?}");
-        assert_eq!(cache.used_tokens(), 4 * expected.len() as u64, "{operations:?}");
+        assert_eq!(cached, *expected, "{uses:?}");
+        assert_eq!(cache.used_tokens(), 4 * expected.len() as u64, "{uses:?}");
     }
 }
 
--- a/crates/burdockroad-standins/src/engine/orders.rs
+++ b/crates/burdockroad-standins/src/engine/orders.rs
@@ -14,7 +14,7 @@
 };
 
 /// Maximum backoff between attempts to fetch weights.
-const WEIGHT_RETRY_MAX: Duration = Duration::from_secs(5);
+const WEIGHT_BACKOFF_MAX: Duration = Duration::from_secs(5);
 const WEIGHT_ATTEMPTS_MAX: u32 = 100;
 
 /// Whether an engine enforces fencing numbers.
@@ -166,12 +166,12 @@
     }
 
     async fn load(&self, order: &Order) -> Result<()> {
-        let weights_name = match order {
+        let weights = match order {
             Order::LoadModel(name) | Order::LoadAdapter(name) | Order::LoadVersion(name) => name,
             Order::SetRole(_) => return Ok(()),
         };
         if let Some(store) = self.weight_store {
-            let url = format!("http://{store}/weights/{weights_name}");
+            let url = format!("http://{store}/weights/{weights}");
             self.fetch(&url).await?;
         }
         tokio::time::sleep(self.load_time).await;
@@ -189,7 +189,7 @@
                     let retry_after = response.headers.get(header::RETRY_AFTER);
                     let seconds = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
                     let backoff = Duration::from_secs(seconds.unwrap_or(1));
-                    tokio::time::sleep(backoff.min(WEIGHT_RETRY_MAX)).await;
+                    tokio::time::sleep(backoff.min(WEIGHT_BACKOFF_MAX)).await;
                 }
                 status => return Err(StandinError::Request(format!("{url}: {status}"))),
             }
--- a/crates/burdockroad-standins/src/engine/stats.rs
+++ b/crates/burdockroad-standins/src/engine/stats.rs
@@ -37,7 +37,7 @@
     pub age_ms: u64,
 }
 
-/// Load samples of at least one lag, from which the delayed report is taken.
+/// Load samples covering at least one lag, from which the delayed report is taken.
 #[derive(Debug)]
 pub(crate) struct LaggedLoad {
     lag: Duration,
--- a/crates/burdockroad-standins/src/kv.rs
+++ b/crates/burdockroad-standins/src/kv.rs
@@ -49,7 +49,7 @@
 mod store;
 mod watch_stream;
 
-const LEASE_TICK: Duration = Duration::from_millis(20);
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const MESSAGE_MAX_BYTES: usize = 16 << 20;
 
 /// Options of a key-value stand-in.
@@ -293,7 +293,7 @@
 }
 
 async fn expire_leases(shared: Arc<Shared>) {
-    let mut tick = tokio::time::interval(LEASE_TICK);
+    let mut tick = tokio::time::interval(LEASE_CHECK_INTERVAL);
     loop {
         tick.tick().await;
         shared.expire_leases();
--- a/crates/burdockroad-standins/src/load/program.rs
+++ b/crates/burdockroad-standins/src/load/program.rs
@@ -144,7 +144,7 @@
     ran: Option<String>,
 }
 
-/// Complete response to a call.
+/// Text and token counts of a completed call.
 struct CallCompletion {
     text: String,
     tokens: TokenCounts,
@@ -183,11 +183,11 @@
             } else {
                 vec![user_message]
             };
-            let response = self.call(&program_id, turn, &messages).await?;
+            let completion = self.call(&program_id, turn, &messages).await?;
             if self.shape.direct {
                 history.push(Message {
                     role: "assistant",
-                    content: response.text,
+                    content: completion.text,
                 });
             }
         }
@@ -216,9 +216,9 @@
                 self.call_request(target, program_id, turn, messages)
             })
             .await?;
-        let response = parse_completion(&response)?;
-        self.stats.add_call(started_at.elapsed(), response.tokens);
-        Ok(response)
+        let completion = parse_completion(&response)?;
+        self.stats.add_call(started_at.elapsed(), completion.tokens);
+        Ok(completion)
     }
 
     fn call_request(
--- a/crates/burdockroad-standins/src/proxy/connection.rs
+++ b/crates/burdockroad-standins/src/proxy/connection.rs
@@ -19,7 +19,7 @@
 /// Maximum number of chunks in flight in one direction; a full queue stops reading.
 const QUEUE_CHUNKS: usize = 256;
 
-/// The connection must be cut.
+/// Error that cuts the connection in both directions.
 struct ConnectionBroken;
 
 /// Bytes in flight, or the end of the stream.
--- a/crates/burdockroad-standins/tests/engine_contract.rs
+++ b/crates/burdockroad-standins/tests/engine_contract.rs
@@ -15,7 +15,7 @@
 mod support;
 
 /// Time without a response after which a request counts as hanging.
-const HANG: Duration = Duration::from_millis(300);
+const HANG_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Parses the events of a body, without `[DONE]`.
 fn events(text: &str) -> Vec<Value> {
@@ -281,7 +281,7 @@
         ..EngineFaults::default()
     });
     let hanging = fixture.client.send(fixture.chat(&[], &request));
-    tokio::time::timeout(HANG, hanging).await.unwrap_err();
+    tokio::time::timeout(HANG_TIMEOUT, hanging).await.unwrap_err();
     assert_eq!(
         fixture.engine.stats().generated,
         0,
--- a/crates/burdockroad-standins/tests/engine_state_contract.rs
+++ b/crates/burdockroad-standins/tests/engine_state_contract.rs
@@ -9,7 +9,7 @@
 use http::Method;
 use serde_json::{Value, json};
 
-use crate::support::{DEADLINE, Fixture, body, completion_text, streaming};
+use crate::support::{Fixture, TIMEOUT, body, completion_text, streaming};
 
 #[path = "support/engine.rs"]
 mod support;
@@ -209,7 +209,7 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        let report = tokio::time::timeout(DEADLINE, all_done).await.unwrap();
+        let report = tokio::time::timeout(TIMEOUT, all_done).await.unwrap();
         assert_eq!(report.models, models);
         assert_eq!((report.version.as_str(), report.role.as_str()), ("v2", "prefill"));
         assert_eq!(report.highest_fencing_number, 6);
--- a/crates/burdockroad-standins/tests/processes.rs
+++ b/crates/burdockroad-standins/tests/processes.rs
@@ -10,9 +10,9 @@
 use serde_json::{Value, json};
 
 /// Timeout for expected events; reaching it fails the test.
-const DEADLINE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Time without a response after which a process counts as paused.
-const SILENCE: Duration = Duration::from_millis(200);
+const NO_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 const BINARY: &str = "burdockroad-standin";
 
@@ -44,7 +44,7 @@
         assert!(process.address().unwrap().ip().is_loopback(), "{arguments:?}");
         assert_ne!(process.address().unwrap(), process.address_of("control").unwrap());
         process.terminate().unwrap();
-        assert!(process.wait(DEADLINE).await.unwrap().success(), "{arguments:?}");
+        assert!(process.wait(TIMEOUT).await.unwrap().success(), "{arguments:?}");
     }
 }
 
@@ -80,9 +80,11 @@
     process.stop().unwrap();
     let request = client.get_json::<Value>(&url);
     tokio::pin!(request);
-    tokio::time::timeout(SILENCE, &mut request).await.unwrap_err();
+    tokio::time::timeout(NO_RESPONSE_TIMEOUT, &mut request)
+        .await
+        .unwrap_err();
     process.resume().unwrap();
-    let response = tokio::time::timeout(DEADLINE, request).await.unwrap().unwrap();
+    let response = tokio::time::timeout(TIMEOUT, request).await.unwrap().unwrap();
     assert_eq!(response["execution"], 2);
     process.kill().await.unwrap();
     client.get_json::<Value>(&url).await.unwrap_err();
--- a/crates/burdockroad-standins/tests/proxy_contract.rs
+++ b/crates/burdockroad-standins/tests/proxy_contract.rs
@@ -15,9 +15,9 @@
 };
 
 /// Timeout for expected events; reaching it fails the test.
-const DEADLINE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Time without any bytes after which a connection counts as silent.
-const SILENCE: Duration = Duration::from_millis(200);
+const NO_DATA_TIMEOUT: Duration = Duration::from_millis(200);
 
 const DROP_FORWARD: ProxyFaults = ProxyFaults {
     forward: Forward::Drop,
@@ -67,7 +67,7 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        tokio::time::timeout(DEADLINE, reached).await.unwrap();
+        tokio::time::timeout(TIMEOUT, reached).await.unwrap();
     }
 }
 
@@ -90,20 +90,20 @@
         });
         connection.client.write_all(b"question").await.unwrap();
         assert_eq!(
-            read(&mut connection.server, DEADLINE).await,
+            read(&mut connection.server, TIMEOUT).await,
             ReadOutcome::Bytes(b"question".to_vec())
         );
         connection.server.write_all(b"answer").await.unwrap();
         assert_eq!(
-            read(&mut connection.client, DEADLINE).await,
+            read(&mut connection.client, TIMEOUT).await,
             ReadOutcome::Bytes(b"answer".to_vec())
         );
     }
     connection.client.shutdown().await.unwrap();
-    assert_eq!(read(&mut connection.server, DEADLINE).await, ReadOutcome::Closed);
+    assert_eq!(read(&mut connection.server, TIMEOUT).await, ReadOutcome::Closed);
     connection.server.write_all(b"late").await.unwrap();
     assert_eq!(
-        read(&mut connection.client, DEADLINE).await,
+        read(&mut connection.client, TIMEOUT).await,
         ReadOutcome::Bytes(b"late".to_vec())
     );
     let counts = connection.proxy.counts();
@@ -139,15 +139,15 @@
                 b"forward".to_vec(),
             )
         };
-        assert_eq!(read(passing, DEADLINE).await, ReadOutcome::Bytes(bytes));
+        assert_eq!(read(passing, TIMEOUT).await, ReadOutcome::Bytes(bytes));
         assert_eq!(
-            read(dropping, SILENCE).await,
+            read(dropping, NO_DATA_TIMEOUT).await,
             ReadOutcome::TimedOut,
             "the connection must stay open"
         );
         // A stream with a gap must never be delivered.
         connection.proxy.set_faults(ProxyFaults::default());
-        assert_eq!(read(dropping, DEADLINE).await, ReadOutcome::Closed);
+        assert_eq!(read(dropping, TIMEOUT).await, ReadOutcome::Closed);
         connection.proxy.close().await;
     }
 }
@@ -167,7 +167,7 @@
     connection.client.write_all(b"behind").await.unwrap();
     tokio::time::sleep(Duration::from_millis(50)).await;
     connection.proxy.set_faults(ProxyFaults::default());
-    assert_eq!(read(&mut connection.server, DEADLINE).await, ReadOutcome::Closed);
+    assert_eq!(read(&mut connection.server, TIMEOUT).await, ReadOutcome::Closed);
     connection.proxy.close().await;
 }
 
@@ -176,9 +176,12 @@
     let mut connection = ProxiedConnection::connect().await;
     connection.proxy.set_faults(DROP_FORWARD);
     connection.client.shutdown().await.unwrap();
-    assert_eq!(read(&mut connection.server, SILENCE).await, ReadOutcome::TimedOut);
+    assert_eq!(
+        read(&mut connection.server, NO_DATA_TIMEOUT).await,
+        ReadOutcome::TimedOut
+    );
     connection.proxy.set_faults(ProxyFaults::default());
-    assert_eq!(read(&mut connection.server, DEADLINE).await, ReadOutcome::Closed);
+    assert_eq!(read(&mut connection.server, TIMEOUT).await, ReadOutcome::Closed);
     connection.proxy.close().await;
 }
 
@@ -190,10 +193,10 @@
         ..ProxyFaults::default()
     });
     let mut refused = TcpStream::connect(connection.proxy.address()).await.unwrap();
-    assert_eq!(read(&mut refused, DEADLINE).await, ReadOutcome::Closed);
+    assert_eq!(read(&mut refused, TIMEOUT).await, ReadOutcome::Closed);
     connection.client.write_all(b"open").await.unwrap();
     assert_eq!(
-        read(&mut connection.server, DEADLINE).await,
+        read(&mut connection.server, TIMEOUT).await,
         ReadOutcome::Bytes(b"open".to_vec())
     );
     let counts = connection.proxy.counts();
@@ -208,8 +211,8 @@
         cut_open: true,
         ..ProxyFaults::default()
     });
-    assert_eq!(read(&mut connection.client, DEADLINE).await, ReadOutcome::Closed);
-    assert_eq!(read(&mut connection.server, DEADLINE).await, ReadOutcome::Closed);
+    assert_eq!(read(&mut connection.client, TIMEOUT).await, ReadOutcome::Closed);
+    assert_eq!(read(&mut connection.server, TIMEOUT).await, ReadOutcome::Closed);
     connection.proxy.close().await;
 }
 
--- a/crates/burdockroad-standins/tests/service_contract.rs
+++ b/crates/burdockroad-standins/tests/service_contract.rs
@@ -12,9 +12,9 @@
 use serde_json::{Value, json};
 
 /// Timeout for expected events; reaching it fails the test.
-const DEADLINE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Time without a response after which a request counts as hanging.
-const HANG: Duration = Duration::from_millis(300);
+const HANG_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Outcome of a request, as observed by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -84,9 +84,9 @@
         assert_eq!(response.status, StatusCode::NO_CONTENT);
         let before = service.executions();
         let timeout = if expected == Outcome::TimedOut {
-            HANG
+            HANG_TIMEOUT
         } else {
-            DEADLINE
+            TIMEOUT
         };
         assert_eq!(call(&client, &service, timeout).await, expected, "{faults}");
         assert_eq!(service.executions() - before, u64::from(executed), "{faults}");
@@ -118,14 +118,14 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(DEADLINE, recorded).await.unwrap();
+    tokio::time::timeout(TIMEOUT, recorded).await.unwrap();
     caller.abort();
     let executed = async {
         while service.executions() == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(DEADLINE, executed).await.unwrap();
+    tokio::time::timeout(TIMEOUT, executed).await.unwrap();
     service.close().await;
 }
 
--- a/crates/burdockroad-standins/tests/support/engine.rs
+++ b/crates/burdockroad-standins/tests/support/engine.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 /// Timeout for expected events; reaching it fails the test.
-pub(crate) const DEADLINE: Duration = Duration::from_secs(20);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An engine with a client.
 pub(crate) struct Fixture {
@@ -61,7 +61,7 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        tokio::time::timeout(DEADLINE, reached).await.unwrap();
+        tokio::time::timeout(TIMEOUT, reached).await.unwrap();
     }
 }
 
--- a/crates/burdockroad-standins/tests/support/kv.rs
+++ b/crates/burdockroad-standins/tests/support/kv.rs
@@ -12,7 +12,7 @@
 use tonic::{Code, Streaming, transport::Channel};
 
 /// Timeout for expected events; reaching it fails the test.
-const DEADLINE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A stand-in with a client for each of its services.
 pub(crate) struct Fixture {
@@ -45,7 +45,7 @@
     }
 
     pub(crate) async fn next(&mut self) -> Result<Option<WatchResponse>, tonic::Status> {
-        tokio::time::timeout(DEADLINE, self.responses.message())
+        tokio::time::timeout(TIMEOUT, self.responses.message())
             .await
             .unwrap()
     }
--- a/crates/burdockroad-standins/tests/weight_store_contract.rs
+++ b/crates/burdockroad-standins/tests/weight_store_contract.rs
@@ -11,7 +11,7 @@
 use http::Method;
 
 /// Timeout for expected events; reaching it fails the test.
-const DEADLINE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::test]
 async fn weights_table() {
@@ -76,7 +76,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let report = tokio::time::timeout(DEADLINE, all_done).await.unwrap();
+    let report = tokio::time::timeout(TIMEOUT, all_done).await.unwrap();
     assert_eq!(report.models, ["c"]);
     assert_eq!(store.counts().served, 3);
     engine.close().await;
