--- a/crates/burdockroad-daemon/src/dispatch/pools.rs
+++ b/crates/burdockroad-daemon/src/dispatch/pools.rs
@@ -260,7 +260,7 @@
 
     /// Gives each pool its endpoints, with all their slots at its owner and a share elsewhere.
     fn set_all(&mut self) {
-        let leaving = self.parts.source.leaving_hosts();
+        let draining = self.parts.source.leaving_hosts();
         let sets = &self.sets;
         self.pools.retain(|pool_id, row| {
             let known = sets.contains_key(pool_id);
@@ -285,7 +285,7 @@
                 } else {
                     endpoint.slots.div_ceil(hosts)
                 },
-                leaving: endpoint.draining || leaving.contains(&endpoint.host_id),
+                draining: endpoint.draining || draining.contains(&endpoint.host_id),
             });
             row.pool.set_endpoints(infos.collect(), now());
             let addresses = set.endpoints.iter();
@@ -415,5 +415,5 @@
 #[expect(clippy::cast_precision_loss, reason = "counts of calls stay far below 2^52")]
 fn gauge(pool_id: &PoolId, pool: &Pool) {
     metrics::gauge!("burdockroad_pool_waiting", "pool" => pool_id.clone()).set(pool.waiting() as f64);
-    metrics::gauge!("burdockroad_pool_taken", "pool" => pool_id.clone()).set(pool.taken() as f64);
+    metrics::gauge!("burdockroad_pool_taken", "pool" => pool_id.clone()).set(pool.occupied_slots() as f64);
 }
--- a/crates/burdockroad-daemon/src/quota/table.rs
+++ b/crates/burdockroad-daemon/src/quota/table.rs
@@ -131,9 +131,9 @@
         }
     }
 
-    pub(super) fn answered(&mut self, answered: &Answered) {
-        self.take_answer(&answered.account_id, answered.sequence, answered.grant);
-        self.serve(&answered.account_id);
+    pub(super) fn on_response(&mut self, on_response: &Answered) {
+        self.take_answer(&on_response.account_id, on_response.sequence, on_response.grant);
+        self.serve(&on_response.account_id);
     }
 
     /// Ticks at the time that was scheduled last; what was scheduled before is out of date.
@@ -188,10 +188,10 @@
         let asked = asking::ask_peer(Arc::clone(&self.parts.clients), address, request);
         let myself = self.myself.clone();
         tokio::spawn(async move {
-            let answered = asked.await;
+            let on_response = asked.await;
             // An actor that has stopped has refused its calls already.
             myself
-                .send_message(QuotaMessage::Answered(answered))
+                .send_message(QuotaMessage::Answered(on_response))
                 .unwrap_or_default();
         });
     }
@@ -201,10 +201,10 @@
             return;
         };
         let Some(grant) = grant else {
-            holder.failed(sequence, now());
+            holder.on_failure(sequence, now());
             return;
         };
-        let settled = holder.answered(sequence, grant, now());
+        let settled = holder.on_response(sequence, grant, now());
         self.settle(settled);
     }
 
--- a/crates/burdockroad-gateway/src/budgets.rs
+++ b/crates/burdockroad-gateway/src/budgets.rs
@@ -85,7 +85,7 @@
     /// The program is to begin later, since its account's rate is used up.
     OverRate(Duration),
     /// The budget cannot hold the call.
-    Spent,
+    Exhausted,
     /// Running calls take all that is left.
     NoRoom,
     /// The store did not answer in time.
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NotHeld {
     /// The budget has no room for the call.
-    Spent,
+    Exhausted,
     /// The program is to begin later, since the service is full.
     Later {
         /// When the caller may come back.
@@ -147,7 +147,7 @@
             Some(HoldReply::Held { begins }) => return Ok(ask.into_hold(begins, keeper)),
             Some(HoldReply::Later(retry_after)) => return Err(NotHeld::Later { retry_after }),
             Some(HoldReply::OverRate(retry_after)) => return Err(NotHeld::OverRate { retry_after }),
-            Some(HoldReply::Spent | HoldReply::NoRoom) => return Err(NotHeld::Spent),
+            Some(HoldReply::Exhausted | HoldReply::NoRoom) => return Err(NotHeld::Exhausted),
             Some(HoldReply::StoreLost) => {
                 return Err(NotHeld::NoStore {
                     retry_after: NO_STORE_RETRY,
@@ -164,7 +164,7 @@
         HoldReply::Held { begins } => Ok(ask.into_hold(begins, None)),
         HoldReply::Later(retry_after) => Err(NotHeld::Later { retry_after }),
         HoldReply::OverRate(retry_after) => Err(NotHeld::OverRate { retry_after }),
-        HoldReply::Spent | HoldReply::NoRoom => Err(NotHeld::Spent),
+        HoldReply::Exhausted | HoldReply::NoRoom => Err(NotHeld::Exhausted),
         HoldReply::NoStore | HoldReply::StoreLost => Err(NotHeld::NoStore {
             retry_after: NO_STORE_RETRY,
         }),
@@ -354,7 +354,7 @@
         let patience = wait_ends_at.saturating_duration_since(Instant::now());
         match need {
             Need::Ready => return HoldReply::Held { begins },
-            Need::Spent => return HoldReply::Spent,
+            Need::Exhausted => return HoldReply::Exhausted,
             Need::Room if patience.is_zero() => return HoldReply::NoRoom,
             Need::Write if store_is_lost(shared) => return HoldReply::StoreLost,
             Need::Write if patience.is_zero() => return HoldReply::NoStore,
--- a/crates/burdockroad-gateway/src/feed.rs
+++ b/crates/burdockroad-gateway/src/feed.rs
@@ -123,7 +123,7 @@
             endpoint: id,
             service: &endpoint.service,
             address: endpoint.address.to_string(),
-            leaving: endpoint.leaving,
+            draining: endpoint.draining,
             revision: entry.revision,
         };
         tables.endpoints.insert(endpoint.clone());
@@ -238,7 +238,7 @@
     endpoint: &'a str,
     service: &'a str,
     address: String,
-    leaving: bool,
+    draining: bool,
     revision: Revision,
 }
 
--- a/crates/burdockroad-gateway/src/reservations.rs
+++ b/crates/burdockroad-gateway/src/reservations.rs
@@ -52,15 +52,15 @@
 #[derive(Serialize, Deserialize)]
 struct WireBudget {
     spent_tokens: u64,
-    holders: Vec<WireHolder>,
+    reservations: Vec<WireHolder>,
 }
 
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 struct WireHolder {
     incarnation: Incarnation,
-    held_tokens: u64,
-    write_mark: u64,
+    reserved_tokens: u64,
+    write_id: u64,
 }
 
 /// Reads what other hosts have given back.
@@ -228,7 +228,7 @@
                 .line("budget_unreadable", &UnreadableLine { key, reason });
             StoredBudget {
                 spent_tokens: u64::from(u32::MAX),
-                holders: Vec::new(),
+                reservations: Vec::new(),
             }
         }
     };
@@ -240,26 +240,26 @@
 
 impl WireBudget {
     fn encode(budget: &StoredBudget) -> Self {
-        let holders = budget.holders.iter().map(|holder| WireHolder {
+        let reservations = budget.reservations.iter().map(|holder| WireHolder {
             incarnation: holder.incarnation,
-            held_tokens: holder.held_tokens,
-            write_mark: holder.write_mark,
+            reserved_tokens: holder.reserved_tokens,
+            write_id: holder.write_id,
         });
         Self {
             spent_tokens: budget.spent_tokens,
-            holders: holders.collect(),
+            reservations: reservations.collect(),
         }
     }
 
     fn decode(self) -> StoredBudget {
-        let holders = self.holders.into_iter().map(|holder| Holder {
+        let reservations = self.reservations.into_iter().map(|holder| Holder {
             incarnation: holder.incarnation,
-            held_tokens: holder.held_tokens,
-            write_mark: holder.write_mark,
+            reserved_tokens: holder.reserved_tokens,
+            write_id: holder.write_id,
         });
         StoredBudget {
             spent_tokens: self.spent_tokens,
-            holders: holders.collect(),
+            reservations: reservations.collect(),
         }
     }
 }
--- a/crates/burdockroad/examples/embed.rs
+++ b/crates/burdockroad/examples/embed.rs
@@ -127,7 +127,7 @@
             let mut settled = self.holder.tick(now);
             if let Some(ask) = self.holder.ask(now) {
                 let grant = self.bucket.grant(&"this-host".to_owned(), &ask, now);
-                settled.extend(self.holder.answered(ask.sequence, grant, now));
+                settled.extend(self.holder.on_response(ask.sequence, grant, now));
             }
             admitted = settled.iter().any(|call| call.admission == Admission::Admitted);
         }
