--- a/crates/burdockroad-standins/tests/support/engine.rs
+++ b/crates/burdockroad-standins/tests/support/engine.rs
@@ -1,20 +1,20 @@
-//! An engine stand-in and a client of it.
+//! An engine stand-in with a client.
 
 use std::time::Duration;
 
 use burdockroad_standins::{
     engine::{EngineOptions, EngineStandin, Load},
-    http_client::{self, HttpAnswer, HttpClient, HttpStream},
+    http_client::{self, HttpClient, HttpResponse, HttpStream},
 };
 use bytes::Bytes;
 use http::{HeaderName, HeaderValue, Method, Request};
 use http_body_util::Full;
 use serde_json::{Value, json};
 
-/// Longest wait for something that has to come; a wait that ends by it is a failure.
-pub(crate) const DEADLINE: Duration = Duration::from_secs(20);
+/// Timeout for expected events; reaching it fails the test.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An engine and a client of it.
+/// An engine with a client.
 pub(crate) struct Fixture {
     pub(crate) engine: EngineStandin,
     pub(crate) client: HttpClient,
@@ -42,7 +42,7 @@
         request
     }
 
-    pub(crate) async fn complete(&self, headers: &[(&'static str, &str)], body: &Value) -> HttpAnswer {
+    pub(crate) async fn complete(&self, headers: &[(&'static str, &str)], body: &Value) -> HttpResponse {
         self.client.send(self.chat(headers, body)).await.unwrap()
     }
 
@@ -50,7 +50,7 @@
         self.client.open(self.chat(headers, body)).await.unwrap()
     }
 
-    pub(crate) async fn send(&self, method: Method, path: &str) -> HttpAnswer {
+    pub(crate) async fn send(&self, method: Method, path: &str) -> HttpResponse {
         let request = http_client::request(method, &self.url(path), Bytes::new()).unwrap();
         self.client.send(request).await.unwrap()
     }
@@ -61,7 +61,7 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        tokio::time::timeout(DEADLINE, reached).await.unwrap();
+        tokio::time::timeout(TIMEOUT, reached).await.unwrap();
     }
 }
 
@@ -75,9 +75,9 @@
     body
 }
 
-pub(crate) fn answer_text(answer: &HttpAnswer) -> String {
-    let answer: Value = answer.json().unwrap();
-    answer["choices"][0]["message"]["content"]
+pub(crate) fn completion_text(response: &HttpResponse) -> String {
+    let response: Value = response.json().unwrap();
+    response["choices"][0]["message"]["content"]
         .as_str()
         .unwrap()
         .to_owned()
--- a/crates/burdockroad-standins/tests/support/kv.rs
+++ b/crates/burdockroad-standins/tests/support/kv.rs
@@ -1,4 +1,4 @@
-//! A key-value stand-in and clients of it.
+//! A key-value stand-in with clients.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Code, Streaming, transport::Channel};
 
-/// Longest wait for something that has to come; a wait that ends by it is a failure.
-const DEADLINE: Duration = Duration::from_secs(20);
+/// Timeout for expected events; reaching it fails the test.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A stand-in and clients of its services.
+/// A stand-in with a client for each of its services.
 pub(crate) struct Fixture {
     pub(crate) standin: KvStandin,
     pub(crate) keys: KvClient<Channel>,
@@ -45,7 +45,7 @@
     }
 
     pub(crate) async fn next(&mut self) -> Result<Option<WatchResponse>, tonic::Status> {
-        tokio::time::timeout(DEADLINE, self.responses.message())
+        tokio::time::timeout(TIMEOUT, self.responses.message())
             .await
             .unwrap()
     }
