--- a/crates/burdockroad-gateway/src/call.rs
+++ b/crates/burdockroad-gateway/src/call.rs
@@ -68,10 +68,10 @@
     };
     let mut call = Call::new(Arc::clone(&shared), admitted_call);
     match run(&mut call, context.rate_status).await {
-        Ok(ServedResponse::Full(response)) => response,
+        Ok(ServedResponse::Complete(response)) => response,
         Ok(ServedResponse::Events(opened)) => relay_stream(call, opened),
         Err(refusal) => {
-            call.record.refused = Some(refusal);
+            call.record.refusal = Some(refusal);
             refusal.response(&*shared.dialect, Some(&call.head.call_id))
         }
     }
@@ -92,9 +92,9 @@
 /// Whether a call is already counted against its account's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RateStatus {
-    /// The call is counted.
+    /// The call is counted, or it has no account.
     Counted,
-    /// The call is counted after its reservation, because only the budget owner can tell whether the call
+    /// The call is counted after its reservation, because only the budget owner can decide whether the call
     /// starts its program.
     Undecided {
         /// Time until the rate limit allows another program to start; `None` when one may start now.
@@ -105,7 +105,7 @@
 /// A response that is ready to be sent to the caller.
 enum ServedResponse {
     /// A response that was read completely.
-    Full(Response<ResponseBody>),
+    Complete(Response<ResponseBody>),
     /// An event stream whose head has arrived.
     Events(OpenedResponse),
 }
@@ -134,7 +134,7 @@
         Some(account) => count_against_rate(&mut tables, head, route, account)?,
         None => RateStatus::Counted,
     };
-    let service = choose_target(&route.targets).ok_or(Refusal::NoRoute)?;
+    let service = choose_service(&route.targets).ok_or(Refusal::NoRoute)?;
     Ok(CallContext {
         route: Arc::clone(route),
         account,
@@ -151,8 +151,8 @@
 
 /// Counts a call against its account's rate limit, unless the call may start a program.
 ///
-/// A program starts with a generation. A program that has no recent call at this host may have started
-/// through another host.
+/// A call may start its program if it is a generation of a program that is not running at this host. The
+/// program may still be running through another host, so the budget owner decides.
 fn count_against_rate(
     tables: &mut Tables,
     head: &CallHead,
@@ -161,7 +161,7 @@
 ) -> Result<RateStatus, Refusal> {
     let now = Instant::now();
     let program = head.program.as_ref();
-    let new_program = program.filter(|program| !tables.recent_programs.is_running(&program.id, now));
+    let new_program = program.filter(|program| !tables.running_programs.is_running(&program.id, now));
     if route.kind.is_stream() && new_program.is_some_and(|program| program.budget_tokens.is_some()) {
         let start_after = match tables.rate_limiter.may_start_program(&account.name, now) {
             Admission::Admitted => None,
@@ -186,19 +186,19 @@
         return Err(Refusal::OverRate(retry_after));
     }
     if let Some(program) = &head.program {
-        tables.recent_programs.record_call(&program.id, now);
+        tables.running_programs.record_call(&program.id, now);
     }
     Ok(())
 }
 
-/// Returns the tokens that one event of the service counts as.
+/// Returns the number of tokens that one event of the service counts as.
 fn event_tokens(directory: &Directory, service: &str) -> u64 {
     let engine = directory.service(service).and_then(|service| service.engine);
     engine.map_or(1, |engine| engine.event_tokens.max(1))
 }
 
 /// Chooses one of a route's services at random, in proportion to their weights.
-fn choose_target(targets: &[Target]) -> Option<String> {
+fn choose_service(targets: &[Target]) -> Option<String> {
     if let [only] = targets {
         return Some(only.service.clone());
     }
@@ -225,7 +225,8 @@
     }
 }
 
-/// Reserves the tokens that the call may generate, and sends the call to endpoints until one responds.
+/// Reserves the tokens that the call may generate, counts the call against the rate limit if it is not
+/// counted yet, and sends the call to endpoints until one responds.
 async fn run(call: &mut Call, rate_status: RateStatus) -> Result<ServedResponse, Refusal> {
     reserve_tokens(call, rate_status).await?;
     if let (RateStatus::Undecided { .. }, Some(account)) = (rate_status, &call.account) {
@@ -257,14 +258,14 @@
         call.finish(opened.connection, opened.head.keep_alive);
         call.record.complete = true;
         call.shared.dialect.write_response(&mut parts.headers);
-        return Ok(ServedResponse::Full(Response::from_parts(
+        return Ok(ServedResponse::Complete(Response::from_parts(
             parts,
             ResponseBody::full(body),
         )));
     }
 }
 
-/// Reserves the tokens of a generation in its program's budget.
+/// Reserves the tokens of a generation in its program's budget. Other calls need no reservation.
 async fn reserve_tokens(call: &mut Call, rate_status: RateStatus) -> Result<(), Refusal> {
     let Some(program) = &call.head.program else {
         return Ok(());
@@ -293,7 +294,7 @@
         time_left: call.time_left(),
     };
     let result = reserve(&call.shared, request).await;
-    call.record.reserve_wait = requested_at.elapsed();
+    call.record.reservation_wait = requested_at.elapsed();
     match result {
         Ok(reservation) => {
             call.reservation = Some(reservation);
--- a/crates/burdockroad-gateway/src/call/record.rs
+++ b/crates/burdockroad-gateway/src/call/record.rs
@@ -1,4 +1,4 @@
-//! Records the course of a call and writes its log lines.
+//! Collects data about a call while it is served, and writes its log lines.
 
 use std::time::{Duration, Instant};
 
@@ -7,28 +7,37 @@
 
 use crate::{CallHead, refusal::Refusal, shared::Shared};
 
-/// Course of a call, as written to its log line.
+/// Data for a call's log line.
 #[derive(Debug, Default)]
 pub(crate) struct CallRecord {
+    /// Version of the configuration that was in force when the call was admitted.
     pub(crate) directory_version: u64,
+    /// Time from the application of this configuration to the admission of the call.
     pub(crate) directory_age: Duration,
+    /// Number of tokens that one event counts as.
     pub(crate) event_tokens: u64,
     pub(crate) started_at: Option<Instant>,
     pub(crate) status: u16,
+    /// Whether the response was relayed or read completely.
     pub(crate) complete: bool,
-    pub(crate) refused: Option<Refusal>,
-    pub(crate) reserve_wait: Duration,
+    pub(crate) refusal: Option<Refusal>,
+    /// Time that the call waited for its reservation.
+    pub(crate) reservation_wait: Duration,
     /// Calls per slot of the service when the call requested its reservation.
     pub(crate) load_per_slot: Option<f64>,
     /// Events sent to the caller.
     pub(crate) events: u64,
-    /// Number of times that the stream was resumed at an endpoint.
+    /// Number of times that the stream was resumed.
     pub(crate) resumed: u32,
     attempts: u32,
+    /// Endpoint of the last attempt.
     endpoint: String,
+    /// Estimated number of calls at that endpoint when it was chosen.
     endpoint_load: u32,
+    /// Expected time to the first byte of the last attempt, in milliseconds.
     expected_ms: f64,
-    first_byte: Option<Duration>,
+    /// Time from the start of the call to the head of a usable response.
+    time_to_first_byte: Option<Duration>,
 }
 
 impl CallRecord {
@@ -47,7 +56,7 @@
         }
     }
 
-    /// Returns the tokens that were sent to the caller.
+    /// Returns the number of tokens that were sent to the caller.
     pub(crate) fn tokens_used(&self) -> u64 {
         self.events * self.event_tokens
     }
@@ -60,7 +69,7 @@
     }
 
     pub(crate) fn record_first_byte(&mut self) {
-        self.first_byte = self.started_at.map(|at| at.elapsed());
+        self.time_to_first_byte = self.started_at.map(|at| at.elapsed());
     }
 
     pub(crate) fn record_failure(
@@ -91,7 +100,7 @@
 
     /// Writes the call's log line and updates the metrics.
     pub(crate) fn close(&self, shared: &Shared, head: &CallHead, route: &Route, account: Option<&Account>) {
-        let outcome = match (self.refused, self.complete) {
+        let outcome = match (self.refusal, self.complete) {
             (Some(refusal), _) => refusal.name(),
             (None, true) => "answered",
             (None, false) => "caller_left",
@@ -122,10 +131,10 @@
                 attempts: self.attempts,
                 resumed: self.resumed,
                 events: self.events,
-                reserve_ms: as_ms(self.reserve_wait),
+                reserve_ms: as_ms(self.reservation_wait),
                 load_per_slot: self.load_per_slot.map(round_to_hundredths),
-                retry_after_ms: self.refused.and_then(Refusal::retry_after).map(as_ms),
-                first_byte_ms: self.first_byte.map(as_ms),
+                retry_after_ms: self.refusal.and_then(Refusal::retry_after).map(as_ms),
+                first_byte_ms: self.time_to_first_byte.map(as_ms),
                 total_ms: as_ms(total),
             },
         );
--- a/crates/burdockroad-gateway/src/feed.rs
+++ b/crates/burdockroad-gateway/src/feed.rs
@@ -13,7 +13,8 @@
 
 use crate::{Change, budgets::expire_remote_reservations, follow::RangeSubscriber, shared::Shared};
 
-/// Time after an outage of the store in which endpoints whose entries expired during it register again.
+/// Time after an outage of the store in which endpoints whose entries expired during the outage may register
+/// again.
 pub(crate) const REREGISTRATION_TIME: Duration = Duration::from_millis(2200);
 
 /// Interval between two checks for missing endpoints and other expired state.
@@ -193,8 +194,8 @@
     }
 }
 
-/// Removes endpoints that did not register again, expired reservations and programs, and connections that
-/// are idle for too long.
+/// Removes endpoints that did not register again, expired reservations, expired programs and expired idle
+/// connections.
 pub(crate) async fn sweep(shared: Arc<Shared>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
@@ -205,7 +206,7 @@
         }
         expire_remote_reservations(&shared, now);
         let mut tables = shared.tables();
-        tables.recent_programs.evict_expired(now);
+        tables.running_programs.evict_expired(now);
         tables.start_gate.evict_expired(now);
         drop(tables);
         shared.pool.remove_expired(now);
--- a/crates/burdockroad-gateway/src/shared.rs
+++ b/crates/burdockroad-gateway/src/shared.rs
@@ -37,7 +37,7 @@
     /// The other registered hosts.
     pub(crate) peers: watch::Sender<Peers>,
     pub(crate) peer_client: Arc<PeerClient>,
-    /// Notified when the process starts to stop.
+    /// Notified when the host begins to shut down.
     pub(crate) stop_started: Notify,
     /// Notified when a call waits for a reservation to be written.
     pub(crate) reservation_requested: Notify,
@@ -47,7 +47,7 @@
     pub(crate) report_now: Notify,
     /// Notified when a watcher announces a newer change of a range.
     pub(crate) range_announced: Notify,
-    /// Whether the process is stopping.
+    /// Whether the host is shutting down.
     pub(crate) stopping: AtomicBool,
     tables: Mutex<Tables>,
 }
@@ -79,8 +79,8 @@
     pub(crate) announced_ranges: HashMap<String, AnnouncedRange>,
     /// Decides which programs may start while a service is overloaded.
     pub(crate) start_gate: ProgramStartGate,
-    /// Programs with recently admitted calls.
-    pub(crate) recent_programs: RunningPrograms,
+    /// Programs with a call that this host admitted recently enough for them to count as running.
+    pub(crate) running_programs: RunningPrograms,
     /// Endpoints whose entries may have expired because the store was unavailable.
     pub(crate) missing_endpoints: MissingEndpoints,
 }
@@ -128,7 +128,7 @@
                 range_responded_at: HashMap::new(),
                 announced_ranges: HashMap::new(),
                 start_gate: ProgramStartGate::default(),
-                recent_programs: RunningPrograms::default(),
+                running_programs: RunningPrograms::default(),
                 missing_endpoints: MissingEndpoints::new(),
             }),
         }
@@ -151,7 +151,8 @@
 }
 
 impl Tables {
-    /// Removes and returns the missing endpoints that did not register again in time.
+    /// Removes and returns the missing endpoints whose time to register again has passed. Returns none while
+    /// the store is unreachable.
     pub(crate) fn take_expired_endpoints(&mut self, now: Instant) -> Vec<EndpointId> {
         if self.store_unreachable_since.is_some() {
             return Vec::new();
--- a/crates/burdockroad-gateway/src/stream.rs
+++ b/crates/burdockroad-gateway/src/stream.rs
@@ -102,8 +102,8 @@
     ended: bool,
 }
 
-/// Relays a stream. When the stream breaks off and its route allows repeats, it resumes, possibly at another
-/// endpoint.
+/// Relays an event stream to the caller. If the endpoint's stream breaks off and the route allows repeats,
+/// the relay continues with a new stream, possibly from another endpoint.
 pub(crate) fn relay_events(call: Call, opened: OpenedResponse) -> ResponseBody {
     let relay = Relay {
         events: EventBuffer::after(call.head.last_event),
@@ -127,7 +127,7 @@
 }
 
 impl Relay {
-    /// Returns the next whole events for the caller; `None` at the end of the stream.
+    /// Returns the next complete events for the caller; `None` at the end of the stream.
     async fn next_chunk(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             if self.ended {
@@ -140,7 +140,7 @@
                     Ok(()) => continue,
                     Err(refusal) => {
                         self.ended = true;
-                        self.call.record.refused = Some(refusal);
+                        self.call.record.refusal = Some(refusal);
                         return Some(Err(io::Error::from(io::ErrorKind::ConnectionAborted)));
                     }
                 },
@@ -176,7 +176,7 @@
         self.events.take_remainder()
     }
 
-    /// Opens the stream again after the last event that the caller has received.
+    /// Opens a new stream that continues after the last event sent to the caller.
     async fn resume(&mut self) -> Result<(), Refusal> {
         self.connection = None;
         if self.call.time_left().is_zero() {
