--- a/crates/burdockroad-gateway/src/attempt.rs
+++ b/crates/burdockroad-gateway/src/attempt.rs
@@ -31,7 +31,7 @@
 /// Time reserved for sending the response to the caller before the caller's deadline.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
 
-/// Timeout for the response head of a call that may be repeated; the call is then sent again.
+/// Timeout for the response head of a call that may be repeated. After it, the call is sent again.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Backoff before the next attempt when all endpoints were full.
@@ -63,11 +63,11 @@
     attempted: Vec<EndpointId>,
     /// Endpoints on which the call may have run.
     possibly_ran_on: Vec<EndpointId>,
-    /// Endpoint of the attempt in progress.
-    current: Option<Endpoint>,
+    /// Endpoint of the attempt in progress; `None` between two attempts.
+    current_endpoint: Option<Endpoint>,
     /// Tokens of the program's budget reserved for the call.
     pub(crate) reservation: Option<Reservation>,
-    /// Endpoint that the next attempt must use.
+    /// Endpoint that the next attempt must use; `None` when the attempt chooses one.
     next_endpoint: Option<Endpoint>,
 }
 
@@ -116,7 +116,7 @@
             retries: RetryState::default(),
             attempted: Vec::new(),
             possibly_ran_on: Vec::new(),
-            current: None,
+            current_endpoint: None,
             reservation: None,
             next_endpoint: None,
         }
@@ -170,6 +170,7 @@
 
     /// Ends the current attempt after a complete response, and returns the connection to the pool.
     pub(crate) fn finish(&mut self, connection: Connection, keep_alive: Option<Duration>) {
+        // The outcome was recorded when the response head arrived; `Abandoned` records nothing further.
         if let Some(endpoint) = self.end_attempt(Outcome::Abandoned) {
             let max_idle = self.connections_max();
             self.shared
@@ -180,7 +181,7 @@
 
     /// Ends the current attempt and records its outcome for the endpoint. Returns the endpoint.
     fn end_attempt(&mut self, outcome: Outcome) -> Option<Endpoint> {
-        let endpoint = self.current.take()?;
+        let endpoint = self.current_endpoint.take()?;
         let mut tables = self.shared.tables();
         tables.endpoints.end_call(&endpoint.id);
         tables
@@ -210,7 +211,8 @@
     }
 
     /// Waits for [`FULL_BACKOFF`] when all endpoints were full. Fails when the call may have run, when the
-    /// service has no endpoint, or when the call has waited too long.
+    /// service has no endpoint, or when the call would then have taken longer than a quarter of the route's
+    /// latency objective or half of the time left.
     async fn wait_for_capacity(&mut self) -> Result<(), Refusal> {
         if self.retries.unknown > 0 {
             return Err(self.give_up_refusal());
@@ -240,7 +242,7 @@
             .tables()
             .endpoints
             .start_call(&endpoint.id, &self.head.prompt_parts);
-        self.current = Some(endpoint.clone());
+        self.current_endpoint = Some(endpoint.clone());
         let sent_at = Instant::now();
         let result = self.exchange(endpoint, last_event).await;
         let now = Instant::now();
@@ -322,8 +324,8 @@
         }
     }
 
-    /// Returns a usable response, or the failure that a response stands for: that the call did not run, or
-    /// that its outcome is unknown.
+    /// Returns a usable response unchanged. Any other response is a failure: the call did not run, or its
+    /// outcome is unknown.
     fn classify(&self, opened: OpenedResponse) -> Result<OpenedResponse, Failure> {
         let head = &opened.head;
         if head.call_id.as_deref() != Some(&*self.head.call_id) && !head.wrong_endpoint && !head.not_run {
@@ -336,7 +338,8 @@
             return Err(Failure::Full);
         }
         let status = opened.response.status();
-        // These statuses promise the caller that the call has not run, which the endpoint has not confirmed.
+        // These statuses would promise the caller that the call has not run. Without the endpoint's statement
+        // that it did not run the call, the call may have run.
         let claims_not_run = matches!(
             status,
             StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
@@ -364,7 +367,7 @@
         request
     }
 
-    /// Returns the calls per slot of the call's service.
+    /// Returns the number of calls per slot of the call's service.
     pub(crate) fn load_per_slot(&self) -> f64 {
         let tables = self.shared.tables();
         tables.endpoints.load_per_slot(&self.service, Instant::now())
@@ -376,7 +379,8 @@
         account_priority.unwrap_or(self.route.priority).min(9)
     }
 
-    /// Returns this host's share of the connections that the service allows to one endpoint.
+    /// Returns the number of connections that this host may open to one endpoint: its share of the service's
+    /// limit, but at least [`CONNECTIONS_MIN`].
     fn connections_max(&self) -> usize {
         let tables = self.shared.tables();
         let service = tables
@@ -387,7 +391,8 @@
         (allowed / tables.host_count.max(1)).max(CONNECTIONS_MIN)
     }
 
-    /// Counts a failed attempt in the retry state, closes idle connections unless the endpoint was full, and logs it.
+    /// Counts a failed attempt in the retry state and logs the attempt. Closes the idle connections to the
+    /// endpoint unless it was full.
     fn count(&mut self, failure: Failure, endpoint: &Endpoint) {
         let may_have_run_here = self.possibly_ran_on.contains(&endpoint.id);
         match failure {
@@ -458,8 +463,9 @@
     Unsent(Request<Full<Bytes>>),
 }
 
-/// Returns the time that a call may take in total.
+/// Returns the time that a call may take in total: the caller's timeout minus [`RESPONSE_MARGIN`], but at
+/// most the route's timeout.
 pub(crate) fn call_timeout(head: &CallHead, route: &Route) -> Duration {
-    let deadline = head.deadline.unwrap_or(route.timeout);
-    deadline.saturating_sub(RESPONSE_MARGIN).min(route.timeout)
+    let caller_timeout = head.caller_timeout.unwrap_or(route.timeout);
+    caller_timeout.saturating_sub(RESPONSE_MARGIN).min(route.timeout)
 }
--- a/crates/burdockroad-gateway/src/dialect.rs
+++ b/crates/burdockroad-gateway/src/dialect.rs
@@ -43,8 +43,8 @@
     /// Returns the key under which a host reports the progress of its removal.
     fn removal_status_key(&self, host: &str) -> String;
 
-    /// Returns the progress value of a host that stores no data and can be removed.
-    fn removal_done(&self) -> Vec<u8>;
+    /// Returns the value that a host writes under its status key to report that its removal is complete.
+    fn removal_completed_status(&self) -> Vec<u8>;
 
     /// Decodes a configuration document.
     ///
@@ -68,13 +68,13 @@
     pub call_id: String,
     /// The caller's API key.
     pub api_key: Option<String>,
-    /// Time that the caller waits for the response.
-    pub deadline: Option<Duration>,
+    /// Time for which the caller waits for the response.
+    pub caller_timeout: Option<Duration>,
     /// Program that the call belongs to.
     pub program: Option<ProgramHead>,
     /// Tokens of the prompt and of the output.
     pub tokens: Option<TokenCount>,
-    /// Parts of the prompt, for choosing an endpoint that has them cached.
+    /// Parts of the prompt. An endpoint that has them cached is preferred.
     pub prompt_parts: Vec<PromptPart>,
     /// Last event that the caller has received, when it resumes a stream.
     pub last_event: Option<u64>,
--- a/crates/burdockroad-gateway/src/disk_host.rs
+++ b/crates/burdockroad-gateway/src/disk_host.rs
@@ -1,4 +1,4 @@
-//! Host with a disk, which the platform requires but the gateway does not use.
+//! Host with a disk. The platform requires such hosts, but the gateway does not use them.
 //!
 //! All persistent state is in the shared store, so such a host stores no data. It only responds to removal
 //! orders, and reports immediately that its removal is complete.
@@ -34,7 +34,7 @@
     let orders = RemovalOrders {
         key: dialect.removal_order_key(&host),
         status_key: dialect.removal_status_key(&host),
-        completed_status: Bytes::from(dialect.removal_done()),
+        completed_status: Bytes::from(dialect.removal_completed_status()),
         store,
         log: log.clone(),
     };
@@ -56,9 +56,9 @@
 struct RemovalOrders {
     /// Key of the orders.
     key: String,
-    /// Key of the progress that the host reports.
+    /// Key under which the host reports its progress.
     status_key: String,
-    /// Progress value of a completed removal.
+    /// Value that reports a completed removal.
     completed_status: Bytes,
     store: Arc<dyn SharedStore>,
     log: DecisionLog,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Reports the completed removal.
+    /// Responds to an order by reporting that the removal is complete.
     async fn respond(&self, order: &Entry) -> Result<(), StoreError> {
         if order.key != self.key {
             return Ok(());
