--- a/crates/burdockroad-gateway/src/budgets.rs
+++ b/crates/burdockroad-gateway/src/budgets.rs
@@ -29,8 +29,12 @@
 /// Longest time that a call waits for its reservation.
 const RESERVATION_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Longest time that a call of another host waits at this budget owner before the owner responds that the
-/// host has to repeat the request.
+/// Longest time that a reservation request of another host waits at the budget owner. After it, the owner
+/// responds [`FullyReserved`] or [`StoreTimeout`], and the other host repeats the request until
+/// [`RESERVATION_TIMEOUT`].
+///
+/// [`FullyReserved`]: ReservationResponse::FullyReserved
+/// [`StoreTimeout`]: ReservationResponse::StoreTimeout
 const REMOTE_WAIT_MAX: Duration = Duration::from_millis(200);
 
 /// Time added to [`REMOTE_WAIT_MAX`] to obtain the timeout of a request to the budget owner.
@@ -82,8 +86,8 @@
     /// The tokens are reserved.
     #[serde(rename = "Held")]
     Reserved {
-        /// Whether the call starts the program, which is the case when the ledger of the responding host
-        /// did not contain the program.
+        /// Whether the call starts the program, that is, the ledger of the responding host did not contain
+        /// the program before.
         #[serde(rename = "begins")]
         starts_program: bool,
     },
@@ -101,7 +105,8 @@
     /// The store did not respond in time.
     #[serde(rename = "NoStore")]
     StoreTimeout,
-    /// Store writes have failed for at least [`STORE_FAILING_MIN`], so waiting is futile.
+    /// Store writes have failed for at least [`STORE_FAILING_MIN`], so the request is refused without
+    /// waiting.
     #[serde(rename = "StoreLost")]
     StoreUnavailable,
 }
@@ -136,8 +141,8 @@
     max_tokens: u64,
     /// Whether the call starts the program.
     pub(crate) starts_program: bool,
-    /// Address of the host that made the reservation; `None` when it is this host.
-    owner: Option<SocketAddr>,
+    /// Address of the budget owner that made the reservation; `None` when this host made it.
+    remote_owner: Option<SocketAddr>,
 }
 
 /// Tokens that this host has reserved for a call of another host.
@@ -154,13 +159,13 @@
     request: ReservationRequest,
 ) -> Result<Reservation, ReservationError> {
     let deadline = Instant::now() + RESERVATION_TIMEOUT.min(request.time_left);
-    let owner = remote_budget_owner(shared, &request.program);
+    let remote_owner = remote_budget_owner(shared, &request.program);
     let mut response = ReservationResponse::StoreTimeout;
-    if let Some(address) = owner {
+    if let Some(address) = remote_owner {
         let owner_response = reserve_at_owner(shared, address, &request, deadline).await;
         match owner_response {
             Some(ReservationResponse::Reserved { starts_program }) => {
-                return Ok(request.into_reservation(starts_program, owner));
+                return Ok(request.into_reservation(starts_program, remote_owner));
             }
             Some(ReservationResponse::Deferred(retry_after)) => {
                 return Err(ReservationError::Deferred { retry_after });
@@ -180,8 +185,8 @@
         }
     }
     let has_time_left = Instant::now() < deadline;
-    if owner.is_none() || has_time_left {
-        response = reserve_locally(shared, &request, owner.is_none(), deadline).await;
+    if remote_owner.is_none() || has_time_left {
+        response = reserve_locally(shared, &request, remote_owner.is_none(), deadline).await;
     }
     match response {
         ReservationResponse::Reserved { starts_program } => {
@@ -202,7 +207,7 @@
 
 /// Settles a reservation: counts the used tokens as spent and returns the rest to the budget.
 pub(crate) fn release(shared: &Arc<Shared>, reservation: Reservation, used_tokens: u64) {
-    match reservation.owner {
+    match reservation.remote_owner {
         None => {
             let now = Instant::now();
             let mut tables = shared.tables();
@@ -236,6 +241,7 @@
 
 /// Handles a reservation request of another host.
 pub(crate) async fn handle_reserve(shared: &Shared, request: ReservationRequest) -> ReservationResponse {
+    // Tokens are reserved only once for each call id.
     if shared.tables().remote_reservations.contains_key(&request.call_id) {
         return ReservationResponse::Reserved {
             starts_program: false,
@@ -287,19 +293,19 @@
 }
 
 impl ReservationRequest {
-    fn into_reservation(self, starts_program: bool, owner: Option<SocketAddr>) -> Reservation {
+    fn into_reservation(self, starts_program: bool, remote_owner: Option<SocketAddr>) -> Reservation {
         Reservation {
             call_id: self.call_id,
             program: self.program,
             max_tokens: self.max_tokens,
             starts_program,
-            owner,
+            remote_owner,
         }
     }
 }
 
-/// Returns the address of a program's budget owner, or `None` when it is this host or has no recent report.
-/// A stopping host does not own any budget.
+/// Returns the address of a program's budget owner; `None` when this host owns the budget, or when the owner
+/// is not live. A host that is shutting down owns no budget.
 fn remote_budget_owner(shared: &Shared, program: &str) -> Option<SocketAddr> {
     let peers = shared.peers.borrow();
     let this = (!shared.is_stopping()).then(|| shared.host.clone());
@@ -318,14 +324,17 @@
 /// `None` when the owner does not respond.
 async fn reserve_at_owner(
     shared: &Shared,
-    owner: SocketAddr,
+    remote_owner: SocketAddr,
     request: &ReservationRequest,
     deadline: Instant,
 ) -> Option<ReservationResponse> {
     loop {
         let call = PeerCall::Reserve(request.clone());
         let response_timeout = REMOTE_WAIT_MAX + REMOTE_RESPONSE_MARGIN;
-        let result = shared.peer_client.call(owner, &call, response_timeout).await;
+        let result = shared
+            .peer_client
+            .call(remote_owner, &call, response_timeout)
+            .await;
         match result {
             Ok(PeerResponse::Reservation(
                 response @ (ReservationResponse::FullyReserved | ReservationResponse::StoreTimeout),
@@ -340,14 +349,15 @@
     }
 }
 
-/// Returns whether store writes have failed for at least [`STORE_FAILING_MIN`], so that waiting for a write
-/// is futile. The writer keeps retrying.
+/// Returns whether store writes have failed for at least [`STORE_FAILING_MIN`]. Calls then do not wait for a
+/// write, but the writer continues to retry.
 fn store_writes_are_failing(shared: &Shared) -> bool {
     let failing_since = shared.tables().writes_failing_since;
     failing_since.is_some_and(|at| at.elapsed() >= STORE_FAILING_MIN)
 }
 
-/// Returns the refusal for a program that has not started and must not start now.
+/// Returns the refusal of a request that would start a program which must not start now; `None` when the
+/// program has started or may start.
 fn check_program_start(shared: &Shared, request: &ReservationRequest) -> Option<ReservationResponse> {
     let mut tables = shared.tables();
     if tables.ledger.is_tracked(&request.program) {
@@ -415,9 +425,9 @@
     loop {
         let mut changed = pin!(shared.reservations_changed.notified());
         changed.as_mut().enable();
-        let need = shared.tables().ledger.take(program, request.max_tokens);
+        let readiness = shared.tables().ledger.take(program, request.max_tokens);
         let time_left = deadline.saturating_duration_since(Instant::now());
-        match need {
+        match readiness {
             Readiness::Ready => return ReservationResponse::Reserved { starts_program },
             Readiness::Spent => return ReservationResponse::BudgetExhausted,
             Readiness::AwaitRoom if time_left.is_zero() => return ReservationResponse::FullyReserved,
@@ -426,8 +436,8 @@
             }
             Readiness::AwaitWrite if time_left.is_zero() => return ReservationResponse::StoreTimeout,
             Readiness::AwaitRoom => {
-                // Calls of this host trigger the notification when they release tokens. Tokens released by
-                // other hosts are only visible in the store.
+                // Calls that release tokens at this host send the notification. Tokens released by other
+                // hosts are visible only in the store.
                 let _ended = timeout(time_left.min(BUDGET_RECHECK_INTERVAL), changed).await;
                 let is_recheck_due = shared.tables().ledger.should_poll(program, Instant::now());
                 if is_recheck_due {
--- a/crates/burdockroad-gateway/src/reservations.rs
+++ b/crates/burdockroad-gateway/src/reservations.rs
@@ -57,7 +57,6 @@
 }
 
 /// A host's reservation as stored.
-
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 struct WireReservation {
@@ -68,7 +67,7 @@
     write_id: u64,
 }
 
-/// Reads a budget from the store again, to find tokens that other hosts have released.
+/// Reads a budget from the store again, because other hosts may have released tokens there.
 pub(crate) async fn refresh_budget(shared: &Shared, program: &ProgramId) {
     let key = budget_key(program);
     let Ok(snapshot) = shared.store.read_range(&key).await else {
@@ -88,7 +87,7 @@
         shared,
         lease: None,
         backoff: BACKOFF_INITIAL,
-        evicted_at: Instant::now(),
+        last_eviction_at: Instant::now(),
     };
     loop {
         // Wakes when a call waits for a reservation, or when released tokens are due to be written.
@@ -104,7 +103,7 @@
     shared: Arc<Shared>,
     lease: Option<OpenLease>,
     backoff: Duration,
-    evicted_at: Instant,
+    last_eviction_at: Instant,
 }
 
 /// A lease that new keys are attached to.
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Records since when writes have failed.
+    /// Updates the start of the current series of failed writes.
     fn record_write_result(&self, succeeded: bool) {
         let mut tables = self.shared.tables();
         if succeeded {
@@ -151,10 +150,10 @@
 
     fn evict_idle(&mut self) {
         let now = Instant::now();
-        if now < self.evicted_at + EVICTION_INTERVAL {
+        if now < self.last_eviction_at + EVICTION_INTERVAL {
             return;
         }
-        self.evicted_at = now;
+        self.last_eviction_at = now;
         self.shared.tables().ledger.evict_idle(now);
     }
 
@@ -173,7 +172,8 @@
     }
 
     /// Returns the lease for new keys. The store deletes a program's key when the lease of its last write
-    /// expires, which is at least [`LEASE_LIFETIME_MIN`] minus [`LEASE_REUSE_TIME`] after the write.
+    /// expires. This happens at the earliest [`LEASE_LIFETIME_MIN`] minus [`LEASE_REUSE_TIME`] after the
+    /// write.
     async fn lease(&mut self) -> Result<LeaseId, StoreError> {
         let now = Instant::now();
         if let Some(lease) = self
@@ -187,7 +187,8 @@
         Ok(id)
     }
 
-    /// Returns twice the longest retention of all routes plus [`LEASE_REUSE_TIME`], within the limits.
+    /// Returns twice the longest retention of all routes plus [`LEASE_REUSE_TIME`], but at least
+    /// [`LEASE_LIFETIME_MIN`] and at most [`LEASE_LIFETIME_MAX`].
     fn lease_lifetime(&self) -> Duration {
         let tables = self.shared.tables();
         let routes = tables
@@ -220,16 +221,16 @@
         for write in writes {
             let response = match result {
                 Ok(WriteOutcome::Done(revision)) => StoreResponse::Written(*revision),
-                Ok(WriteOutcome::Conflict(_)) => self.conflict_result(write, &states_by_key),
+                Ok(WriteOutcome::Conflict(_)) => self.conflict_response(write, &states_by_key),
                 Ok(WriteOutcome::LeaseEnded) | Err(_) => StoreResponse::Indeterminate,
             };
             self.shared.tables().ledger.complete(&write.program, response);
         }
     }
 
-    /// Returns the result of a conflicting write for one of its programs. The conflict may concern only the
-    /// key of another program in the same batch.
-    fn conflict_result(
+    /// Returns the response for one program of a batch that was refused with a conflict. The conflicting key
+    /// may belong to another program of the batch.
+    fn conflict_response(
         &self,
         write: &BudgetWrite,
         states_by_key: &HashMap<&str, Option<&Entry>>,
