--- a/crates/burdockroad-gateway/src/decision_log.rs
+++ b/crates/burdockroad-gateway/src/decision_log.rs
@@ -1,8 +1,8 @@
 //! Log with one structured line per decision, written to standard output.
 //!
-//! Lines are added to a bounded buffer, which a separate thread writes out. If the reader stops reading, lines
-//! are dropped, but calls are never delayed. Lines are not written directly because a full pipe would block
-//! the calls.
+//! Calls add their lines to a bounded buffer, and a separate thread writes the buffer out. If standard
+//! output is not read, lines are dropped, but calls are never delayed. Calls do not write their lines
+//! directly because a full pipe would block them.
 
 use std::{
     io::{self, Write},
@@ -19,7 +19,7 @@
 /// Time for which lines are collected before each write.
 const COLLECTION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Structured log that never blocks on its reader. Clones share one buffer.
+/// Structured log that never blocks the calls. Clones share one buffer.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     inner: Arc<Inner>,
--- a/crates/burdockroad-gateway/src/follow.rs
+++ b/crates/burdockroad-gateway/src/follow.rs
@@ -24,8 +24,8 @@
     shared::{Shared, Tables},
 };
 
-/// Longest time of one watch request. The store may report only at the end of a watch that the history was
-/// truncated during it, so watches are short.
+/// Longest time of one watch request. If the store truncates the history during a watch, it may report this
+/// only when the watch ends, so watches are short.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Fraction of [`WATCH_TIMEOUT`] by which timeouts vary, so that watchers do not send requests in lockstep.
@@ -40,8 +40,8 @@
 /// Longest backoff after a failed call.
 const BACKOFF_MAX: Duration = Duration::from_millis(400);
 
-/// Time after the process start in which the first reports of the other hosts arrive. A host does not become
-/// a watcher before.
+/// Time after the process start in which the first reports of the other hosts arrive. Until then, the host
+/// does not become a watcher.
 const FIRST_REPORTS_TIME: Duration = Duration::from_millis(350);
 
 /// Interval at which a host checks whether it should become a watcher.
@@ -143,7 +143,7 @@
 /// A range is announced if the last response of the store for it is younger than [`RESPONSE_AGE_MAX`].
 pub(crate) fn watched_ranges(shared: &Shared) -> Vec<(String, Revision)> {
     let now = Instant::now();
-    let current: Vec<(String, Revision)> = {
+    let recent_ranges: Vec<(String, Revision)> = {
         let tables = shared.tables();
         let ranges = tables.range_logs.iter().filter(|(prefix, _)| {
             let responded_at = tables.range_responded_at.get(*prefix);
@@ -153,23 +153,23 @@
             .map(|(prefix, log)| (prefix.clone(), log.last_change()))
             .collect()
     };
-    let mut watched = current;
+    let mut watched = recent_ranges;
     watched.retain(|(prefix, _)| is_watcher(shared, prefix));
     watched
 }
 
 /// Waits at most [`ROLE_CHECK_INTERVAL`] for a watcher to announce a newer change than `after`, and applies
-/// its updates. Returns the revision up to which the range is then up to date.
+/// its updates. Returns the revision up to which the range has then been applied.
 async fn follow_watcher(shared: &Shared, subscriber: &mut dyn RangeSubscriber, after: Revision) -> Revision {
     let mut announced = pin!(shared.range_announced.notified());
     announced.as_mut().enable();
-    let source = shared.tables().announced_ranges.get(subscriber.prefix()).copied();
-    let Some(source) = source.filter(|source| source.last_change > after) else {
-        // The caller checks after each wait whether this host should watch.
+    let announcement = shared.tables().announced_ranges.get(subscriber.prefix()).copied();
+    let Some(announcement) = announcement.filter(|announcement| announcement.last_change > after) else {
+        // After each wait, the caller rechecks whether this host should watch.
         let _ended = timeout(ROLE_CHECK_INTERVAL, announced).await;
         return after;
     };
-    if let Some(as_of) = fetch_updates(shared, subscriber, source.address, after).await {
+    if let Some(as_of) = fetch_updates(shared, subscriber, announcement.address, after).await {
         return as_of;
     }
     metrics::counter!("burdockroad_range_news_failed_total").increment(1);
@@ -332,7 +332,7 @@
         })
     }
 
-    /// Extends the time in which missing endpoints may register again to the time that a watcher reports.
+    /// Extends the time in which missing endpoints may register again to a watcher's, if that is longer.
     fn extend_reregistration(&mut self, reregistration_time: Duration, now: Instant) {
         if reregistration_time > self.reregistration_time(now) {
             self.store_recovered_at =
--- a/crates/burdockroad-gateway/src/hosts.rs
+++ b/crates/burdockroad-gateway/src/hosts.rs
@@ -38,7 +38,7 @@
     incarnation: Incarnation,
 }
 
-/// Another host.
+/// Another registered host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Peer {
     /// Address for reports and calls.
@@ -86,7 +86,8 @@
         });
     }
 
-    /// Updates the tables after a change of the hosts. All registered hosts share the accounts' rate limits.
+    /// Updates the tables after a change of the registered hosts. The hosts share the accounts' rate limits and
+    /// divide the budgets among themselves.
     fn update_tables(&self) {
         let peers: Vec<HostId> = self.shared.peers.borrow().keys().cloned().collect();
         let mut tables = self.shared.tables();
@@ -158,7 +159,8 @@
     }
 }
 
-/// Deregisters this host, so that the other hosts take over its share.
+/// Deregisters this host, so that the other hosts take over its share of the rate limits, and releases the
+/// tokens that it has reserved but does not use.
 async fn deregister(shared: &Shared, lease: LeaseId) {
     if let Err(error) = shared.store.end_lease(lease).await {
         let reason = error.to_string();
--- a/crates/burdockroad-gateway/src/lib.rs
+++ b/crates/burdockroad-gateway/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! * [`run`] runs a host with the given [`HostOptions`].
 //! * [`Dialect`] translates headers and stored values, and [`SharedStore`] is the interface of the store.
-//! * [`DecisionLog`] writes one line for each decision and never blocks.
+//! * [`DecisionLog`] writes one log line for each decision and never blocks the calls.
 
 mod attempt;
 mod budgets;
--- a/crates/burdockroad-gateway/src/peer.rs
+++ b/crates/burdockroad-gateway/src/peer.rs
@@ -20,7 +20,7 @@
     budgets::{ReservationRequest, ReservationResponse, handle_release, handle_reserve},
     follow::{RangeUpdateResponse, range_update},
     pool::{ConnectionPool, connect},
-    relay::{StoreCall, StoreResponse, handle_store_call},
+    relay::{StoreCall, StoreCallResponse, handle_store_call},
     server::accept,
     shared::Shared,
     stream::ResponseBody,
@@ -29,7 +29,7 @@
 /// Largest body of a call between hosts.
 const MESSAGE_MAX_BYTES: usize = 2 << 20;
 
-/// Time after which an idle connection from another host is closed.
+/// Time after which this host closes an idle connection from another host.
 const IDLE_MAX: Duration = Duration::from_secs(10);
 
 /// Maximum number of idle connections to one host.
@@ -66,7 +66,7 @@
 #[derive(Serialize, Deserialize)]
 pub(crate) enum PeerResponse {
     /// Response of the store.
-    Store(StoreResponse),
+    Store(StoreCallResponse),
     /// Updates of the range; `None` when the responding host has not read it.
     #[serde(rename = "RangeNews")]
     RangeUpdate(Option<RangeUpdateResponse>),
@@ -93,24 +93,27 @@
 }
 
 impl PeerClient {
-    /// Calls the host at `address`. The timeout applies to the connection, the head and the body separately.
+    /// Calls the host at `address`. Connecting, receiving the response head and receiving the body may each
+    /// take up to `response_timeout`.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
         call: &PeerCall,
         response_timeout: Duration,
     ) -> Result<PeerResponse, PeerError> {
-        let name = address.to_string();
+        let pool_key = address.to_string();
         let mut request = encode(call)?;
-        if let Some(mut connection) = self.pool.take(&name, Instant::now()) {
+        if let Some(mut connection) = self.pool.take(&pool_key, Instant::now()) {
             let result = timeout(response_timeout, connection.try_send_request(request)).await;
             match result {
-                Ok(Ok(response)) => return self.read(&name, connection, response, response_timeout).await,
+                Ok(Ok(response)) => {
+                    return self.read(&pool_key, connection, response, response_timeout).await;
+                }
                 Ok(Err(mut unsent)) => {
                     request = unsent.take_message().ok_or(PeerError::NoResponse)?;
                 }
                 Err(_elapsed) => {
-                    self.pool.close_idle(&name);
+                    self.pool.close_idle(&pool_key);
                     return Err(PeerError::NoResponse);
                 }
             }
@@ -119,14 +122,14 @@
         let mut connection = connecting.map_err(|_unreachable| PeerError::Unreachable)?;
         let result = timeout(response_timeout, connection.send_request(request)).await;
         match result {
-            Ok(Ok(response)) => self.read(&name, connection, response, response_timeout).await,
+            Ok(Ok(response)) => self.read(&pool_key, connection, response, response_timeout).await,
             Ok(Err(_)) | Err(_) => Err(PeerError::NoResponse),
         }
     }
 
     async fn read(
         &self,
-        name: &str,
+        pool_key: &str,
         connection: crate::pool::Connection,
         response: Response<Incoming>,
         response_timeout: Duration,
@@ -136,7 +139,8 @@
             return Err(PeerError::NoResponse);
         };
         let now = Instant::now();
-        self.pool.put(name, connection, None, IDLE_CONNECTIONS_MAX, now);
+        self.pool
+            .put(pool_key, connection, None, IDLE_CONNECTIONS_MAX, now);
         ciborium::from_reader(&*body.to_bytes()).map_err(|_malformed| PeerError::NoResponse)
     }
 }
--- a/crates/burdockroad-gateway/src/pool.rs
+++ b/crates/burdockroad-gateway/src/pool.rs
@@ -19,33 +19,33 @@
 /// handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest time for which an idle connection is reused, also when its endpoint does not announce a
-/// keep-alive time.
+/// Longest time for which an idle connection is reused, whether or not the endpoint announces a keep-alive
+/// time.
 const IDLE_MAX: Duration = Duration::from_secs(4);
 
 /// Fraction of an endpoint's announced keep-alive time for which an idle connection is reused.
 const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
-/// HTTP/1.1 connection, which carries one call at a time.
+/// HTTP/1.1 connection. It carries one call at a time.
 pub(crate) type Connection = SendRequest<Full<Bytes>>;
 
 /// Idle connections, by endpoint id or host address.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
-    idle: Mutex<HashMap<EndpointId, Vec<Idle>>>,
+    idle: Mutex<HashMap<EndpointId, Vec<IdleConnection>>>,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     expires_at: Instant,
 }
 
 impl ConnectionPool {
-    /// Takes the most recently used connection that can still be reused.
-    pub(crate) fn take(&self, endpoint: &str, now: Instant) -> Option<Connection> {
+    /// Takes the most recently used connection to an endpoint or host that can still be reused.
+    pub(crate) fn take(&self, pool_key: &str, now: Instant) -> Option<Connection> {
         let mut idle = self.lock_idle();
-        let connections = idle.get_mut(endpoint)?;
+        let connections = idle.get_mut(pool_key)?;
         while let Some(last) = connections.pop() {
             if last.expires_at > now && last.connection.is_ready() {
                 return Some(last.connection);
@@ -55,10 +55,10 @@
     }
 
     /// Returns a connection to the pool after its response was read completely. At most `max_idle`
-    /// connections are retained for one endpoint.
+    /// connections are retained for one endpoint or host.
     pub(crate) fn put(
         &self,
-        endpoint: &str,
+        pool_key: &str,
         connection: Connection,
         keep_alive: Option<Duration>,
         max_idle: usize,
@@ -71,22 +71,22 @@
             keep_alive_time.mul_f64(KEEP_ALIVE_FRACTION).min(IDLE_MAX)
         });
         let mut idle = self.lock_idle();
-        let connections = idle.entry(endpoint.to_owned()).or_default();
+        let connections = idle.entry(pool_key.to_owned()).or_default();
         connections.retain(|idle| idle.expires_at > now && !idle.connection.is_closed());
         if connections.len() < max_idle {
-            connections.push(Idle {
+            connections.push(IdleConnection {
                 connection,
                 expires_at: now + idle_time,
             });
         }
     }
 
-    /// Closes the idle connections to an endpoint.
-    pub(crate) fn close_idle(&self, endpoint: &str) {
-        self.lock_idle().remove(endpoint);
+    /// Closes the idle connections to an endpoint or host.
+    pub(crate) fn close_idle(&self, pool_key: &str) {
+        self.lock_idle().remove(pool_key);
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes the idle connections that have expired.
     pub(crate) fn remove_expired(&self, now: Instant) {
         let mut idle = self.lock_idle();
         for connections in idle.values_mut() {
@@ -95,12 +95,12 @@
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    fn lock_idle(&self) -> MutexGuard<'_, HashMap<EndpointId, Vec<Idle>>> {
+    fn lock_idle(&self) -> MutexGuard<'_, HashMap<EndpointId, Vec<IdleConnection>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Opens a connection to an endpoint.
+/// Opens a connection to an endpoint or another host.
 pub(crate) async fn connect(address: SocketAddr, time_limit: Duration) -> io::Result<Connection> {
     let connecting = TcpStream::connect(address);
     let stream = timeout(CONNECT_TIMEOUT.min(time_limit), connecting)
--- a/crates/burdockroad-gateway/src/process.rs
+++ b/crates/burdockroad-gateway/src/process.rs
@@ -120,7 +120,7 @@
     let open_connections = Arc::new(OpenConnections::default());
     let (close_idle, closing) = watch::channel(false);
     start_listeners(&options, &shared, &open_connections, closing).await?;
-    start_followers(&options, &shared).await?;
+    start_background_tasks(&options, &shared).await?;
     if signals.stop.recv().await.is_none() {
         std::future::pending::<()>().await;
     }
@@ -153,7 +153,7 @@
     Ok(())
 }
 
-async fn start_followers(options: &HostOptions, shared: &Arc<Shared>) -> Result<(), HostError> {
+async fn start_background_tasks(options: &HostOptions, shared: &Arc<Shared>) -> Result<(), HostError> {
     let socket = reports::bind(options.peer_address)
         .await
         .map_err(|cause| HostError {
@@ -190,7 +190,7 @@
         .map_err(|cause| HostError { address, cause })
 }
 
-/// Moves callers to other hosts, completes the calls in progress, and returns within the grace period.
+/// Lets callers move to other hosts, completes the calls in progress, and returns within the grace period.
 async fn stop(
     options: &HostOptions,
     shared: &Shared,
--- a/crates/burdockroad-gateway/src/relay.rs
+++ b/crates/burdockroad-gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Reaches the store through another host when the store refuses this host.
+//! Reaches the store through another host when the store does not serve this host.
 //!
 //! The store may refuse some hosts and serve the others. A refused host relays its calls through a host that
 //! is served, and probes the store every [`PROBE_INTERVAL`] until it is served again.
@@ -23,13 +23,14 @@
 /// Time added to the timeout of a store call when another host relays it.
 const RELAY_MARGIN: Duration = Duration::from_millis(300);
 
-/// Age at which another host's report that the store serves it expires.
+/// Maximum age of a host's report that the store serves it. Calls are not relayed through hosts with older
+/// reports.
 const SERVING_REPORT_AGE_MAX: Duration = Duration::from_millis(600);
 
 /// Interval between two probes of a store that refuses this host.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Prefix without keys, which is read to probe the store.
+/// Prefix of the probe reads. No key starts with it.
 const PROBE_PREFIX: &str = "burdockroad/none/";
 
 /// A call to the store, as sent to a relaying host.
@@ -62,7 +63,7 @@
 /// Response to a [`StoreCall`].
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
-pub(crate) enum StoreResponse {
+pub(crate) enum StoreCallResponse {
     Range(RangeSnapshot),
     Changes(Changes),
     #[serde(rename = "Written")]
@@ -88,9 +89,9 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Time of the last refused call; `None` while the store serves this host.
-    refused_at: Option<Instant>,
-    /// Hosts that the store serves, with the time of their last report.
+    /// Time of this host's last direct call that failed; `None` while the store serves this host.
+    direct_call_failed_at: Option<Instant>,
+    /// Hosts that the store serves, with the time at which they last reported this.
     served_peers: HashMap<SocketAddr, Instant>,
 }
 
@@ -111,7 +112,7 @@
 
     /// Returns whether the store serves this host itself.
     pub(crate) fn is_served_directly(&self) -> bool {
-        self.state().refused_at.is_none()
+        self.state().direct_call_failed_at.is_none()
     }
 
     /// Records another host's report on whether the store serves it.
@@ -138,12 +139,12 @@
     }
 
     /// Makes a call directly if the store serves this host, otherwise through another host.
-    async fn call(&self, call: StoreCall) -> Result<StoreResponse, StoreError> {
+    async fn call(&self, call: StoreCall) -> Result<StoreCallResponse, StoreError> {
         if self.is_served_directly() {
             let response = handle_store_call(&*self.direct, call.clone()).await;
             match response {
-                StoreResponse::Unavailable(reason) => self.record_direct_result(Some(reason)),
-                StoreResponse::Ambiguous(reason) => {
+                StoreCallResponse::Unavailable(reason) => self.record_direct_result(Some(reason)),
+                StoreCallResponse::Ambiguous(reason) => {
                     self.record_direct_result(Some(reason.clone()));
                     if call.must_not_repeat() {
                         return Err(StoreError::Ambiguous { reason });
@@ -155,7 +156,7 @@
         self.call_through_peer(call).await
     }
 
-    async fn call_through_peer(&self, call: StoreCall) -> Result<StoreResponse, StoreError> {
+    async fn call_through_peer(&self, call: StoreCall) -> Result<StoreCallResponse, StoreError> {
         let Some(peer) = self.pick_peer() else {
             return Err(unavailable("no other host reports access to the store"));
         };
@@ -167,8 +168,8 @@
             .call(peer, &PeerCall::Store(call), response_timeout)
             .await;
         match result {
-            Ok(PeerResponse::Store(StoreResponse::Unavailable(reason))) => Err(unavailable(&reason)),
-            Ok(PeerResponse::Store(StoreResponse::Ambiguous(reason))) => {
+            Ok(PeerResponse::Store(StoreCallResponse::Unavailable(reason))) => Err(unavailable(&reason)),
+            Ok(PeerResponse::Store(StoreCallResponse::Ambiguous(reason))) => {
                 Err(StoreError::Ambiguous { reason })
             }
             Ok(PeerResponse::Store(response)) => Ok(response),
@@ -200,14 +201,14 @@
     }
 
     /// Records the result of a direct call, and logs when the store starts or stops serving this host.
-    fn record_direct_result(&self, refusal_reason: Option<String>) {
+    fn record_direct_result(&self, failure_reason: Option<String>) {
         let mut state = self.state();
-        let was_refused = state.refused_at.is_some();
-        state.refused_at = refusal_reason.as_ref().map(|_| Instant::now());
+        let was_failing = state.direct_call_failed_at.is_some();
+        state.direct_call_failed_at = failure_reason.as_ref().map(|_| Instant::now());
         drop(state);
-        match refusal_reason {
-            Some(reason) if !was_refused => self.log.line("store_refuses", &StoreStateLine { reason }),
-            None if was_refused => self.log.line(
+        match failure_reason {
+            Some(reason) if !was_failing => self.log.line("store_refuses", &StoreStateLine { reason }),
+            None if was_failing => self.log.line(
                 "store_serves",
                 &StoreStateLine {
                     reason: String::new(),
@@ -227,7 +228,7 @@
     async fn read_range(&self, prefix: &str) -> Result<RangeSnapshot, StoreError> {
         let prefix = prefix.to_owned();
         match self.call(StoreCall::ReadRange { prefix }).await? {
-            StoreResponse::Range(snapshot) => Ok(snapshot),
+            StoreCallResponse::Range(snapshot) => Ok(snapshot),
             _ => Err(unexpected_response()),
         }
     }
@@ -235,7 +236,7 @@
     async fn changes(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes, StoreError> {
         let prefix = prefix.to_owned();
         match self.call(StoreCall::Changes { prefix, after, wait }).await? {
-            StoreResponse::Changes(changes) => Ok(changes),
+            StoreCallResponse::Changes(changes) => Ok(changes),
             _ => Err(unexpected_response()),
         }
     }
@@ -243,35 +244,35 @@
     async fn write_all(&self, writes: &[ConditionalWrite]) -> Result<WriteOutcome, StoreError> {
         let writes = writes.to_vec();
         match self.call(StoreCall::WriteAll { writes }).await? {
-            StoreResponse::WriteOutcome(outcome) => Ok(outcome),
+            StoreCallResponse::WriteOutcome(outcome) => Ok(outcome),
             _ => Err(unexpected_response()),
         }
     }
 
     async fn open_lease(&self, lifetime: Duration) -> Result<LeaseId, StoreError> {
         match self.call(StoreCall::OpenLease { lifetime }).await? {
-            StoreResponse::Lease(lease) => Ok(lease),
+            StoreCallResponse::Lease(lease) => Ok(lease),
             _ => Err(unexpected_response()),
         }
     }
 
     async fn renew_lease(&self, lease: LeaseId) -> Result<bool, StoreError> {
         match self.call(StoreCall::RenewLease { lease }).await? {
-            StoreResponse::Renewed(renewed) => Ok(renewed),
+            StoreCallResponse::Renewed(renewed) => Ok(renewed),
             _ => Err(unexpected_response()),
         }
     }
 
     async fn end_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         match self.call(StoreCall::EndLease { lease }).await? {
-            StoreResponse::Ended => Ok(()),
+            StoreCallResponse::Ended => Ok(()),
             _ => Err(unexpected_response()),
         }
     }
 }
 
 impl StoreCall {
-    /// Returns whether repeating the call may have another effect than making it once.
+    /// Returns whether a repeated call may have a different effect from a single one.
     fn must_not_repeat(&self) -> bool {
         matches!(self, Self::WriteAll { .. })
     }
@@ -286,21 +287,24 @@
 }
 
 /// Makes a call to the store and converts its result to a response.
-pub(crate) async fn handle_store_call(store: &dyn SharedStore, call: StoreCall) -> StoreResponse {
+pub(crate) async fn handle_store_call(store: &dyn SharedStore, call: StoreCall) -> StoreCallResponse {
     let response = match call {
-        StoreCall::ReadRange { prefix } => store.read_range(&prefix).await.map(StoreResponse::Range),
+        StoreCall::ReadRange { prefix } => store.read_range(&prefix).await.map(StoreCallResponse::Range),
         StoreCall::Changes { prefix, after, wait } => store
             .changes(&prefix, after, wait)
             .await
-            .map(StoreResponse::Changes),
-        StoreCall::WriteAll { writes } => store.write_all(&writes).await.map(StoreResponse::WriteOutcome),
-        StoreCall::OpenLease { lifetime } => store.open_lease(lifetime).await.map(StoreResponse::Lease),
-        StoreCall::RenewLease { lease } => store.renew_lease(lease).await.map(StoreResponse::Renewed),
-        StoreCall::EndLease { lease } => store.end_lease(lease).await.map(|()| StoreResponse::Ended),
+            .map(StoreCallResponse::Changes),
+        StoreCall::WriteAll { writes } => store
+            .write_all(&writes)
+            .await
+            .map(StoreCallResponse::WriteOutcome),
+        StoreCall::OpenLease { lifetime } => store.open_lease(lifetime).await.map(StoreCallResponse::Lease),
+        StoreCall::RenewLease { lease } => store.renew_lease(lease).await.map(StoreCallResponse::Renewed),
+        StoreCall::EndLease { lease } => store.end_lease(lease).await.map(|()| StoreCallResponse::Ended),
     };
     response.unwrap_or_else(|error| match error {
-        StoreError::Unavailable { reason, .. } => StoreResponse::Unavailable(reason),
-        StoreError::Ambiguous { reason } => StoreResponse::Ambiguous(reason),
+        StoreError::Unavailable { reason, .. } => StoreCallResponse::Unavailable(reason),
+        StoreError::Ambiguous { reason } => StoreCallResponse::Ambiguous(reason),
     })
 }
 
--- a/crates/burdockroad-gateway/src/reports.rs
+++ b/crates/burdockroad-gateway/src/reports.rs
@@ -1,10 +1,9 @@
 //! Reports the calls that this host admits to the other hosts.
 //!
 //! A report is sent to each host of the same failure domain and to one host of each other domain, which
-//! forwards it within its domain, because traffic between failure domains is paid for. Reports are
-//! cumulative and small, so they are sent as datagrams, and a lost one is made up for by the next. Streams
-//! between the hosts are not used because a report that waits for the retransmission of an older one is
-//! useless.
+//! forwards it within its domain, because traffic between failure domains is billed. Reports are cumulative
+//! and small, so they are sent as datagrams, and each report replaces a lost one before it. TCP streams are
+//! not used because a report would wait for the retransmission of an older one and arrive outdated.
 
 use std::{
     io,
@@ -35,7 +34,7 @@
 /// Maximum number of accounts in one datagram, which keeps it below the usual packet size.
 const ACCOUNTS_MAX: usize = 24;
 
-/// Size of the receive buffer.
+/// Size of the receive buffer. A longer datagram is truncated, and then counted as unreadable.
 const DATAGRAM_MAX_BYTES: usize = 4096;
 
 /// First byte of a datagram that is meant only for its receiver.
@@ -51,14 +50,14 @@
     incarnation: u64,
     /// Time since the start of the host's process, in milliseconds.
     running_ms: u64,
-    /// Whether the store serves the host without relaying.
+    /// Whether the store serves the host without a relaying host.
     #[serde(rename = "store_serves")]
-    has_direct_store_access: bool,
+    is_served_directly: bool,
     /// Calls in flight at endpoints; only in the first datagram of a report.
     in_flight: Option<Vec<WireCalls>>,
     /// Ranges that the host watches; only in the first datagram of a report.
     ranges: Vec<WireRange>,
-    accounts: Vec<WireUse>,
+    accounts: Vec<WireUsage>,
 }
 
 /// A watched range and the revision of its last change.
@@ -70,10 +69,10 @@
     last_change: Revision,
 }
 
-/// Use of one account's rate limit. The names on the wire are short because a report is sent to every host
+/// Usage of one account's rate limit. The names on the wire are short because a report is sent to every host
 /// about seven times a second.
 #[derive(Serialize, Deserialize)]
-struct WireUse {
+struct WireUsage {
     #[serde(rename = "n")]
     account: String,
     #[serde(rename = "a")]
@@ -106,7 +105,7 @@
 pub(crate) async fn send_reports(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut ticks = interval(REPORT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    // A random start keeps hosts that started together from choosing the same forwarding host.
+    // The random start value prevents hosts that started together from all choosing the same forwarding host.
     let mut round_number = rand::random::<u16>().into();
     loop {
         tokio::select! {
@@ -114,7 +113,7 @@
             () = shared.report_now.notified() => {}
         }
         round_number += 1;
-        let (local, remote) = addresses(&shared, round_number);
+        let (local, remote) = report_addresses(&shared, round_number);
         for report in wire_reports(&shared) {
             send_all(&socket, DELIVER, &report, &local).await;
             send_all(&socket, FORWARD, &report, &remote).await;
@@ -123,7 +122,7 @@
 }
 
 /// Returns the addresses of the hosts in this failure domain, and of the forwarding hosts in the others.
-fn addresses(shared: &Shared, round_number: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+fn report_addresses(shared: &Shared, round_number: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
     let peers = shared.peers.borrow();
     let locations: Vec<HostLocation> = peers
         .iter()
@@ -145,7 +144,7 @@
     datagram.push(kind);
     datagram.extend_from_slice(report);
     for address in addresses {
-        // The next report makes up for a failed one.
+        // The reports are cumulative, so the next one replaces a report that was not sent.
         if socket.send_to(&datagram, address).await.is_err() {
             metrics::counter!("burdockroad_reports_unsent_total").increment(1);
         }
@@ -170,7 +169,7 @@
             continue;
         };
         if *kind == FORWARD {
-            let (local, _far) = addresses(&shared, 0);
+            let (local, _remote) = report_addresses(&shared, 0);
             send_all(&socket, DELIVER, bytes, &local).await;
         }
         apply_report(&shared, report);
@@ -184,9 +183,7 @@
     let Some(address) = address else {
         return;
     };
-    shared
-        .store
-        .record_peer(address, report.has_direct_store_access, now);
+    shared.store.record_peer(address, report.is_served_directly, now);
     let mut tables = shared.tables();
     if let Some(in_flight) = report.calls() {
         tables.endpoints.record_peer(&report.host, &in_flight, now);
@@ -200,8 +197,8 @@
 }
 
 impl Tables {
-    /// Records the ranges that another host announces. Returns whether a range has a newer change than
-    /// announced before.
+    /// Records the ranges that another host announces. Returns whether any range has a newer change than in
+    /// all earlier announcements.
     fn record_ranges(&mut self, ranges: &[WireRange], address: SocketAddr, now: Instant) -> bool {
         let mut is_newer = false;
         for range in ranges {
@@ -224,22 +221,26 @@
 
 impl WireReport {
     fn calls(&self) -> Option<Vec<EndpointCalls>> {
-        let calls = self.in_flight.as_ref()?.iter().map(|in_flight| EndpointCalls {
-            endpoint: in_flight.endpoint.clone(),
-            calls: in_flight.calls,
-        });
+        let calls = self
+            .in_flight
+            .as_ref()?
+            .iter()
+            .map(|endpoint_calls| EndpointCalls {
+                endpoint: endpoint_calls.endpoint.clone(),
+                calls: endpoint_calls.calls,
+            });
         Some(calls.collect())
     }
 
     fn decode(self) -> UsageReport {
         let accounts = self.accounts.into_iter();
-        let accounts = accounts.map(|used| AccountUsage {
-            account: used.account,
-            admitted: used.admitted,
-            demand_per_s: f64::from(used.demand_per_s),
-            running_per_s: f64::from(used.running_per_s),
-            started_per_s: f64::from(used.started_per_s),
-            level: f64::from(used.level),
+        let accounts = accounts.map(|usage| AccountUsage {
+            account: usage.account,
+            admitted: usage.admitted,
+            demand_per_s: f64::from(usage.demand_per_s),
+            running_per_s: f64::from(usage.running_per_s),
+            started_per_s: f64::from(usage.started_per_s),
+            level: f64::from(usage.level),
         });
         UsageReport {
             host: self.host,
@@ -254,28 +255,28 @@
 fn wire_reports(shared: &Shared) -> Vec<Vec<u8>> {
     let ranges = watched_ranges(shared).into_iter();
     let ranges = ranges.map(|(prefix, last_change)| WireRange { prefix, last_change });
-    let has_direct_store_access = shared.store.is_served_directly();
+    let is_served_directly = shared.store.is_served_directly();
     let mut tables = shared.tables();
     let now = Instant::now();
     let report = tables.rate_limiter.report(&shared.host, shared.incarnation, now);
     let in_flight = tables.endpoints.all_in_flight();
     drop(tables);
-    let used = report.accounts.iter().filter(|used| used.demand_per_s > 0.01);
-    let used: Vec<WireUse> = used.map(wire_use).collect();
-    let mut chunks = split(used);
+    let usage = report.accounts.iter().filter(|usage| usage.demand_per_s > 0.01);
+    let usage: Vec<WireUsage> = usage.map(wire_usage).collect();
+    let mut chunks = split_accounts(usage);
     let first = WireReport {
         in_flight: Some(in_flight.into_iter().map(WireCalls::from).collect()),
         ranges: ranges.collect(),
         ..wire_report(
             &shared.host,
             &report,
-            has_direct_store_access,
+            is_served_directly,
             chunks.pop().unwrap_or_default(),
         )
     };
     let rest = chunks
         .into_iter()
-        .map(|chunk| wire_report(&shared.host, &report, has_direct_store_access, chunk));
+        .map(|chunk| wire_report(&shared.host, &report, is_served_directly, chunk));
     std::iter::once(first)
         .chain(rest)
         .filter_map(|report| encode(&report))
@@ -283,12 +284,12 @@
 }
 
 /// Splits the accounts into chunks of at most [`ACCOUNTS_MAX`].
-fn split(mut used: Vec<WireUse>) -> Vec<Vec<WireUse>> {
+fn split_accounts(mut usage: Vec<WireUsage>) -> Vec<Vec<WireUsage>> {
     let mut chunks = Vec::new();
-    while used.len() > ACCOUNTS_MAX {
-        chunks.push(used.split_off(used.len() - ACCOUNTS_MAX));
+    while usage.len() > ACCOUNTS_MAX {
+        chunks.push(usage.split_off(usage.len() - ACCOUNTS_MAX));
     }
-    chunks.push(used);
+    chunks.push(usage);
     chunks
 }
 
@@ -296,14 +297,14 @@
 fn wire_report(
     host: &HostId,
     report: &UsageReport,
-    has_direct_store_access: bool,
-    accounts: Vec<WireUse>,
+    is_served_directly: bool,
+    accounts: Vec<WireUsage>,
 ) -> WireReport {
     WireReport {
         host: host.clone(),
         incarnation: report.incarnation,
         running_ms: u64::try_from(report.uptime.as_millis()).unwrap_or(u64::MAX),
-        has_direct_store_access,
+        is_served_directly,
         in_flight: None,
         ranges: Vec::new(),
         accounts,
@@ -320,22 +321,22 @@
 }
 
 impl From<EndpointCalls> for WireCalls {
-    fn from(in_flight: EndpointCalls) -> Self {
+    fn from(endpoint_calls: EndpointCalls) -> Self {
         Self {
-            endpoint: in_flight.endpoint,
-            calls: in_flight.calls,
+            endpoint: endpoint_calls.endpoint,
+            calls: endpoint_calls.calls,
         }
     }
 }
 
 #[expect(clippy::cast_possible_truncation, reason = "demand and level are estimates")]
-fn wire_use(used: &AccountUsage) -> WireUse {
-    WireUse {
-        account: used.account.clone(),
-        admitted: used.admitted,
-        demand_per_s: used.demand_per_s as f32,
-        running_per_s: used.running_per_s as f32,
-        started_per_s: used.started_per_s as f32,
-        level: used.level as f32,
+fn wire_usage(usage: &AccountUsage) -> WireUsage {
+    WireUsage {
+        account: usage.account.clone(),
+        admitted: usage.admitted,
+        demand_per_s: usage.demand_per_s as f32,
+        running_per_s: usage.running_per_s as f32,
+        started_per_s: usage.started_per_s as f32,
+        level: usage.level as f32,
     }
 }
--- a/crates/burdockroad-gateway/src/server.rs
+++ b/crates/burdockroad-gateway/src/server.rs
@@ -152,7 +152,7 @@
     response
 }
 
-/// Accepts the next connection. Failures are counted and retried.
+/// Accepts the next connection. A failure to accept is counted and retried.
 pub(crate) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
--- a/crates/burdockroad-gateway/src/store.rs
+++ b/crates/burdockroad-gateway/src/store.rs
@@ -23,7 +23,7 @@
     /// Fails when the store does not respond in time.
     async fn read_range(&self, prefix: &str) -> Result<RangeSnapshot, StoreError>;
 
-    /// Waits at most `wait` for changes after revision `after`.
+    /// Waits at most `wait` for changes after revision `after` of keys that start with `prefix`.
     ///
     /// # Errors
     ///
@@ -122,7 +122,7 @@
     pub value: Bytes,
     /// Revision that the key must have; `None` when it must not exist.
     pub expected_revision: Option<Revision>,
-    /// Whether to write regardless of the key's revision.
+    /// Whether to write regardless of the key's revision. `expected_revision` is then ignored.
     pub unconditional: bool,
     /// Lease to attach the key to.
     pub lease: Option<LeaseId>,
--- a/crates/burdockroad-gateway/tests/range_log.rs
+++ b/crates/burdockroad-gateway/tests/range_log.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn changes_since_before_the_range_was_read_is_none() {
+fn changes_since_before_the_range_was_read_returns_none() {
     assert_eq!(RangeLog::default().changes_since(0), None);
 }
 
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn extend_beyond_the_retained_changes_returns_a_snapshot_to_hosts_far_behind() {
+fn changes_since_before_the_retained_changes_returns_a_snapshot() {
     let mut log = log_as_of_ten();
     let changes: Vec<Change> = (11..400)
         .map(|revision| Change::Put(entry("a", revision)))
