--- a/crates/burdockroad-gateway/src/hosts.rs
+++ b/crates/burdockroad-gateway/src/hosts.rs
@@ -86,8 +86,8 @@
         });
     }
 
-    /// Updates the tables after a change of the registered hosts. The hosts share the accounts' rate limits and
-    /// divide the budgets among themselves.
+    /// Updates the tables after a change of the registered hosts. The hosts share the accounts' rate limits
+    /// and divide the budgets among themselves.
     fn update_tables(&self) {
         let peers: Vec<HostId> = self.shared.peers.borrow().keys().cloned().collect();
         let mut tables = self.shared.tables();
--- a/crates/burdockroad-gateway/src/reports.rs
+++ b/crates/burdockroad-gateway/src/reports.rs
@@ -69,8 +69,8 @@
     last_change: Revision,
 }
 
-/// Usage of one account's rate limit. The names on the wire are short because a report is sent to every host
-/// about seven times a second.
+/// [`AccountUsage`] on the wire. The names are short because a report is sent to every host about seven times
+/// a second.
 #[derive(Serialize, Deserialize)]
 struct WireUsage {
     #[serde(rename = "n")]
--- a/crates/burdockroad-gateway/src/shared.rs
+++ b/crates/burdockroad-gateway/src/shared.rs
@@ -60,6 +60,7 @@
     pub(crate) directory_applied_at: Option<Instant>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) rate_limiter: RateLimiter,
+    /// Budgets of the programs that this host serves.
     pub(crate) ledger: Ledger,
     /// Number of registered hosts, including this one; 0 before the hosts were read.
     pub(crate) host_count: usize,
