--- a/crates/burdockroad-gateway/src/budgets.rs
+++ b/crates/burdockroad-gateway/src/budgets.rs
@@ -46,7 +46,7 @@
 /// `Retry-After` of a call that is refused because the store did not respond.
 const STORE_RETRY_AFTER: Duration = Duration::from_millis(1200);
 
-/// Time for which store writes have to fail before calls that need a write are refused without waiting.
+/// Duration of store write failures after which calls that need a write are refused without waiting.
 const STORE_FAILING_MIN: Duration = Duration::from_millis(400);
 
 /// Time after the process start in which programs missing from the ledger may already be running.
--- a/crates/burdockroad-gateway/src/peer.rs
+++ b/crates/burdockroad-gateway/src/peer.rs
@@ -101,19 +101,17 @@
         call: &PeerCall,
         response_timeout: Duration,
     ) -> Result<PeerResponse, PeerError> {
-        let pool_key = address.to_string();
+        let key = address.to_string();
         let mut request = encode(call)?;
-        if let Some(mut connection) = self.pool.take(&pool_key, Instant::now()) {
+        if let Some(mut connection) = self.pool.take(&key, Instant::now()) {
             let result = timeout(response_timeout, connection.try_send_request(request)).await;
             match result {
-                Ok(Ok(response)) => {
-                    return self.read(&pool_key, connection, response, response_timeout).await;
-                }
+                Ok(Ok(response)) => return self.read(&key, connection, response, response_timeout).await,
                 Ok(Err(mut unsent)) => {
                     request = unsent.take_message().ok_or(PeerError::NoResponse)?;
                 }
                 Err(_elapsed) => {
-                    self.pool.close_idle(&pool_key);
+                    self.pool.close_idle(&key);
                     return Err(PeerError::NoResponse);
                 }
             }
@@ -122,14 +120,14 @@
         let mut connection = connecting.map_err(|_unreachable| PeerError::Unreachable)?;
         let result = timeout(response_timeout, connection.send_request(request)).await;
         match result {
-            Ok(Ok(response)) => self.read(&pool_key, connection, response, response_timeout).await,
+            Ok(Ok(response)) => self.read(&key, connection, response, response_timeout).await,
             Ok(Err(_)) | Err(_) => Err(PeerError::NoResponse),
         }
     }
 
     async fn read(
         &self,
-        pool_key: &str,
+        key: &str,
         connection: crate::pool::Connection,
         response: Response<Incoming>,
         response_timeout: Duration,
@@ -139,8 +137,7 @@
             return Err(PeerError::NoResponse);
         };
         let now = Instant::now();
-        self.pool
-            .put(pool_key, connection, None, IDLE_CONNECTIONS_MAX, now);
+        self.pool.put(key, connection, None, IDLE_CONNECTIONS_MAX, now);
         ciborium::from_reader(&*body.to_bytes()).map_err(|_malformed| PeerError::NoResponse)
     }
 }
--- a/crates/burdockroad-gateway/src/pool.rs
+++ b/crates/burdockroad-gateway/src/pool.rs
@@ -43,9 +43,9 @@
 
 impl ConnectionPool {
     /// Takes the most recently used connection to an endpoint or host that can still be reused.
-    pub(crate) fn take(&self, pool_key: &str, now: Instant) -> Option<Connection> {
+    pub(crate) fn take(&self, key: &str, now: Instant) -> Option<Connection> {
         let mut idle = self.lock_idle();
-        let connections = idle.get_mut(pool_key)?;
+        let connections = idle.get_mut(key)?;
         while let Some(last) = connections.pop() {
             if last.expires_at > now && last.connection.is_ready() {
                 return Some(last.connection);
@@ -58,7 +58,7 @@
     /// connections are retained for one endpoint or host.
     pub(crate) fn put(
         &self,
-        pool_key: &str,
+        key: &str,
         connection: Connection,
         keep_alive: Option<Duration>,
         max_idle: usize,
@@ -71,7 +71,7 @@
             keep_alive_time.mul_f64(KEEP_ALIVE_FRACTION).min(IDLE_MAX)
         });
         let mut idle = self.lock_idle();
-        let connections = idle.entry(pool_key.to_owned()).or_default();
+        let connections = idle.entry(key.to_owned()).or_default();
         connections.retain(|idle| idle.expires_at > now && !idle.connection.is_closed());
         if connections.len() < max_idle {
             connections.push(IdleConnection {
@@ -82,8 +82,8 @@
     }
 
     /// Closes the idle connections to an endpoint or host.
-    pub(crate) fn close_idle(&self, pool_key: &str) {
-        self.lock_idle().remove(pool_key);
+    pub(crate) fn close_idle(&self, key: &str) {
+        self.lock_idle().remove(key);
     }
 
     /// Closes the idle connections that have expired.
--- a/crates/burdockroad-gateway/src/relay.rs
+++ b/crates/burdockroad-gateway/src/relay.rs
@@ -30,7 +30,7 @@
 /// Interval between two probes of a store that refuses this host.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Prefix of the probe reads. No key starts with it.
+/// Key prefix that is read to probe the store. No key has this prefix.
 const PROBE_PREFIX: &str = "burdockroad/none/";
 
 /// A call to the store, as sent to a relaying host.
@@ -277,7 +277,7 @@
         matches!(self, Self::WriteAll { .. })
     }
 
-    /// Returns the time within which the store has to respond.
+    /// Returns the timeout for the store's response.
     fn response_timeout(&self) -> Duration {
         match self {
             Self::Changes { wait, .. } => *wait + CALL_TIMEOUT,
--- a/crates/burdockroad-gateway/src/reports.rs
+++ b/crates/burdockroad-gateway/src/reports.rs
@@ -1,9 +1,10 @@
 //! Reports the calls that this host admits to the other hosts.
 //!
-//! A report is sent to each host of the same failure domain and to one host of each other domain, which
-//! forwards it within its domain, because traffic between failure domains is billed. Reports are cumulative
-//! and small, so they are sent as datagrams, and each report replaces a lost one before it. TCP streams are
-//! not used because a report would wait for the retransmission of an older one and arrive outdated.
+//! A report is sent to each host of the same failure domain and to one host of each other domain. That host
+//! forwards the report within its domain, because traffic between failure domains is billed. Reports are
+//! cumulative and small, so they are sent as datagrams, and each report replaces a lost one before it. TCP
+//! streams are not used because a report would wait for the retransmission of an older one and arrive
+//! outdated.
 
 use std::{
     io,
@@ -31,7 +32,8 @@
 /// Interval between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Maximum number of accounts in one datagram, which keeps it below the usual packet size.
+/// Maximum number of accounts in one datagram. A datagram with this many accounts stays below the usual
+/// packet size.
 const ACCOUNTS_MAX: usize = 24;
 
 /// Size of the receive buffer. A longer datagram is truncated, and then counted as unreadable.
--- a/crates/burdockroad-gateway/src/store.rs
+++ b/crates/burdockroad-gateway/src/store.rs
@@ -82,7 +82,7 @@
         /// Revision from which the next wait continues.
         as_of: Revision,
     },
-    /// The store has discarded that part of its history, so the range has to be read again.
+    /// The store has discarded that part of its history, so the range must be read again.
     #[serde(rename = "HistoryGone")]
     HistoryTruncated,
 }
