--- a/crates/burdockroad-gateway/src/budgets.rs
+++ b/crates/burdockroad-gateway/src/budgets.rs
@@ -429,13 +429,13 @@
         let time_left = deadline.saturating_duration_since(Instant::now());
         match readiness {
             Readiness::Ready => return ReservationResponse::Reserved { starts_program },
-            Readiness::Spent => return ReservationResponse::BudgetExhausted,
-            Readiness::AwaitRoom if time_left.is_zero() => return ReservationResponse::FullyReserved,
+            Readiness::Exhausted => return ReservationResponse::BudgetExhausted,
+            Readiness::AwaitTokens if time_left.is_zero() => return ReservationResponse::FullyReserved,
             Readiness::AwaitWrite if store_writes_are_failing(shared) => {
                 return ReservationResponse::StoreUnavailable;
             }
             Readiness::AwaitWrite if time_left.is_zero() => return ReservationResponse::StoreTimeout,
-            Readiness::AwaitRoom => {
+            Readiness::AwaitTokens => {
                 // Calls that release tokens at this host send the notification. Tokens released by other
                 // hosts are visible only in the store.
                 let _ended = timeout(time_left.min(BUDGET_RECHECK_INTERVAL), changed).await;
