--- a/crates/burdockroad-daemon/tests/admin.rs
+++ b/crates/burdockroad-daemon/tests/admin.rs
@@ -1,4 +1,4 @@
-//! What operators and the balancer get at the admin address, and what the metrics tell.
+//! Responses of the admin server to operators and load balancers, and the metrics that it exports.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,11 +18,11 @@
 };
 
 #[derive(Debug)]
-struct Host {
+struct TestHost {
     telemetry: Telemetry,
 }
 
-impl StatusSource for Host {
+impl StatusSource for TestHost {
     fn readiness(&self) -> Readiness {
         Readiness::NotReady("no document is in force".to_owned())
     }
@@ -49,7 +49,7 @@
 }
 
 #[async_trait]
-impl OperatorActions for Host {
+impl OperatorActions for TestHost {
     async fn programs(&self, account_id: Option<AccountId>) -> Vec<ProgramSummary> {
         account_id
             .map(|account_id| summary(&account_id))
@@ -68,7 +68,7 @@
     async fn drain(&self) {}
 }
 
-impl DocumentOffer for Host {
+impl DocumentOffer for TestHost {
     fn offer_document(&self, versioned: VersionedDocument) -> DocumentVersion {
         versioned.version
     }
@@ -86,26 +86,29 @@
     }
 }
 
-async fn start(telemetry: Telemetry) -> SocketAddr {
+async fn start_server(telemetry: Telemetry) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address");
-    let host = Arc::new(Host { telemetry });
+    let host = Arc::new(TestHost { telemetry });
     let handlers = AdminHandlers {
-        status: Arc::<Host>::clone(&host),
-        actions: Arc::<Host>::clone(&host),
+        status: Arc::<TestHost>::clone(&host),
+        actions: Arc::<TestHost>::clone(&host),
         document: host,
     };
     tokio::spawn(serve(listener, handlers, std::future::pending()));
     address
 }
 
-/// Sends one request and returns the status line and the body.
-async fn ask(address: SocketAddr, request_line: &str) -> (String, String) {
-    send(address, request_line, "").await
+/// Sends a request without a body, and returns the status line and the body of the response.
+async fn send_request(address: SocketAddr, request_line: &str) -> (String, String) {
+    send_with_body(address, request_line, "").await
 }
 
-async fn send(address: SocketAddr, request_line: &str, body: &str) -> (String, String) {
-    let mut stream = TcpStream::connect(address).await.expect("the server listens");
+/// Sends a request, and returns the status line and the body of the response.
+async fn send_with_body(address: SocketAddr, request_line: &str, body: &str) -> (String, String) {
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("the server accepts the connection");
     let request = format!(
         "{request_line} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
          content-length: {}\r\n\r\n{body}",
@@ -115,19 +118,19 @@
         .write_all(request.as_bytes())
         .await
         .expect("the request is sent");
-    let mut answer = String::new();
+    let mut response = String::new();
     stream
-        .read_to_string(&mut answer)
+        .read_to_string(&mut response)
         .await
-        .expect("the answer is text");
-    let (head, body) = answer.split_once("\r\n\r\n").expect("the answer has a head");
+        .expect("the response is UTF-8");
+    let (head, body) = response.split_once("\r\n\r\n").expect("the response has a head");
     let status = head.lines().next().unwrap_or_default();
     (status.replace("HTTP/1.1 ", ""), body.to_owned())
 }
 
 #[tokio::test]
-async fn serve_answers() {
-    let address = start(Telemetry::without_exporter()).await;
+async fn serve_responds() {
+    let address = start_server(Telemetry::without_exporter()).await;
     let cases = [
         ("GET /live", "200 OK", "live"),
         ("GET /ready", "503 Service Unavailable", "no document is in force"),
@@ -144,34 +147,34 @@
         ("GET /%00/../x", "404 Not Found", ""),
     ];
     for (request, status, body) in cases {
-        let answer = ask(address, request).await;
-        assert_eq!(answer.0, status, "{request}");
-        assert!(answer.1.contains(body), "{request}: {}", answer.1);
+        let response = send_request(address, request).await;
+        assert_eq!(response.0, status, "{request}");
+        assert!(response.1.contains(body), "{request}: {}", response.1);
     }
-    let (_, body) = ask(address, "GET /status").await;
+    let (_, body) = send_request(address, "GET /status").await;
     let status: Status = serde_json::from_str(&body).expect("the status is JSON");
     assert_eq!(status.document.version, 3);
 }
 
 #[tokio::test]
-async fn serve_takes_document() {
-    let address = start(Telemetry::without_exporter()).await;
+async fn serve_accepts_document() {
+    let address = start_server(Telemetry::without_exporter()).await;
     let text = r#"{ "sites": [], "accounts": [], "routes": [], "endpoint_sets": [] }"#;
     let versioned = VersionedDocument::new(7, text).expect("the document is valid");
-    let body = String::from_utf8(versioned.to_bytes()).expect("the stored form is text");
-    let (_, answer) = send(address, "POST /document", &body).await;
-    let answer: DocumentResponse = serde_json::from_str(&answer).expect("the answer is JSON");
-    assert_eq!(answer.version, 7);
-    for refused in ["", "{}", r#"{"version":1,"text":"{}"}"#] {
-        let (status, _) = send(address, "POST /document", refused).await;
-        assert_eq!(status, "400 Bad Request", "{refused}");
+    let body = String::from_utf8(versioned.to_bytes()).expect("the encoded document is UTF-8");
+    let (_, response) = send_with_body(address, "POST /document", &body).await;
+    let response: DocumentResponse = serde_json::from_str(&response).expect("the response is JSON");
+    assert_eq!(response.version, 7);
+    for invalid_body in ["", "{}", r#"{"version":1,"text":"{}"}"#] {
+        let (status, _) = send_with_body(address, "POST /document", invalid_body).await;
+        assert_eq!(status, "400 Bad Request", "{invalid_body}");
     }
 }
 
 #[tokio::test]
 async fn metrics_labels_bounded() {
     let telemetry = Telemetry::install().expect("no other recorder is installed");
-    let address = start(telemetry.clone()).await;
+    let address = start_server(telemetry.clone()).await;
     for number in 0..20 * ACCOUNT_LABELS_MAX {
         let account_id = format!("account-{number}");
         telemetry.record(&account_id, Measure::Program, Duration::from_millis(10));
@@ -179,25 +182,25 @@
     }
     telemetry.refused(&"starved".to_owned(), RefusalReason::InsideRate);
     telemetry.record(&"slow".to_owned(), Measure::Program, Duration::from_secs(30));
-    let (_, body) = ask(address, "GET /metrics").await;
-    let refused = body
+    let (_, body) = send_request(address, "GET /metrics").await;
+    let refusal_series = body
         .lines()
         .filter(|line| line.starts_with("burdockroad_refused_total{"));
-    // The labelled accounts, and `other` for each of the two reasons.
-    assert_eq!(refused.count(), ACCOUNT_LABELS_MAX + 2);
+    // One series for each labelled account, and one with the label `other` for each of the two reasons.
+    assert_eq!(refusal_series.count(), ACCOUNT_LABELS_MAX + 2);
     assert!(
         body.contains("burdockroad_program_latency_seconds_bucket"),
         "{body}"
     );
-    let (_, body) = ask(address, "GET /status").await;
+    let (_, body) = send_request(address, "GET /status").await;
     let status: Status = serde_json::from_str(&body).expect("the status is JSON");
-    let worst: Vec<&str> = status
+    let worst_account_ids: Vec<&str> = status
         .worst_served
         .iter()
         .map(|service| service.account_id.as_str())
         .collect();
-    assert_eq!(worst, ["starved", "slow"]);
-    // After two windows nothing is left of them.
+    assert_eq!(worst_account_ids, ["starved", "slow"]);
+    // Measurements expire after two windows.
     telemetry.rotate();
     assert_eq!(telemetry.worst_served(1)[0].account_id, "starved");
     telemetry.rotate();
--- a/crates/burdockroad-daemon/tests/call_order.rs
+++ b/crates/burdockroad-daemon/tests/call_order.rs
@@ -1,4 +1,4 @@
-//! What has to be durable before a call leaves, and before its answer ends.
+//! Durability of journal records that is required before a call is sent and before its response ends.
 
 use std::{
     collections::VecDeque,
@@ -40,39 +40,42 @@
     time::Instant,
 };
 
-/// Time in which something that must not happen would have happened.
-const LONG_ENOUGH: Duration = Duration::from_millis(300);
+/// Time within which an event that must not happen would be observed.
+const OBSERVATION_TIME: Duration = Duration::from_millis(300);
 
-/// A journal whose appends become durable when the test says so.
+/// A journal in which the test completes each append.
 #[derive(Debug, Default)]
-struct HeldJournal {
-    held: Mutex<VecDeque<Held>>,
+struct ManualJournal {
+    pending: Mutex<VecDeque<PendingAppend>>,
     appended: Notify,
 }
 
 #[derive(Debug)]
-struct Held {
+struct PendingAppend {
     durability: Durability,
-    done: oneshot::Sender<Result<(), JournalError>>,
+    outcome: oneshot::Sender<Result<(), JournalError>>,
 }
 
-impl Journal for HeldJournal {
+impl Journal for ManualJournal {
     fn append(&self, _records: Vec<Record>, durability: Durability) -> Appended {
-        let (done, appended) = oneshot::channel();
-        self.held.lock().unwrap().push_back(Held { durability, done });
+        let (outcome, appended) = oneshot::channel();
+        self.pending
+            .lock()
+            .unwrap()
+            .push_back(PendingAppend { durability, outcome });
         self.appended.notify_one();
         appended
     }
 }
 
-impl HeldJournal {
-    /// Waits for the next append, answers it, and returns how durable it had to be.
-    async fn answer(&self, outcome: Result<(), JournalError>) -> Durability {
+impl ManualJournal {
+    /// Waits for the next append, completes it with `outcome`, and returns the requested durability.
+    async fn complete_next(&self, outcome: Result<(), JournalError>) -> Durability {
         loop {
-            let first = self.held.lock().unwrap().pop_front();
-            if let Some(held) = first {
-                held.done.send(outcome).unwrap_or_default();
-                return held.durability;
+            let first = self.pending.lock().unwrap().pop_front();
+            if let Some(pending) = first {
+                pending.outcome.send(outcome).unwrap_or_default();
+                return pending.durability;
             }
             self.appended.notified().await;
         }
@@ -80,20 +83,20 @@
 }
 
 #[derive(Debug)]
-struct AllAdmitted;
+struct UnlimitedQuota;
 
 #[async_trait]
-impl Quota for AllAdmitted {
-    async fn admit(&self, _account_id: &AccountId, _latest: Instant) -> Result<(), QuotaRefusal> {
+impl Quota for UnlimitedQuota {
+    async fn admit(&self, _account_id: &AccountId, _deadline: Instant) -> Result<(), QuotaRefusal> {
         Ok(())
     }
 }
 
 #[derive(Debug)]
-struct OneEndpoint(String);
+struct SingleEndpoint(String);
 
 #[async_trait]
-impl Dispatcher for OneEndpoint {
+impl Dispatcher for SingleEndpoint {
     async fn acquire(&self, _request: SlotRequest) -> Result<Slot, SlotRefusal> {
         Ok(Slot {
             slot_id: 1,
@@ -107,26 +110,27 @@
 }
 
 #[derive(Debug)]
-struct NoMemory;
+struct NoopReleaser;
 
 #[async_trait]
-impl PrefixReleaser for NoMemory {
+impl PrefixReleaser for NoopReleaser {
     async fn release(&self, _prefix: &CachedPrefix) -> bool {
         true
     }
 }
 
-/// A runner with one program, whose creation is durable already.
-struct Bench {
+/// A call runner with one program, whose creation is already durable.
+struct Fixture {
     runner: CallRunner,
-    journal: Arc<HeldJournal>,
+    journal: Arc<ManualJournal>,
     program: String,
+    /// Sender of the document in force, which is kept open during the test.
     in_force: watch::Sender<Arc<InForce>>,
 }
 
-impl Bench {
+impl Fixture {
     async fn start(address: String) -> Self {
-        let journal = Arc::new(HeldJournal::default());
+        let journal = Arc::new(ManualJournal::default());
         let me = Process {
             host_id: "a".to_owned(),
             incarnation: 1,
@@ -137,10 +141,10 @@
             weight: 1,
         };
         let view = OwnershipView::new(me, &initial_map(&[candidate], 1).unwrap(), true);
-        let (_keep, ownership) = watch::channel(Arc::new(view));
+        let (_ownership_sender, ownership) = watch::channel(Arc::new(view));
         let programs = ProgramsHandle::start(ProgramsParts {
             journal: Arc::clone(&journal) as _,
-            releaser: Arc::new(NoMemory),
+            releaser: Arc::new(NoopReleaser),
             ownership,
             options: ProgramsOptions::default(),
         })
@@ -151,12 +155,12 @@
         let (in_force, receiver) = watch::channel(Arc::new(InForce::fixed(document)));
         let program = program_id(7, "order");
         let created = programs.create(new_program(&program)).await.unwrap();
-        assert_eq!(journal.answer(Ok(())).await, Durability::Replicated);
+        assert_eq!(journal.complete_next(Ok(())).await, Durability::Replicated);
         created.await.unwrap().unwrap();
         let runner = CallRunner {
             programs,
-            quota: Arc::new(AllAdmitted),
-            dispatcher: Arc::new(OneEndpoint(address)),
+            quota: Arc::new(UnlimitedQuota),
+            dispatcher: Arc::new(SingleEndpoint(address)),
             endpoints: Arc::new(HttpEndpoints::new()),
             in_force: receiver,
             retries: Arc::new(Mutex::new(RetryBudgets::new(RetryOptions::default()))),
@@ -220,15 +224,15 @@
     })
 }
 
-fn question() -> CallPayload {
+fn completion() -> CallPayload {
     let body = br#"{"model":"m","messages":[{"role":"user","content":"x"}],"stream":true,"max_tokens":3}"#;
     CallPayload::Completion(CompletionRequest::parse(body).unwrap())
 }
 
-/// All frames that come in a while; the last is the end only if the answer ended.
-async fn frames(reader: &mut ResponseReader, lasts: Duration) -> Vec<Frame> {
+/// Returns the frames received until the response ends, or until no frame arrives within `idle_timeout`.
+async fn frames(reader: &mut ResponseReader, idle_timeout: Duration) -> Vec<Frame> {
     let mut frames = Vec::new();
-    while let Ok(frame) = tokio::time::timeout(lasts, reader.next()).await {
+    while let Ok(frame) = tokio::time::timeout(idle_timeout, reader.next()).await {
         let last = matches!(frame, Frame::End | Frame::Truncated(_));
         frames.push(frame);
         if last {
@@ -241,31 +245,37 @@
 #[tokio::test]
 async fn order_leaves_after_its_intent_is_stored() {
     let service = ServiceStandin::start(ServiceOptions::default()).await.unwrap();
-    let bench = Bench::start(service.address().to_string()).await;
-    let mut reader = bench.call(order(), false).await;
-    tokio::time::sleep(LONG_ENOUGH).await;
+    let fixture = Fixture::start(service.address().to_string()).await;
+    let mut reader = fixture.call(order(), false).await;
+    tokio::time::sleep(OBSERVATION_TIME).await;
     assert!(
         service.recorded().is_empty(),
-        "the order left before its intent was stored"
+        "the order was sent before its intent was stored"
+    );
+    assert_eq!(fixture.journal.complete_next(Ok(())).await, Durability::Stored);
+    assert_eq!(
+        fixture.journal.complete_next(Ok(())).await,
+        Durability::Replicated
     );
-    assert_eq!(bench.journal.answer(Ok(())).await, Durability::Stored);
-    assert_eq!(bench.journal.answer(Ok(())).await, Durability::Replicated);
     let frames = frames(&mut reader, Duration::from_secs(5)).await;
     assert!(matches!(frames.last(), Some(Frame::End)), "{frames:?}");
     assert_eq!(service.recorded().len(), 1);
-    drop(bench.in_force);
+    drop(fixture.in_force);
 }
 
 #[tokio::test]
 async fn order_not_recordable_does_not_run() {
     let service = ServiceStandin::start(ServiceOptions::default()).await.unwrap();
-    let bench = Bench::start(service.address().to_string()).await;
-    let mut reader = bench.call(order(), false).await;
+    let fixture = Fixture::start(service.address().to_string()).await;
+    let mut reader = fixture.call(order(), false).await;
     let unavailable = JournalError::Unavailable {
         retry_after: Duration::from_secs(1),
     };
-    assert_eq!(bench.journal.answer(Err(unavailable)).await, Durability::Stored);
-    bench.journal.answer(Ok(())).await;
+    assert_eq!(
+        fixture.journal.complete_next(Err(unavailable)).await,
+        Durability::Stored
+    );
+    fixture.journal.complete_next(Ok(())).await;
     let frames = frames(&mut reader, Duration::from_secs(5)).await;
     let Some(Frame::Head(head)) = frames.first() else {
         panic!("no head: {frames:?}");
@@ -274,22 +284,25 @@
     assert!(head.headers.contains_key("retry-after"));
     assert!(
         service.recorded().is_empty(),
-        "a call that is not run must not run"
+        "a call that was reported as not run was sent"
     );
 }
 
 #[tokio::test]
 async fn answer_ends_after_its_result_is_durable() {
     let engine = EngineStandin::start(EngineOptions::default()).await.unwrap();
-    let bench = Bench::start(engine.address().to_string()).await;
-    let mut reader = bench.call(question(), true).await;
-    assert_eq!(bench.journal.answer(Ok(())).await, Durability::Replicated);
-    let before = frames(&mut reader, LONG_ENOUGH).await;
+    let fixture = Fixture::start(engine.address().to_string()).await;
+    let mut reader = fixture.call(completion(), true).await;
+    assert_eq!(
+        fixture.journal.complete_next(Ok(())).await,
+        Durability::Replicated
+    );
+    let early_frames = frames(&mut reader, OBSERVATION_TIME).await;
     assert!(
-        before.len() > 1,
-        "the answer streams while it is generated: {before:?}"
+        early_frames.len() > 1,
+        "the response was not streamed while it was generated: {early_frames:?}"
     );
-    let ended = |frames: &[Frame]| {
+    let has_end = |frames: &[Frame]| {
         frames.iter().any(|frame| match frame {
             Frame::End => true,
             Frame::Data(data) => data.ends_with(b"[DONE]\n\n"),
@@ -297,23 +310,26 @@
         })
     };
     assert!(
-        !ended(&before),
-        "the answer ended before its result was durable: {before:?}"
+        !has_end(&early_frames),
+        "the response ended before its result was durable: {early_frames:?}"
+    );
+    assert_eq!(
+        fixture.journal.complete_next(Ok(())).await,
+        Durability::Replicated
     );
-    assert_eq!(bench.journal.answer(Ok(())).await, Durability::Replicated);
-    assert!(ended(&frames(&mut reader, Duration::from_secs(5)).await));
+    assert!(has_end(&frames(&mut reader, Duration::from_secs(5)).await));
 }
 
 #[tokio::test]
 async fn answer_is_cut_when_its_host_was_fenced() {
     let engine = EngineStandin::start(EngineOptions::default()).await.unwrap();
-    let bench = Bench::start(engine.address().to_string()).await;
-    let mut reader = bench.call(question(), true).await;
-    bench.journal.answer(Ok(())).await;
-    bench.journal.answer(Err(JournalError::Fenced)).await;
+    let fixture = Fixture::start(engine.address().to_string()).await;
+    let mut reader = fixture.call(completion(), true).await;
+    fixture.journal.complete_next(Ok(())).await;
+    fixture.journal.complete_next(Err(JournalError::Fenced)).await;
     let frames = frames(&mut reader, Duration::from_secs(5)).await;
     assert!(
         matches!(frames.last(), Some(Frame::Truncated(_))),
-        "not recorded, so not whole: {frames:?}"
+        "the response ended as complete although its result was not recorded: {frames:?}"
     );
 }
--- a/crates/burdockroad-daemon/tests/caller_input.rs
+++ b/crates/burdockroad-daemon/tests/caller_input.rs
@@ -1,4 +1,4 @@
-//! What callers send: read or refused, never a panic, and their keys taken out.
+//! Parsing of caller input, which is accepted or refused without a panic, and removal of the caller's key.
 
 use burdockroad_daemon::{
     calls::{CompletionRequest, headers_without_key, service_headers, target_without_key},
@@ -11,12 +11,12 @@
 
 const KEY: &str = "brk_k1_0123456789abcdefghijklmnopqrstuvwxyzABCDEFG";
 
-/// Names and values of headers.
-type Pairs = &'static [(&'static str, &'static str)];
+/// Names and values of request headers.
+type HeaderPairs = &'static [(&'static str, &'static str)];
 
 fn headers(pairs: &[(&'static str, &str)]) -> HeaderMap {
     let parsed = pairs.iter().map(|(name, value)| {
-        let value = HeaderValue::from_str(value).expect("a header value");
+        let value = HeaderValue::from_str(value).expect("the header value is valid");
         (HeaderName::from_static(name), value)
     });
     parsed.collect()
@@ -59,7 +59,7 @@
 #[test]
 fn parse_refusals() {
     let post = "/v1/chat/completions";
-    let cases: [(Method, &str, Pairs, ProblemKind); 10] = [
+    let cases: [(Method, &str, HeaderPairs, ProblemKind); 10] = [
         (Method::GET, post, &[], ProblemKind::MethodNotAllowed),
         (
             Method::PATCH,
@@ -118,14 +118,14 @@
 
 #[test]
 fn headers_without_key_any_name() {
-    let given = headers(&[
+    let request_headers = headers(&[
         ("authorization", &format!("Bearer {KEY}")),
         ("x-copy", &format!("key={KEY};")),
         ("cookie", KEY),
         ("content-type", "text/plain"),
     ]);
-    let kept = headers_without_key(&given, Some(KEY));
-    let names: Vec<&str> = kept.keys().map(HeaderName::as_str).collect();
+    let remaining = headers_without_key(&request_headers, Some(KEY));
+    let names: Vec<&str> = remaining.keys().map(HeaderName::as_str).collect();
     assert_eq!(names, ["content-type"]);
 }
 
@@ -140,41 +140,41 @@
         ),
         ("/services/a/b?x=1".to_owned(), "/services/a/b?x=1"),
     ];
-    for (given, expected) in cases {
-        assert_eq!(target_without_key(&given, Some(KEY)), expected);
+    for (target, expected) in cases {
+        assert_eq!(target_without_key(&target, Some(KEY)), expected);
     }
 }
 
 #[test]
 fn service_headers_connection() {
-    let given = headers(&[
+    let request_headers = headers(&[
         ("connection", "close, x-hop"),
         ("x-hop", "1"),
         ("program-id", "p-0001-a"),
         ("accept", "text/plain"),
     ]);
-    let kept = service_headers(&given);
-    let names: Vec<&str> = kept.keys().map(HeaderName::as_str).collect();
+    let remaining = service_headers(&request_headers);
+    let names: Vec<&str> = remaining.keys().map(HeaderName::as_str).collect();
     assert_eq!(names, ["accept"]);
 }
 
 #[test]
-fn engine_body_replaces_and_keeps() {
-    let given = json!({
+fn engine_body_overrides_and_preserves() {
+    let original = json!({
         "model": "m", "messages": [{"role": "user", "content": "b"}], "temperature": 0.5,
         "tools": [{"type": "function", "function": {"name": "f"}}], "max_tokens": 9000,
     });
-    let request = CompletionRequest::parse(given.to_string().as_bytes()).expect("a valid request");
+    let request = CompletionRequest::parse(original.to_string().as_bytes()).expect("the request is valid");
     let prompt = [
         r#"{"role":"user","content":"a"}"#.to_owned(),
         request.messages[0].clone(),
     ];
-    let body: Value = serde_json::from_slice(&request.engine_body(&prompt, 7)).expect("valid JSON");
+    let body: Value = serde_json::from_slice(&request.engine_body(&prompt, 7)).expect("the body is JSON");
     assert_eq!(body["max_tokens"], 7);
     assert_eq!(body["stream"], true);
     assert_eq!(body["stream_options"]["include_usage"], true);
     assert_eq!(body["temperature"], 0.5);
-    assert_eq!(body["tools"], given["tools"]);
+    assert_eq!(body["tools"], original["tools"]);
     assert_eq!(
         body["messages"],
         json!([{"role": "user", "content": "a"}, {"role": "user", "content": "b"}])
@@ -213,11 +213,11 @@
         ("", true),
     ];
     for (body, allowed) in cases {
-        let asked = NewProgramRequest::parse(body.as_bytes()).expect(body);
-        assert_eq!(asked.budget(&defaults).is_ok(), allowed, "{body}");
+        let request = NewProgramRequest::parse(body.as_bytes()).expect(body);
+        assert_eq!(request.budget(&defaults).is_ok(), allowed, "{body}");
     }
-    let unknown = NewProgramRequest::parse(br#"{"budgets":{}}"#).expect_err("an unknown field");
-    assert_eq!(unknown.kind, ProblemKind::InvalidRequest);
+    let problem = NewProgramRequest::parse(br#"{"budgets":{}}"#).expect_err("the field is unknown");
+    assert_eq!(problem.kind, ProblemKind::InvalidRequest);
 }
 
 proptest! {
@@ -228,13 +228,13 @@
         body in prop::collection::vec(any::<u8>(), 0..200),
         text in r#"\{"model":"m","messages":\[.{0,60}\](,"stream":[a-z]{0,5})?\}"#,
     ) {
-        let mut given = HeaderMap::new();
+        let mut request_headers = HeaderMap::new();
         if let Ok(value) = HeaderValue::from_str(&number) {
-            given.insert("call-number", value.clone());
-            given.insert("program-id", value);
+            request_headers.insert("call-number", value.clone());
+            request_headers.insert("program-id", value);
         }
         for path in [path.clone(), format!("/services/{path}"), format!("/v1/programs/{path}")] {
-            drop(Operation::parse(&Method::POST, &path, &given));
+            drop(Operation::parse(&Method::POST, &path, &request_headers));
             drop(target_without_key(&path, Some(KEY)));
         }
         drop(NewProgramRequest::parse(&body));
--- a/crates/burdockroad-daemon/tests/config_watch.rs
+++ b/crates/burdockroad-daemon/tests/config_watch.rs
@@ -1,4 +1,4 @@
-//! The document in force on hosts whose store or peers cannot be reached.
+//! The document in force on hosts that cannot reach the store or their peers.
 
 use std::{
     net::SocketAddr,
@@ -23,29 +23,29 @@
 };
 use tokio::{net::TcpListener, time::sleep};
 
-/// Time that a condition is waited for; the test fails only after it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of each condition that a test waits for.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Answers nothing of what peers ask, but for the document.
+/// Peer handlers that return default responses. Only the document handler of a host is real.
 #[derive(Debug)]
-struct Nothing;
+struct StubHandlers;
 
 #[async_trait]
-impl HeartbeatHandler for Nothing {
+impl HeartbeatHandler for StubHandlers {
     async fn heartbeat(&self, _: HeartbeatRequest) -> HeartbeatResponse {
         HeartbeatResponse::default()
     }
 }
 
 #[async_trait]
-impl ForwardHandler for Nothing {
+impl ForwardHandler for StubHandlers {
     async fn forward(&self, _: burdockroad_proto::peer::ForwardRequest) -> ForwardStream {
         Box::pin(futures_util::stream::empty())
     }
 }
 
 #[async_trait]
-impl TailHandler for Nothing {
+impl TailHandler for StubHandlers {
     async fn replicate(&self, _: ReplicateTailRequest) -> ReplicateTailResponse {
         ReplicateTailResponse::default()
     }
@@ -56,21 +56,21 @@
 }
 
 #[async_trait]
-impl AdoptHandler for Nothing {
+impl AdoptHandler for StubHandlers {
     async fn adopt(&self, _: AdoptRequest) -> AdoptResponse {
         AdoptResponse::default()
     }
 }
 
 #[async_trait]
-impl GrantHandler for Nothing {
+impl GrantHandler for StubHandlers {
     async fn grant(&self, _: GrantRequest) -> GrantResponse {
         GrantResponse::default()
     }
 }
 
 #[async_trait]
-impl SlotHandler for Nothing {
+impl SlotHandler for StubHandlers {
     async fn acquire(&self, _: AcquireSlotRequest) -> AcquireSlotResponse {
         AcquireSlotResponse::default()
     }
@@ -80,7 +80,7 @@
     }
 }
 
-/// One host: its watch, and where it answers peers.
+/// One host: its document watch, its connection to the store, and the address of its peer server.
 struct Host {
     name: &'static str,
     address: SocketAddr,
@@ -97,13 +97,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("the listener has an address");
         let handlers = PeerHandlers {
-            heartbeat: Arc::new(Nothing),
-            forward: Arc::new(Nothing),
-            tail: Arc::new(Nothing),
-            adopt: Arc::new(Nothing),
+            heartbeat: Arc::new(StubHandlers),
+            forward: Arc::new(StubHandlers),
+            tail: Arc::new(StubHandlers),
+            adopt: Arc::new(StubHandlers),
             document: watch.handler(),
-            grant: Arc::new(Nothing),
-            slot: Arc::new(Nothing),
+            grant: Arc::new(StubHandlers),
+            slot: Arc::new(StubHandlers),
         };
         tokio::spawn(serve(listener, handlers, std::future::pending()));
         Self {
@@ -118,22 +118,23 @@
         Arc::clone(&self.watch.in_force().borrow())
     }
 
-    /// Lets this host hear another, as the answer to a heartbeat would.
-    fn hear(&self, peer: &Self) {
-        let asked_at = Instant::now();
-        let answer = peer.watch.gossip().document_freshness();
+    /// Records the document freshness of a peer, as a response to a heartbeat would.
+    fn observe_peer(&self, peer: &Self) {
+        let requested_at = Instant::now();
+        let freshness = peer.watch.gossip().document_freshness();
         let address = peer.address.to_string();
         let gossip = self.watch.gossip();
-        gossip.observe_peer(&peer.name.to_owned(), &address, asked_at, &answer);
+        gossip.observe_peer(&peer.name.to_owned(), &address, requested_at, &freshness);
     }
 
-    fn list(&self, names: &[&str]) {
-        let hosts: Vec<ListedHost> = names.iter().map(|name| listed(name)).collect();
+    /// Records a host list of live hosts, as after a read of the platform's list.
+    fn observe_list(&self, names: &[&str]) {
+        let hosts: Vec<ListedHost> = names.iter().map(|name| listed_host(name)).collect();
         self.watch.gossip().observe_list(&hosts);
     }
 }
 
-fn listed(name: &str) -> ListedHost {
+fn listed_host(name: &str) -> ListedHost {
     ListedHost {
         host_id: name.to_owned(),
         failure_domain: "d1".to_owned(),
@@ -152,18 +153,21 @@
     VersionedDocument::new(version, text).expect("the document is valid")
 }
 
-/// Writes a value whatever the store holds.
+/// Writes the document's key, whatever its current revision.
 async fn write(store: &MemoryKeyValue, value: Vec<u8>) {
-    let held = store.get(DOCUMENT_KEY).await.expect("the store has no faults");
-    let expected = held.map_or(Expected::Absent, |held| Expected::Revision(held.revision));
+    let current = store.get(DOCUMENT_KEY).await.expect("the store has no faults");
+    let expected = current.map_or(Expected::Absent, |entry| Expected::Revision(entry.revision));
     let put = store.put(DOCUMENT_KEY, value.into(), expected).await;
     assert!(matches!(put, Ok(Put::Done(_))), "{put:?}");
 }
 
-async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+async fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "still not so: {what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < CONDITION_TIMEOUT,
+            "timed out waiting until {description}"
+        );
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -174,13 +178,16 @@
     let host = Host::start("a", &store, Fault::None).await;
     assert!(!host.in_force().accepts_keys());
     write(&store, document(3, false).to_bytes()).await;
-    until("version 3 is in force", || host.in_force().version == 3).await;
-    until("it is fresh", || host.in_force().freshness() == Freshness::Fresh).await;
+    wait_until("version 3 is in force", || host.in_force().version == 3).await;
+    wait_until("the document is fresh", || {
+        host.in_force().freshness() == Freshness::Fresh
+    })
+    .await;
     write(&store, document(2, false).to_bytes()).await;
     write(&store, b"{}".to_vec()).await;
     write(&store, document(4, true).to_bytes()).await;
     let mut versions = Vec::new();
-    until("version 4 is in force", || {
+    wait_until("version 4 is in force", || {
         versions.push(host.in_force().version);
         versions.last() == Some(&4)
     })
@@ -195,11 +202,15 @@
     let store = MemoryKeyValue::new();
     write(&store, document(1, false).to_bytes()).await;
     let host = Host::start("a", &store, Fault::None).await;
-    until("it is fresh", || host.in_force().accepts_keys()).await;
-    let before = store.read_count();
+    wait_until("the document is fresh", || host.in_force().accepts_keys()).await;
+    let reads_before = store.read_count();
     let start = Instant::now();
-    until("some reads have been made", || store.read_count() >= before + 6).await;
-    // One in 0.8 s, but for three at the start: the watch's own, the first listing, and the value.
+    wait_until("six more reads have been made", || {
+        store.read_count() >= reads_before + 6
+    })
+    .await;
+    // At most one read per 0.8 s, except for three initial reads: the watch's own, the first listing and
+    // the value.
     assert!(start.elapsed() >= Duration::from_millis(3 * 800));
 }
 
@@ -207,32 +218,41 @@
 async fn in_force_store_cut_from_one_host() {
     let store = MemoryKeyValue::new();
     write(&store, document(1, false).to_bytes()).await;
-    let near = Host::start("near", &store, Fault::None).await;
-    let cut = Host::start("cut", &store, Fault::Refused).await;
-    for host in [&near, &cut] {
-        host.list(&["near", "cut"]);
+    let connected = Host::start("connected", &store, Fault::None).await;
+    let partitioned = Host::start("partitioned", &store, Fault::Refused).await;
+    for host in [&connected, &partitioned] {
+        host.observe_list(&["connected", "partitioned"]);
     }
-    until("the cut host has the document by its peer", || {
-        cut.hear(&near);
-        cut.in_force().keys.lookup("secret").is_some() && cut.in_force().accepts_keys()
+    wait_until("the partitioned host has the document from its peer", || {
+        partitioned.observe_peer(&connected);
+        partitioned.in_force().keys.lookup("secret").is_some() && partitioned.in_force().accepts_keys()
     })
     .await;
     write(&store, document(2, true).to_bytes()).await;
-    until("the key is withdrawn at the cut host", || {
-        cut.hear(&near);
-        cut.in_force().keys.lookup("secret").is_none()
+    wait_until("the key is withdrawn at the partitioned host", || {
+        partitioned.observe_peer(&connected);
+        partitioned.in_force().keys.lookup("secret").is_none()
+    })
+    .await;
+    wait_until(
+        "the partitioned host confirms the document through its peer",
+        || {
+            partitioned.observe_peer(&connected);
+            partitioned.in_force().freshness() == Freshness::Fresh
+        },
+    )
+    .await;
+    // Without its peer the host refuses keys until the store is reachable again.
+    wait_until("the partitioned host refuses keys", || {
+        !partitioned.in_force().accepts_keys()
     })
     .await;
-    until("the cut host is fresh by its peer", || {
-        cut.hear(&near);
-        cut.in_force().freshness() == Freshness::Fresh
+    assert_eq!(partitioned.in_force().version, 2);
+    partitioned.store.set_fault(Fault::None);
+    wait_until("the partitioned host accepts keys again", || {
+        partitioned.in_force().accepts_keys()
     })
     .await;
-    // Without the peer the host refuses keys, and goes on when the store is back.
-    until("the cut host refuses keys", || !cut.in_force().accepts_keys()).await;
-    assert_eq!(cut.in_force().version, 2);
-    cut.store.set_fault(Fault::None);
-    until("the host accepts keys again", || cut.in_force().accepts_keys()).await;
 }
 
 #[tokio::test]
@@ -244,25 +264,25 @@
         Host::start("b", &store, Fault::None).await,
     ];
     for host in &hosts {
-        host.list(&["a", "b"]);
-        until("it is fresh", || host.in_force().accepts_keys()).await;
+        host.observe_list(&["a", "b"]);
+        wait_until("the document is fresh", || host.in_force().accepts_keys()).await;
     }
     for host in &hosts {
         host.store.set_fault(Fault::Refused);
     }
-    until("the outage is found out", || {
-        hosts[0].hear(&hosts[1]);
-        hosts[1].hear(&hosts[0]);
-        let outage = |host: &Host| host.in_force().freshness() == Freshness::OutageForAll;
-        hosts.iter().all(outage)
+    wait_until("both hosts detect the outage for all", || {
+        hosts[0].observe_peer(&hosts[1]);
+        hosts[1].observe_peer(&hosts[0]);
+        let detects_outage = |host: &Host| host.in_force().freshness() == Freshness::OutageForAll;
+        hosts.iter().all(detects_outage)
     })
     .await;
     assert!(hosts.iter().all(|host| host.in_force().accepts_keys()));
-    // A host that starts now cannot know the version that it had, so it waits.
+    // A host that starts during the outage cannot determine which version it had, so it puts none in force.
     let started = Host::start("c", &store, Fault::Refused).await;
-    started.list(&["a", "b", "c"]);
-    started.hear(&hosts[0]);
-    started.hear(&hosts[1]);
+    started.observe_list(&["a", "b", "c"]);
+    started.observe_peer(&hosts[0]);
+    started.observe_peer(&hosts[1]);
     sleep(Duration::from_millis(500)).await;
     assert!(!started.in_force().is_loaded());
 }
--- a/crates/burdockroad-daemon/tests/dispatch.rs
+++ b/crates/burdockroad-daemon/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Slots of one pool, over two hosts that talk to each other.
+//! Acquisition of the slots of one endpoint pool on two hosts that are connected over loopback.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -22,17 +22,17 @@
     time::Instant,
 };
 
-use crate::peer_server::{Silent, serve_peer};
+use crate::peer_server::{StubHandlers, serve_peer};
 
 #[path = "support/peer_server.rs"]
 mod peer_server;
 
 const POOL: &str = "pool-a";
 
-/// Longer than any of these waits takes, even on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of requests that get a slot. Far above the time that this takes, even on a busy machine.
+const SLOT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One pool of one endpoint with two slots.
+/// A pool with one endpoint, which has two slots.
 #[derive(Debug)]
 struct FixedPool {
     address: String,
@@ -85,7 +85,7 @@
 struct Host {
     dispatcher: Arc<PoolDispatcher>,
     peers: watch::Sender<Arc<PeersView>>,
-    // Kept open, since a receiver without its sender cannot change.
+    // Kept open, because a receiver whose sender was dropped receives no changes.
     _ownership: watch::Sender<Arc<OwnershipView>>,
 }
 
@@ -96,7 +96,8 @@
     }
 }
 
-fn peer(host_id: &str, address: &str) -> PeersView {
+/// Returns a view in which `host_id` is the only peer.
+fn peers_view(host_id: &str, address: &str) -> PeersView {
     let peer = PeerView {
         process: process(host_id),
         address: address.to_owned(),
@@ -109,8 +110,8 @@
     }
 }
 
-/// Starts a host; `host-a` owns all pools.
-async fn host(me: &str, peers: PeersView, endpoint_address: &str) -> Host {
+/// Starts a host. `host-a` owns all pools.
+async fn start_host(me: &str, peers: PeersView, endpoint_address: &str) -> Host {
     let owner = Owner {
         process: process("host-a"),
         epoch: 1,
@@ -139,23 +140,26 @@
     }
 }
 
-/// Starts an endpoint that answers every request with an empty object.
-async fn endpoint() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("a bound address").to_string();
+/// Starts an endpoint that responds to every request with an empty JSON object, and returns its address.
+async fn start_endpoint() -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let address = listener
+        .local_addr()
+        .expect("the listener has an address")
+        .to_string();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let mut request = [0; 1024];
-            let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\n{}";
+            let response = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\n{}";
             if stream.read(&mut request).await.is_ok() {
-                stream.write_all(answer).await.unwrap_or_default();
+                stream.write_all(response).await.unwrap_or_default();
             }
         }
     });
     address
 }
 
-fn request(patience: Duration) -> SlotRequest {
+fn slot_request(timeout: Duration) -> SlotRequest {
     SlotRequest {
         pool_ids: vec![POOL.to_owned()],
         account_id: "account-a".to_owned(),
@@ -166,72 +170,83 @@
         attained_tokens: 0,
         prefix_endpoint_id: None,
         excluded: Vec::new(),
-        deadline: Instant::now() + patience,
+        deadline: Instant::now() + timeout,
     }
 }
 
-async fn acquire(host: &Host, patience: Duration) -> Result<Slot, SlotRefusal> {
-    host.dispatcher.acquire(request(patience)).await
+async fn acquire(host: &Host, timeout: Duration) -> Result<Slot, SlotRefusal> {
+    host.dispatcher.acquire(slot_request(timeout)).await
 }
 
-async fn two_hosts() -> (Host, Host) {
-    let endpoint_address = endpoint().await;
-    let owner = host("host-a", peer("host-b", ""), &endpoint_address).await;
-    let address = serve_peer(Arc::new(Silent), Arc::<PoolDispatcher>::clone(&owner.dispatcher)).await;
-    let other = host("host-b", peer("host-a", &address), &endpoint_address).await;
+/// Starts the owner of the pool and another host that acquires slots from it.
+async fn start_two_hosts() -> (Host, Host) {
+    let endpoint_address = start_endpoint().await;
+    let owner = start_host("host-a", peers_view("host-b", ""), &endpoint_address).await;
+    let address = serve_peer(
+        Arc::new(StubHandlers),
+        Arc::<PoolDispatcher>::clone(&owner.dispatcher),
+    )
+    .await;
+    let other = start_host("host-b", peers_view("host-a", &address), &endpoint_address).await;
     (owner, other)
 }
 
 #[tokio::test]
 async fn acquire_from_owner() {
-    let (owner, other) = two_hosts().await;
-    let first = acquire(&other, PATIENCE).await.expect("a free slot");
-    acquire(&owner, PATIENCE).await.expect("a free slot");
-    // Both slots are taken, whoever asks.
+    let (owner, other) = start_two_hosts().await;
+    let first = acquire(&other, SLOT_TIMEOUT).await.expect("a slot is free");
+    acquire(&owner, SLOT_TIMEOUT).await.expect("a slot is free");
+    // Both slots are in use, so neither host can acquire one.
     let refusal = acquire(&other, Duration::from_millis(200))
         .await
         .expect_err("no slot is free");
     assert!(refusal.retry_after > Duration::ZERO);
     other.dispatcher.release(first, SlotReport::default());
-    acquire(&owner, PATIENCE).await.expect("the released slot");
+    acquire(&owner, SLOT_TIMEOUT)
+        .await
+        .expect("the released slot is free");
 }
 
 #[tokio::test]
-async fn acquire_caller_gone() {
-    let (owner, other) = two_hosts().await;
-    let first = acquire(&owner, PATIENCE).await.expect("a free slot");
-    acquire(&owner, PATIENCE).await.expect("a free slot");
+async fn acquire_caller_cancelled() {
+    let (owner, other) = start_two_hosts().await;
+    let first = acquire(&owner, SLOT_TIMEOUT).await.expect("a slot is free");
+    acquire(&owner, SLOT_TIMEOUT).await.expect("a slot is free");
     for host in [&owner, &other] {
-        let waiting = tokio::time::timeout(Duration::from_millis(200), acquire(host, PATIENCE));
-        waiting.await.expect_err("no slot is free");
+        let cancelled = tokio::time::timeout(Duration::from_millis(200), acquire(host, SLOT_TIMEOUT));
+        cancelled.await.expect_err("no slot is free");
     }
     owner.dispatcher.release(first, SlotReport::default());
-    acquire(&other, PATIENCE)
+    acquire(&other, SLOT_TIMEOUT)
         .await
-        .expect("the slot that nobody waited for");
+        .expect("the slot was not given to a cancelled request");
 }
 
 #[tokio::test]
-async fn acquire_holder_gone() {
-    let (owner, other) = two_hosts().await;
+async fn acquire_after_slot_host_removed() {
+    let (owner, other) = start_two_hosts().await;
     for _ in 0..2 {
-        acquire(&other, PATIENCE).await.expect("a free slot");
+        acquire(&other, SLOT_TIMEOUT).await.expect("a slot is free");
     }
     owner.peers.send_replace(Arc::new(PeersView::default()));
-    acquire(&owner, PATIENCE)
+    acquire(&owner, SLOT_TIMEOUT)
         .await
-        .expect("a slot of the host that is gone");
+        .expect("the removed host's slots are reclaimed");
 }
 
 #[tokio::test]
-async fn acquire_owner_gone() {
-    let endpoint_address = endpoint().await;
-    let alone = host("host-b", peer("host-a", "127.0.0.1:1"), &endpoint_address).await;
-    // One of two slots is this host's share.
-    let slot = acquire(&alone, PATIENCE).await.expect("a slot of the share");
-    acquire(&alone, Duration::from_millis(200))
+async fn acquire_owner_unreachable() {
+    let endpoint_address = start_endpoint().await;
+    let isolated = start_host("host-b", peers_view("host-a", "127.0.0.1:1"), &endpoint_address).await;
+    // While the owner is unreachable, this host may use its share, which is one of the two slots.
+    let slot = acquire(&isolated, SLOT_TIMEOUT)
+        .await
+        .expect("the slot of this host's share is free");
+    acquire(&isolated, Duration::from_millis(200))
+        .await
+        .expect_err("the other slot is the other host's share");
+    isolated.dispatcher.release(slot, SlotReport::default());
+    acquire(&isolated, SLOT_TIMEOUT)
         .await
-        .expect_err("the other host's share");
-    alone.dispatcher.release(slot, SlotReport::default());
-    acquire(&alone, PATIENCE).await.expect("the released slot");
+        .expect("the released slot is free");
 }
--- a/crates/burdockroad-daemon/tests/document_source.rs
+++ b/crates/burdockroad-daemon/tests/document_source.rs
@@ -1,4 +1,4 @@
-//! What quota and dispatch take from the document.
+//! The limits, weights and draining hosts that quota and dispatch read from the document in force.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -40,7 +40,9 @@
     document.send_replace(in_force(2, 20.0));
     let second = source.version();
     assert_ne!(second, first);
-    let limits = source.limits(&"account-a".to_owned()).expect("a named account");
+    let limits = source
+        .limits(&"account-a".to_owned())
+        .expect("the document contains the account");
     assert!((limits.rate_per_s - 20.0).abs() < f64::EPSILON);
     assert!((source.weight(&"account-a".to_owned()) - 2.0).abs() < f64::EPSILON);
     assert_eq!(source.limits(&"account-b".to_owned()), None);
--- a/crates/burdockroad-daemon/tests/quota.rs
+++ b/crates/burdockroad-daemon/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Admission by tokens, over two hosts that talk to each other.
+//! Admission by rate limit tokens on two hosts that are connected over loopback.
 
 use std::{
     sync::{
@@ -17,7 +17,7 @@
 use burdockroad_proto::peer::GrantRequest;
 use tokio::{sync::watch, time::Instant};
 
-use crate::peer_server::{Silent, serve_peer};
+use crate::peer_server::{StubHandlers, serve_peer};
 
 #[path = "support/peer_server.rs"]
 mod peer_server;
@@ -42,10 +42,11 @@
     }
 }
 
+/// A lease whose validity the test sets.
 #[derive(Debug)]
-struct Switch(AtomicBool);
+struct TestLease(AtomicBool);
 
-impl OwnerLease for Switch {
+impl OwnerLease for TestLease {
     fn is_valid(&self, _now: std::time::Instant) -> bool {
         self.0.load(Ordering::Relaxed)
     }
@@ -53,9 +54,9 @@
 
 struct Host {
     quota: Arc<EscrowQuota>,
-    lease: Arc<Switch>,
-    // Kept open, since a receiver without its sender cannot change.
-    _views: (watch::Sender<Arc<OwnershipView>>, watch::Sender<Arc<PeersView>>),
+    lease: Arc<TestLease>,
+    // Kept open, because a receiver whose sender was dropped receives no changes.
+    _senders: (watch::Sender<Arc<OwnershipView>>, watch::Sender<Arc<PeersView>>),
 }
 
 fn process(host_id: &str) -> Process {
@@ -65,7 +66,7 @@
     }
 }
 
-fn view(me: &str, owner: &str) -> OwnershipView {
+fn ownership_view(me: &str, owner: &str) -> OwnershipView {
     let owner = Owner {
         process: process(owner),
         epoch: 1,
@@ -78,7 +79,7 @@
     }
 }
 
-async fn host(me: &str, owner: &str, owner_address: &str) -> Host {
+async fn start_host(me: &str, owner: &str, owner_address: &str) -> Host {
     let peer = PeerView {
         process: process(owner),
         address: owner_address.to_owned(),
@@ -89,25 +90,25 @@
     let peers = PeersView {
         peers: [(owner.to_owned(), peer)].into(),
     };
-    let (views, ownership) = watch::channel(Arc::new(view(me, owner)));
-    let (peer_views, peers) = watch::channel(Arc::new(peers));
-    let lease = Arc::new(Switch(AtomicBool::new(true)));
+    let (ownership_sender, ownership) = watch::channel(Arc::new(ownership_view(me, owner)));
+    let (peers_sender, peers) = watch::channel(Arc::new(peers));
+    let lease = Arc::new(TestLease(AtomicBool::new(true)));
     let parts = QuotaParts {
         ownership,
         peers,
         clients: Arc::new(PeerClients::new()),
-        lease: Arc::<Switch>::clone(&lease),
+        lease: Arc::<TestLease>::clone(&lease),
         limits: Arc::new(FixedLimits),
     };
     Host {
         quota: Arc::new(EscrowQuota::start(parts).await.expect("the actor starts")),
         lease,
-        _views: (views, peer_views),
+        _senders: (ownership_sender, peers_sender),
     }
 }
 
-/// Sends calls as fast as they are settled until `end`, and counts those admitted.
-async fn press(quota: Arc<EscrowQuota>, end: Instant) -> u32 {
+/// Requests admission in a loop until `end`, and returns the number of admitted calls.
+async fn admit_until(quota: Arc<EscrowQuota>, end: Instant) -> u32 {
     let account_id = ACCOUNT.to_owned();
     let mut admitted = 0;
     while Instant::now() < end {
@@ -124,13 +125,13 @@
 
 #[tokio::test]
 async fn admit_two_hosts_within_rate() {
-    let owner = host("host-a", "host-a", "").await;
-    let address = serve_peer(Arc::<EscrowQuota>::clone(&owner.quota), Arc::new(Silent)).await;
-    let other = host("host-b", "host-a", &address).await;
+    let owner = start_host("host-a", "host-a", "").await;
+    let address = serve_peer(Arc::<EscrowQuota>::clone(&owner.quota), Arc::new(StubHandlers)).await;
+    let other = start_host("host-b", "host-a", &address).await;
 
     let start = Instant::now();
     let end = start + Duration::from_millis(2_500);
-    let callers = [&owner, &owner, &other, &other].map(|host| press(Arc::clone(&host.quota), end));
+    let callers = [&owner, &owner, &other, &other].map(|host| admit_until(Arc::clone(&host.quota), end));
     let admitted: Vec<u32> = futures_util::future::join_all(callers).await;
     let bound = LIMITS.rate_per_s * start.elapsed().as_secs_f64() + f64::from(LIMITS.burst);
     let total: u32 = admitted.iter().sum();
@@ -140,7 +141,7 @@
 
 #[tokio::test]
 async fn grant_without_lease() {
-    let owner = host("host-a", "host-a", "").await;
+    let owner = start_host("host-a", "host-a", "").await;
     owner.lease.0.store(false, Ordering::Relaxed);
     let request = GrantRequest {
         account_id: ACCOUNT.to_owned(),
@@ -151,7 +152,7 @@
     assert!(owner.quota.grant(request.clone()).await.not_owner);
     owner.lease.0.store(true, Ordering::Relaxed);
     assert!(!owner.quota.grant(request.clone()).await.not_owner);
-    // A holder that knows a newer map may know a newer owner.
+    // A requester with a newer map may have a newer owner in it.
     let newer = GrantRequest {
         ownership_version: 2,
         sequence: 2,
@@ -162,15 +163,18 @@
 
 #[tokio::test]
 async fn admit_owner_unreachable() {
-    let alone = host("host-b", "host-a", "127.0.0.1:1").await;
+    let isolated = start_host("host-b", "host-a", "127.0.0.1:1").await;
     let start = Instant::now();
-    let latest = start + Duration::from_millis(300);
-    let refusal = alone
+    let deadline = start + Duration::from_millis(300);
+    let refusal = isolated
         .quota
-        .admit(&ACCOUNT.to_owned(), latest)
+        .admit(&ACCOUNT.to_owned(), deadline)
         .await
-        .expect_err("no owner");
+        .expect_err("the owner is unreachable");
     assert!(!refusal.over_rate);
-    let unknown = alone.quota.admit(&"nobody".to_owned(), latest).await;
+    let unknown = isolated
+        .quota
+        .admit(&"unknown-account".to_owned(), deadline)
+        .await;
     assert!(unknown.is_err());
 }
--- a/crates/burdockroad-daemon/tests/support/peer_server.rs
+++ b/crates/burdockroad-daemon/tests/support/peer_server.rs
@@ -1,4 +1,4 @@
-//! A peer that answers with the given modules, and with nothing elsewhere.
+//! A peer server with the given grant and slot handlers, and stubs for the other handlers.
 
 use std::sync::Arc;
 
@@ -14,26 +14,26 @@
 };
 use tokio::net::TcpListener;
 
-/// Answers every call with an empty message.
+/// Peer handlers that return default responses.
 #[derive(Debug)]
-pub struct Silent;
+pub struct StubHandlers;
 
 #[async_trait]
-impl HeartbeatHandler for Silent {
+impl HeartbeatHandler for StubHandlers {
     async fn heartbeat(&self, _request: HeartbeatRequest) -> HeartbeatResponse {
         HeartbeatResponse::default()
     }
 }
 
 #[async_trait]
-impl ForwardHandler for Silent {
+impl ForwardHandler for StubHandlers {
     async fn forward(&self, _request: ForwardRequest) -> ForwardStream {
         Box::pin(futures_util::stream::empty())
     }
 }
 
 #[async_trait]
-impl TailHandler for Silent {
+impl TailHandler for StubHandlers {
     async fn replicate(&self, _request: ReplicateTailRequest) -> ReplicateTailResponse {
         ReplicateTailResponse::default()
     }
@@ -44,28 +44,28 @@
 }
 
 #[async_trait]
-impl AdoptHandler for Silent {
+impl AdoptHandler for StubHandlers {
     async fn adopt(&self, _request: AdoptRequest) -> AdoptResponse {
         AdoptResponse::default()
     }
 }
 
 #[async_trait]
-impl DocumentHandler for Silent {
+impl DocumentHandler for StubHandlers {
     async fn document(&self) -> FetchDocumentResponse {
         FetchDocumentResponse::default()
     }
 }
 
 #[async_trait]
-impl GrantHandler for Silent {
+impl GrantHandler for StubHandlers {
     async fn grant(&self, _request: GrantRequest) -> GrantResponse {
         GrantResponse::default()
     }
 }
 
 #[async_trait]
-impl SlotHandler for Silent {
+impl SlotHandler for StubHandlers {
     async fn acquire(&self, _request: AcquireSlotRequest) -> AcquireSlotResponse {
         AcquireSlotResponse::default()
     }
@@ -75,16 +75,19 @@
     }
 }
 
-/// Serves these two modules on a free port and returns the address.
+/// Serves the two handlers on a free port and returns the address.
 pub async fn serve_peer(grant: Arc<dyn GrantHandler>, slot: Arc<dyn SlotHandler>) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("a bound address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let address = listener
+        .local_addr()
+        .expect("the listener has an address")
+        .to_string();
     let handlers = PeerHandlers {
-        heartbeat: Arc::new(Silent),
-        forward: Arc::new(Silent),
-        tail: Arc::new(Silent),
-        adopt: Arc::new(Silent),
-        document: Arc::new(Silent),
+        heartbeat: Arc::new(StubHandlers),
+        forward: Arc::new(StubHandlers),
+        tail: Arc::new(StubHandlers),
+        adopt: Arc::new(StubHandlers),
+        document: Arc::new(StubHandlers),
         grant,
         slot,
     };
