--- a/crates/burdockroad-daemon/tests/etcd_faults.rs
+++ b/crates/burdockroad-daemon/tests/etcd_faults.rs
@@ -1,4 +1,4 @@
-//! What the client of the key-value service reports when the service fails.
+//! Errors that the etcd client returns when the key-value service fails.
 
 use std::time::{Duration, Instant};
 
@@ -6,10 +6,10 @@
 use burdockroad_standins::kv::{KvFaults, KvOptions, KvStandin, LoseReplies, LostReply};
 use tokio::time::timeout;
 
-/// Longest wait for anything that is to happen.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout of each operation that a test waits for.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-async fn standin() -> (KvStandin, EtcdKeyValue) {
+async fn start_standin() -> (KvStandin, EtcdKeyValue) {
     let standin = KvStandin::start(KvOptions::default()).await.unwrap();
     let store = EtcdKeyValue::new(&[address(&standin)]).unwrap();
     (standin, store)
@@ -19,8 +19,8 @@
     format!("http://{}", standin.address())
 }
 
-/// An address at which nothing listens any more.
-async fn dead_address() -> String {
+/// Returns an address on which no server listens.
+async fn closed_address() -> String {
     let standin = KvStandin::start(KvOptions::default()).await.unwrap();
     let address = address(&standin);
     standin.close().await;
@@ -34,29 +34,29 @@
 #[tokio::test]
 async fn put_reply_lost() {
     for (lost_reply, key) in [(LostReply::Error, "error"), (LostReply::Hang, "hang")] {
-        let (standin, store) = standin().await;
+        let (standin, store) = start_standin().await;
         standin.set_faults(KvFaults {
             lose_replies: LoseReplies::Next(1),
             lost_reply,
             ..KvFaults::default()
         });
-        let lost = timeout(PATIENCE, create(&store, key))
+        let result = timeout(WAIT_TIMEOUT, create(&store, key))
             .await
-            .expect("the call ends in time");
-        assert!(matches!(lost, Err(StoreError::Ambiguous { .. })), "{lost:?}");
-        let held = store.get(key).await.unwrap().expect("the write took effect");
-        assert!(matches!(create(&store, key).await, Ok(Put::Conflict(Some(entry))) if entry == held));
+            .expect("the call ends before the timeout");
+        assert!(matches!(result, Err(StoreError::Ambiguous { .. })), "{result:?}");
+        let stored = store.get(key).await.unwrap().expect("the write was applied");
+        assert!(matches!(create(&store, key).await, Ok(Put::Conflict(Some(entry))) if entry == stored));
         standin.close().await;
     }
 }
 
 #[tokio::test]
 async fn put_never_sent() {
-    let store = EtcdKeyValue::new(&[dead_address().await]).unwrap();
-    let refused = create(&store, "key").await;
+    let store = EtcdKeyValue::new(&[closed_address().await]).unwrap();
+    let result = create(&store, "key").await;
     assert!(
-        matches!(refused, Err(StoreError::Unavailable { .. })),
-        "{refused:?}"
+        matches!(result, Err(StoreError::Unavailable { .. })),
+        "{result:?}"
     );
 }
 
@@ -85,50 +85,53 @@
 }
 
 #[tokio::test]
-async fn put_down() {
-    let (standin, store) = standin().await;
+async fn put_service_down() {
+    let (standin, store) = start_standin().await;
     create(&store, "before").await.unwrap();
     standin.set_faults(KvFaults {
         down: true,
         ..KvFaults::default()
     });
-    let failed = create(&store, "key").await;
-    assert!(matches!(failed, Err(StoreError::Ambiguous { .. })), "{failed:?}");
-    let failed = store.get("before").await;
+    let result = create(&store, "key").await;
+    assert!(matches!(result, Err(StoreError::Ambiguous { .. })), "{result:?}");
+    let result = store.get("before").await;
     assert!(
-        matches!(failed, Err(StoreError::Unavailable { .. })),
-        "{failed:?}"
+        matches!(result, Err(StoreError::Unavailable { .. })),
+        "{result:?}"
     );
     standin.set_faults(KvFaults::default());
-    let again = async {
+    let retried = async {
         while create(&store, "key").await.is_err() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(PATIENCE, again)
+    timeout(WAIT_TIMEOUT, retried)
         .await
-        .expect("the client finds the service again");
+        .expect("the client resumes when the service is available again");
     standin.close().await;
 }
 
 #[tokio::test]
 async fn get_slow() {
-    let (standin, store) = standin().await;
+    let (standin, store) = start_standin().await;
     standin.set_faults(KvFaults {
         delay_ms: 60_000,
         ..KvFaults::default()
     });
-    let slow = timeout(PATIENCE, store.get("key"))
+    let result = timeout(WAIT_TIMEOUT, store.get("key"))
         .await
-        .expect("the call ends in time");
-    assert!(matches!(slow, Err(StoreError::Unavailable { .. })), "{slow:?}");
+        .expect("the call ends before the timeout");
+    assert!(
+        matches!(result, Err(StoreError::Unavailable { .. })),
+        "{result:?}"
+    );
     standin.close().await;
 }
 
 #[tokio::test]
-async fn get_first_address_dead() {
+async fn get_first_address_unreachable() {
     let standin = KvStandin::start(KvOptions::default()).await.unwrap();
-    let store = EtcdKeyValue::new(&[dead_address().await, address(&standin)]).unwrap();
+    let store = EtcdKeyValue::new(&[closed_address().await, address(&standin)]).unwrap();
     for number in 0..10 {
         create(&store, &format!("key-{number}")).await.unwrap();
     }
@@ -138,14 +141,14 @@
 
 #[tokio::test]
 async fn watch_broken() {
-    let (standin, store) = standin().await;
+    let (standin, store) = start_standin().await;
     let mut watch = store.watch("key").await.unwrap();
     standin.set_faults(KvFaults {
         break_watches: true,
         ..KvFaults::default()
     });
     let ended = async { while watch.recv().await.is_some() {} };
-    timeout(PATIENCE, ended).await.expect("the watch ends");
+    timeout(WAIT_TIMEOUT, ended).await.expect("the watch ends");
     let mut watch = store.watch("key").await.unwrap();
     create(&store, "key").await.unwrap();
     let changed = async {
@@ -155,7 +158,7 @@
             }
         }
     };
-    let entry = timeout(PATIENCE, changed)
+    let entry = timeout(WAIT_TIMEOUT, changed)
         .await
         .expect("the new watch reports the change");
     assert_eq!(entry.key, "key");
@@ -163,29 +166,32 @@
 }
 
 #[test]
-fn breaker_pauses() {
+fn breaker_backoff_bounded() {
     let mut breaker = Breaker::default();
     let mut now = Instant::now();
-    let mut last_pause = Duration::ZERO;
+    let mut last_backoff = Duration::ZERO;
     for trial in 0..12 {
-        // Two calls go through before the first pause; after that a single one does at a time.
+        // Three consecutive failures open the breaker. After that, one trial call is admitted per backoff.
         while breaker.admit(now).is_ok() {
             breaker.report(false, now);
         }
-        let pause = breaker.admit(now).unwrap_err();
-        assert!(pause <= Duration::from_secs(2), "trial {trial}: {pause:?}");
+        let backoff = breaker.admit(now).unwrap_err();
+        assert!(backoff <= Duration::from_secs(2), "trial {trial}: {backoff:?}");
         if trial < 4 {
             assert!(
-                pause * 2 > last_pause,
-                "trial {trial}: {pause:?} after {last_pause:?}"
+                backoff * 2 > last_backoff,
+                "trial {trial}: {backoff:?} after {last_backoff:?}"
             );
         }
-        last_pause = pause;
-        now += pause;
+        last_backoff = backoff;
+        now += backoff;
     }
-    assert!(last_pause >= Duration::from_secs(1));
+    assert!(last_backoff >= Duration::from_secs(1));
     assert_eq!(breaker.admit(now), Ok(()));
-    assert!(breaker.admit(now).is_err(), "a second call during a trial");
+    assert!(
+        breaker.admit(now).is_err(),
+        "a second call was admitted during a trial"
+    );
     breaker.report(true, now);
     assert_eq!(breaker.admit(now), Ok(()));
     assert_eq!(breaker.admit(now), Ok(()));
--- a/crates/burdockroad-daemon/tests/fleet.rs
+++ b/crates/burdockroad-daemon/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Membership, ownership, takeover and handoff, over fakes of the journal and the trees.
+//! Membership, ownership, takeover and handoff, with fake journals and fake program trees.
 
 #[path = "fleet/coordinator.rs"]
 mod coordinator;
--- a/crates/burdockroad-daemon/tests/fleet/coordinator.rs
+++ b/crates/burdockroad-daemon/tests/fleet/coordinator.rs
@@ -1,4 +1,4 @@
-//! Whole coordinators that talk to each other over loopback.
+//! Complete coordinators that are connected over loopback.
 
 use std::{
     sync::{Arc, Mutex},
@@ -17,18 +17,18 @@
 
 use crate::{
     journals::Journals,
-    service::{Silent, handlers},
+    service::{StubHandlers, handlers},
     trees::MemoryTrees,
 };
 
-/// Time within which each of the cases must come to its end; far above what it takes.
-const CASE_TIMEOUT: Duration = Duration::from_mins(1);
+/// Timeout of each condition that a test waits for. Far above the time that a passing run takes.
+const CONDITION_TIMEOUT: Duration = Duration::from_mins(1);
 
 #[derive(Clone, Debug, Default)]
-struct TestHosts(Arc<Mutex<Vec<ListedHost>>>);
+struct TestHostList(Arc<Mutex<Vec<ListedHost>>>);
 
 #[async_trait]
-impl HostList for TestHosts {
+impl HostList for TestHostList {
     async fn hosts(&self) -> Result<Vec<ListedHost>, StoreError> {
         Ok(self.0.lock().unwrap().clone())
     }
@@ -37,7 +37,7 @@
 struct Fleet {
     store: MemoryKeyValue,
     journals: Journals,
-    hosts: TestHosts,
+    hosts: TestHostList,
 }
 
 struct Host {
@@ -51,17 +51,17 @@
         Self {
             store: MemoryKeyValue::new(),
             journals: Journals::new(),
-            hosts: TestHosts::default(),
+            hosts: TestHostList::default(),
         }
     }
 
-    /// Starts hosts that are all listed before the first one starts.
+    /// Starts hosts. All of them are in the host list before the first one starts.
     async fn start(&self, names: &[&str]) -> Vec<Host> {
         let mut listeners = Vec::new();
         for name in names {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let address = listener.local_addr().unwrap().to_string();
-            self.list(name, &address);
+            self.add_to_list(name, &address);
             listeners.push((*name, listener, address));
         }
         let mut hosts = Vec::new();
@@ -71,7 +71,8 @@
         hosts
     }
 
-    fn list(&self, name: &str, address: &str) {
+    /// Adds a host to the host list, or replaces its entry.
+    fn add_to_list(&self, name: &str, address: &str) {
         let mut hosts = self.hosts.0.lock().unwrap();
         hosts.retain(|host| host.host_id != name);
         let domain = hosts.len() % 3;
@@ -99,7 +100,7 @@
             recovery: Arc::new(self.journals.clone()),
             trees: Arc::clone(&trees) as Arc<_>,
             clients: Arc::new(PeerClients::new()),
-            document: Arc::new(Silent),
+            document: Arc::new(StubHandlers),
         })
         .await
         .unwrap();
@@ -120,16 +121,17 @@
         self.coordinator.ownership().borrow().clone()
     }
 
-    fn owned(&self) -> usize {
+    fn partition_count(&self) -> usize {
         self.view().own_partitions().len()
     }
 
-    /// Stops like a process that was killed.
+    /// Stops without a shutdown, like a process that was killed.
     fn kill(self) {
         self.server.abort();
         self.coordinator.abort();
     }
 
+    /// Creates a tree in each of the host's partitions, and returns the IDs of their roots.
     async fn create_trees(&self, name: &str) -> Vec<String> {
         let mut root_ids = Vec::new();
         for partition in self.view().own_partitions() {
@@ -141,26 +143,27 @@
     }
 }
 
-async fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let waited = tokio::time::timeout(CASE_TIMEOUT, async {
-        while !done() {
+async fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let result = tokio::time::timeout(CONDITION_TIMEOUT, async {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     });
-    assert!(waited.await.is_ok(), "never happened: {what}");
+    assert!(result.await.is_ok(), "timed out waiting until {description}");
 }
 
-/// Whether all hosts see one map, in which they own everything in even shares.
-fn balanced(hosts: &[Host]) -> bool {
+/// Returns whether all hosts have the same map, in which they own even shares of the partitions.
+fn is_balanced(hosts: &[Host]) -> bool {
     let share = usize::from(PARTITIONS) / hosts.len();
     let even = hosts
         .iter()
-        .all(|host| (share..=share + 1).contains(&host.owned()));
+        .all(|host| (share..=share + 1).contains(&host.partition_count()));
     let version = hosts[0].view().version;
     even && hosts.iter().all(|host| host.view().version == version)
 }
 
-fn serve_all(hosts: &[Host], root_ids: &[String]) -> bool {
+/// Returns whether each tree is served by exactly one of the hosts.
+fn serves_each_once(hosts: &[Host], root_ids: &[String]) -> bool {
     let served = |root_id: &String| {
         let serving = hosts
             .iter()
@@ -174,44 +177,65 @@
 async fn coordinator_single_host() {
     let fleet = Fleet::new();
     let hosts = fleet.start(&["a"]).await;
-    until("first map", || hosts[0].owned() == usize::from(PARTITIONS)).await;
+    wait_until("the host has the first map", || {
+        hosts[0].partition_count() == usize::from(PARTITIONS)
+    })
+    .await;
     let root_ids = hosts[0].create_trees("x").await;
     for host in hosts {
         assert_eq!(host.coordinator.shutdown(Duration::from_secs(1)).await, 256);
         host.server.abort();
     }
     let hosts = fleet.start(&["a"]).await;
-    until("own former process taken over", || serve_all(&hosts, &root_ids)).await;
-    until("old journal removed", || fleet.journals.processes().len() == 1).await;
+    wait_until("the host has taken over from its previous process", || {
+        serves_each_once(&hosts, &root_ids)
+    })
+    .await;
+    wait_until("the previous journal is removed", || {
+        fleet.journals.processes().len() == 1
+    })
+    .await;
 }
 
 #[tokio::test]
 async fn coordinator_join_kill_restart_leave() {
     let fleet = Fleet::new();
     let mut hosts = fleet.start(&["a", "b", "c"]).await;
-    until("three share", || balanced(&hosts)).await;
+    wait_until("three hosts own even shares", || is_balanced(&hosts)).await;
     let mut root_ids = Vec::new();
     for host in &hosts {
         root_ids.extend(host.create_trees("x").await);
     }
 
     hosts.extend(fleet.start(&["d"]).await);
-    until("four share", || balanced(&hosts)).await;
-    until("all served by four", || serve_all(&hosts, &root_ids)).await;
+    wait_until("four hosts own even shares", || is_balanced(&hosts)).await;
+    wait_until("four hosts serve all trees", || {
+        serves_each_once(&hosts, &root_ids)
+    })
+    .await;
 
     hosts.remove(0).kill();
-    until("three share again", || balanced(&hosts)).await;
-    until("all served by three", || serve_all(&hosts, &root_ids)).await;
+    wait_until("three hosts own even shares again", || is_balanced(&hosts)).await;
+    wait_until("three hosts serve all trees", || {
+        serves_each_once(&hosts, &root_ids)
+    })
+    .await;
 
-    let left = hosts
+    let remaining_partitions = hosts
         .remove(0)
         .coordinator
         .shutdown(Duration::from_secs(30))
         .await;
-    assert_eq!(left, 0);
-    until("all served by two", || serve_all(&hosts, &root_ids)).await;
+    assert_eq!(remaining_partitions, 0);
+    wait_until("two hosts serve all trees", || {
+        serves_each_once(&hosts, &root_ids)
+    })
+    .await;
 
     hosts.extend(fleet.start(&["a"]).await);
-    until("restarted host has its share", || balanced(&hosts)).await;
-    until("all served at the end", || serve_all(&hosts, &root_ids)).await;
+    wait_until("the restarted host owns its share", || is_balanced(&hosts)).await;
+    wait_until("all trees are served after the restart", || {
+        serves_each_once(&hosts, &root_ids)
+    })
+    .await;
 }
--- a/crates/burdockroad-daemon/tests/fleet/journals.rs
+++ b/crates/burdockroad-daemon/tests/fleet/journals.rs
@@ -1,4 +1,4 @@
-//! Journals of all processes, kept in memory.
+//! In-memory journals of all processes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,46 +19,47 @@
 
 use crate::model_store::Gate;
 
-/// What the store holds of all journals.
+/// The stored journals of all processes.
 #[derive(Clone, Debug)]
 pub struct Journals {
-    table: Arc<Mutex<BTreeMap<Process, Row>>>,
-    /// The processes in the order in which they opened their journals; their incarnations are random.
+    table: Arc<Mutex<BTreeMap<Process, StoredJournal>>>,
+    /// The processes in the order in which they opened their journals. The order of the processes
+    /// themselves would differ between runs, because incarnations are random.
     opened: Arc<Mutex<Vec<Process>>>,
-    delays: Arc<Mutex<Option<ChaCha8Rng>>>,
-    /// Stops the writer when its process is paused or has crashed.
+    delay_rng: Arc<Mutex<Option<ChaCha8Rng>>>,
+    /// Blocks the writer while its process is paused, and after it has crashed.
     gate: Gate,
 }
 
 #[derive(Debug, Default)]
-struct Row {
+struct StoredJournal {
     records: Vec<Record>,
     sealed: bool,
 }
 
 impl Journals {
-    /// Journals that answer at once.
+    /// Creates journals that respond without delay.
     pub fn new() -> Self {
         Self {
             table: Arc::default(),
             opened: Arc::default(),
-            delays: Arc::default(),
+            delay_rng: Arc::default(),
             gate: Gate::default(),
         }
     }
 
-    /// Journals that answer after times drawn from a seed.
+    /// Creates journals that respond after random delays from a generator with the given seed.
     pub fn with_delays(seed: u64) -> Self {
-        let delays = Some(ChaCha8Rng::seed_from_u64(seed));
+        let delay_rng = Some(ChaCha8Rng::seed_from_u64(seed));
         Self {
             table: Arc::default(),
             opened: Arc::default(),
-            delays: Arc::new(Mutex::new(delays)),
+            delay_rng: Arc::new(Mutex::new(delay_rng)),
             gate: Gate::default(),
         }
     }
 
-    /// The same journals, as a process behind a gate reaches them.
+    /// Returns the same journals as seen by a process behind `gate`.
     pub fn behind(&self, gate: &Gate) -> Self {
         Self {
             gate: gate.clone(),
@@ -66,13 +67,13 @@
         }
     }
 
-    /// The processes that have a journal, in an order that is the same on every run.
+    /// Returns the processes that have a journal, in an order that is the same in every run.
     pub fn processes(&self) -> Vec<Process> {
-        let held = self.table.lock().unwrap().keys().cloned().collect();
-        self.in_order(&held)
+        let processes = self.table.lock().unwrap().keys().cloned().collect();
+        self.in_order(&processes)
     }
 
-    /// Some processes, in the order in which they opened their journals.
+    /// Returns the given processes in the order in which they opened their journals.
     pub fn in_order(&self, processes: &BTreeSet<Process>) -> Vec<Process> {
         let opened = self.opened.lock().unwrap();
         opened
@@ -83,24 +84,24 @@
     }
 
     async fn delay(&self) {
-        let drawn = self
-            .delays
+        let delay_ms = self
+            .delay_rng
             .lock()
             .unwrap()
             .as_mut()
             .map(|rng| rng.random_range(0..20));
-        if let Some(drawn) = drawn {
-            tokio::time::sleep(Duration::from_millis(drawn)).await;
+        if let Some(delay_ms) = delay_ms {
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             self.gate.pass().await;
         }
     }
 
-    fn add(&self, process: &Process, records: Vec<Record>) -> Result<(), JournalError> {
+    fn append_records(&self, process: &Process, records: Vec<Record>) -> Result<(), JournalError> {
         let mut table = self.table.lock().unwrap();
-        // A writer cannot go on after its journal was removed: each write needs the one before it.
+        // A writer cannot continue after its journal was removed, because each write requires its predecessor.
         match table.get_mut(process) {
-            Some(row) if !row.sealed => {
-                row.records.extend(records);
+            Some(journal) if !journal.sealed => {
+                journal.records.extend(records);
                 Ok(())
             }
             _ => Err(JournalError::Fenced),
@@ -111,15 +112,18 @@
 #[async_trait]
 impl JournalFactory for Journals {
     async fn open(&self, process: Process) -> Result<Arc<dyn Journal>, JournalError> {
-        self.table.lock().unwrap().insert(process.clone(), Row::default());
+        self.table
+            .lock()
+            .unwrap()
+            .insert(process.clone(), StoredJournal::default());
         self.opened.lock().unwrap().push(process.clone());
-        let (sender, mut received) = mpsc::unbounded_channel::<Queued>();
+        let (sender, mut receiver) = mpsc::unbounded_channel::<QueuedAppend>();
         let journals = self.clone();
         let writer = process.clone();
         tokio::spawn(async move {
-            while let Some(queued) = received.recv().await {
+            while let Some(queued) = receiver.recv().await {
                 journals.delay().await;
-                let outcome = journals.add(&writer, queued.records);
+                let outcome = journals.append_records(&writer, queued.records);
                 journals.delay().await;
                 let _ = queued.reply.send(outcome);
             }
@@ -138,9 +142,9 @@
         self.delay().await;
         let records = {
             let mut table = self.table.lock().unwrap();
-            let row = table.entry(failed.clone()).or_default();
-            row.sealed = true;
-            row.records.clone()
+            let journal = table.entry(failed.clone()).or_default();
+            journal.sealed = true;
+            journal.records.clone()
         };
         self.delay().await;
         Ok(records)
@@ -159,29 +163,29 @@
 }
 
 #[derive(Debug)]
-struct Queued {
+struct QueuedAppend {
     records: Vec<Record>,
     reply: oneshot::Sender<Result<(), JournalError>>,
 }
 
-/// Writer of one journal; one write is under way at a time.
+/// Writer of one journal, with one write in flight at a time.
 #[derive(Debug)]
 struct MemoryJournal {
     process: Process,
     journals: Journals,
-    sender: mpsc::UnboundedSender<Queued>,
+    sender: mpsc::UnboundedSender<QueuedAppend>,
 }
 
 impl Journal for MemoryJournal {
     fn append(&self, records: Vec<Record>, _: Durability) -> Appended {
         let (reply, appended) = oneshot::channel();
-        let _ = self.sender.send(Queued { records, reply });
+        let _ = self.sender.send(QueuedAppend { records, reply });
         appended
     }
 
     fn admit(&self, _: Durability) -> Result<(), JournalError> {
         let table = self.journals.table.lock().unwrap();
-        let sealed = table.get(&self.process).is_none_or(|row| row.sealed);
+        let sealed = table.get(&self.process).is_none_or(|journal| journal.sealed);
         if sealed { Err(JournalError::Fenced) } else { Ok(()) }
     }
 }
--- a/crates/burdockroad-daemon/tests/fleet/model.rs
+++ b/crates/burdockroad-daemon/tests/fleet/model.rs
@@ -1,8 +1,8 @@
 //! Random interleavings of takeovers, handoffs, crashes, pauses and calls on three hosts.
 //!
-//! Any host may try to take over from any other at any time, also from one that is up: what is checked
-//! does not depend on who is suspected. At the end everything that was confirmed to a caller must be
-//! there once, first at the hosts that are up, and then, after all of them crashed, in the journals.
+//! Any host may attempt a takeover from any other host at any time, even from a live one, so the checks do
+//! not depend on which hosts are suspected. At the end, every change that was confirmed to a caller must
+//! exist exactly once: first on the live hosts and then, after all of them have crashed, in the journals.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -32,45 +32,46 @@
 
 use crate::{
     journals::Journals,
-    model_store::{Adopters, Dice, Gate, ModelSender, ModelStore, Run},
+    model_store::{Adopters, Gate, ModelSender, ModelStore, RunState, SharedRng},
     trees::MemoryTrees,
 };
 
 /// Number of hosts.
-const HOSTS: usize = 3;
+const HOST_COUNT: usize = 3;
 
-/// Partitions that have programs.
+/// Number of partitions that have programs.
 const USED_PARTITIONS: PartitionId = 5;
 
-/// Steps of one case.
+/// Number of steps of a case.
 const STEPS: u32 = 120;
 
-/// Seeds that are always tried; `MODEL_SEEDS` in the environment asks for more.
-const SEEDS: u64 = 400;
+/// Number of seeds that are run, unless the environment variable `MODEL_SEEDS` sets another number.
+const DEFAULT_SEED_COUNT: u64 = 400;
 
-/// Seeds that once failed: 327 when a takeover did not read the map again after the journal.
-const KEPT_SEEDS: &[u64] = &[327];
+/// Seeds that have failed before. Seed 327 failed when a takeover did not read the map again after it had
+/// read the journal.
+const REGRESSION_SEEDS: &[u64] = &[327];
 
-/// Time within which everything has to come to rest after the last fault.
-const REST_TIMEOUT: Duration = Duration::from_mins(2);
+/// Timeout for the hosts to become quiescent after the last fault.
+const QUIESCENCE_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// What callers were told.
+/// Results that were confirmed to callers.
 #[derive(Debug, Default)]
 struct Confirmed {
-    /// Programs that were stored, by the root of their tree.
+    /// Programs whose creation was stored, by the root of their tree.
     programs: BTreeMap<ProgramId, BTreeSet<ProgramId>>,
-    /// Trees whose end was asked for.
+    /// Trees whose end was requested.
     ending: BTreeSet<ProgramId>,
     /// Trees whose end was stored.
     ended: BTreeSet<ProgramId>,
 }
 
-struct World {
-    dice: Dice,
+struct Cluster {
+    rng: SharedRng,
     store: Arc<MemoryKeyValue>,
     journals: Journals,
     adopters: Adopters,
-    faulty: watch::Sender<bool>,
+    faults_enabled: watch::Sender<bool>,
     confirmed: Arc<Mutex<Confirmed>>,
     hosts: Vec<Host>,
     counter: u64,
@@ -84,32 +85,32 @@
     takeover: Takeover,
     handoff: Handoff,
     fenced: Arc<Notify>,
-    moves: JoinSet<()>,
+    handoffs: JoinSet<()>,
     calls: JoinSet<()>,
 }
 
-impl World {
+impl Cluster {
     async fn new(seed: u64) -> Self {
-        let mut world = Self {
-            dice: Dice::new(seed),
+        let mut cluster = Self {
+            rng: SharedRng::new(seed),
             store: Arc::new(MemoryKeyValue::new()),
             journals: Journals::with_delays(seed),
             adopters: Adopters::default(),
-            faulty: watch::Sender::new(false),
+            faults_enabled: watch::Sender::new(false),
             confirmed: Arc::default(),
             hosts: Vec::new(),
             counter: 0,
         };
-        for host in 0..HOSTS {
-            let host = world.start(&format!("host-{host}")).await;
-            world.hosts.push(host);
+        for host in 0..HOST_COUNT {
+            let host = cluster.start(&format!("host-{host}")).await;
+            cluster.hosts.push(host);
         }
-        let candidates = world.hosts.iter().map(Host::candidate).collect();
-        world.hosts[0].ownership().create(candidates).await.unwrap();
-        for host in &world.hosts {
+        let candidates = cluster.hosts.iter().map(Host::candidate).collect();
+        cluster.hosts[0].ownership().create(candidates).await.unwrap();
+        for host in &cluster.hosts {
             host.ownership().refresh().await.unwrap();
         }
-        world
+        cluster
     }
 
     async fn start(&self, name: &str) -> Host {
@@ -125,9 +126,9 @@
         let fenced = Arc::new(Notify::new());
         let store = ModelStore {
             store: Arc::clone(&self.store),
-            dice: self.dice.clone(),
+            rng: self.rng.clone(),
             gate: gate.clone(),
-            faulty: self.faulty.subscribe(),
+            faults_enabled: self.faults_enabled.subscribe(),
         };
         let arguments = OwnershipArguments {
             me: views.me(),
@@ -147,9 +148,9 @@
             .insert(name.to_owned(), (adopter, gate.clone()));
         let sender = ModelSender {
             adopters: Arc::clone(&self.adopters),
-            dice: self.dice.clone(),
+            rng: self.rng.clone(),
             gate: gate.clone(),
-            faulty: self.faulty.subscribe(),
+            faults_enabled: self.faults_enabled.subscribe(),
         };
         Host {
             name: name.to_owned(),
@@ -168,14 +169,14 @@
             journal,
             trees,
             fenced,
-            moves: JoinSet::new(),
+            handoffs: JoinSet::new(),
             calls: JoinSet::new(),
         }
     }
 
     async fn step(&mut self) {
-        let host = usize::try_from(self.dice.roll(self.hosts.len() as u64)).unwrap();
-        match self.dice.roll(100) {
+        let host = usize::try_from(self.rng.below(self.hosts.len() as u64)).unwrap();
+        match self.rng.below(100) {
             0..45 => self.call(host),
             45..60 => self.hand_off(host),
             60..70 => self.take_over(host).await,
@@ -185,21 +186,21 @@
             _ => self.refresh(host),
         }
         self.rejoin_fenced().await;
-        self.dice.delay(30).await;
+        self.rng.delay(30).await;
     }
 
-    /// Creates, grows or ends a tree.
+    /// Creates a tree, adds a sub-agent to one, or ends one.
     fn call(&mut self, host: usize) {
         self.counter += 1;
-        let partition = PartitionId::try_from(self.dice.roll(USED_PARTITIONS.into())).unwrap();
+        let partition = PartitionId::try_from(self.rng.below(USED_PARTITIONS.into())).unwrap();
         let fresh_id = program_id(partition, &self.counter.to_string());
         let trees = Arc::clone(&self.hosts[host].trees);
         let confirmed = Arc::clone(&self.confirmed);
         let served: Vec<ProgramId> = trees.served().into_keys().collect();
-        let known = self.dice.pick(&served).cloned();
-        let action = self.dice.roll(10);
+        let existing_root_id = self.rng.choose(&served).cloned();
+        let action = self.rng.below(10);
         self.hosts[host].calls.spawn(async move {
-            match (known, action) {
+            match (existing_root_id, action) {
                 (Some(root_id), 0) => {
                     confirmed.lock().unwrap().ending.insert(root_id.clone());
                     if trees.end(&root_id).await {
@@ -207,7 +208,7 @@
                     }
                 }
                 (Some(root_id), 1..7) => {
-                    if trees.grow(&root_id, &fresh_id).await {
+                    if trees.add_sub_agent(&root_id, &fresh_id).await {
                         let mut confirmed = confirmed.lock().unwrap();
                         confirmed.programs.entry(root_id).or_default().insert(fresh_id);
                     }
@@ -228,17 +229,17 @@
 
     fn hand_off(&mut self, host: usize) {
         let targets: Vec<Member> = self.hosts.iter().map(Host::member).collect();
-        let Some(to) = self.dice.pick(&targets).cloned() else {
+        let Some(to) = self.rng.choose(&targets).cloned() else {
             return;
         };
-        let first = PartitionId::try_from(self.dice.roll(USED_PARTITIONS.into())).unwrap();
+        let first = PartitionId::try_from(self.rng.below(USED_PARTITIONS.into())).unwrap();
         let partitions: Vec<PartitionId> = (first..USED_PARTITIONS).collect();
         let host = &mut self.hosts[host];
-        // One handoff of a host is under way at a time, as in the coordinator.
-        if to.process != host.me() && !host.handing_off() {
+        // A host runs one handoff at a time, as in the coordinator.
+        if to.process != host.me() && !host.is_handing_off() {
             let handoff = host.handoff.clone();
-            host.moves.spawn(async move {
-                // Whether it succeeded shows in the map.
+            host.handoffs.spawn(async move {
+                // The map shows whether the handoff succeeded.
                 let _ = handoff.hand_off(&partitions, &to, Duration::ZERO).await;
             });
         }
@@ -246,50 +247,50 @@
 
     async fn take_over(&mut self, host: usize) {
         let owners = self.journals.in_order(&self.map().await.processes());
-        let Some(gone) = self.dice.pick(&owners).cloned() else {
+        let Some(failed) = self.rng.choose(&owners).cloned() else {
             return;
         };
         let host = &mut self.hosts[host];
-        if gone != host.me() {
+        if failed != host.me() {
             let takeover = host.takeover.clone();
             host.calls.spawn(async move {
-                let _ = takeover.take_over(&gone).await;
+                let _ = takeover.take_over(&failed).await;
             });
         }
     }
 
     fn remove_orphaned(&mut self, host: usize) {
         let writers = self.journals.processes();
-        let Some(gone) = self.dice.pick(&writers).cloned() else {
+        let Some(failed) = self.rng.choose(&writers).cloned() else {
             return;
         };
         let host = &mut self.hosts[host];
-        if gone != host.me() {
+        if failed != host.me() {
             let takeover = host.takeover.clone();
             host.calls.spawn(async move {
-                let _ = takeover.remove_orphaned(&gone).await;
+                let _ = takeover.remove_orphaned(&failed).await;
             });
         }
     }
 
     async fn crash(&mut self, host: usize) {
         let name = self.hosts[host].name.clone();
-        self.hosts[host].gate.set(Run::Crashed);
+        self.hosts[host].gate.set(RunState::Crashed);
         let restarted = self.start(&name).await;
-        // What the crashed process had on its way arrives all the same; nothing in it goes on.
+        // Messages that the crashed process had sent are still delivered, but none of its tasks resumes.
         let mut crashed = std::mem::replace(&mut self.hosts[host], restarted);
-        crashed.moves.abort_all();
+        crashed.handoffs.abort_all();
         crashed.calls.abort_all();
     }
 
     fn toggle_pause(&mut self, host: usize) {
         let gate = &self.hosts[host].gate;
-        let next = if gate.is_paused() {
-            Run::Running
+        let next_state = if gate.is_paused() {
+            RunState::Running
         } else {
-            Run::Paused
+            RunState::Paused
         };
-        gate.set(next);
+        gate.set(next_state);
     }
 
     fn refresh(&mut self, host: usize) {
@@ -299,13 +300,13 @@
         });
     }
 
-    /// What the coordinator does when it finds its process fenced.
+    /// Rejoins each host whose process was fenced, as the coordinator does.
     async fn rejoin_fenced(&mut self) {
         for host in &mut self.hosts {
             if host.gate.is_paused() || !host.is_fenced() {
                 continue;
             }
-            host.moves.shutdown().await;
+            host.handoffs.shutdown().await;
             host.calls.shutdown().await;
             rejoin(&host.handoff, &host.journal).await.unwrap();
         }
@@ -316,21 +317,21 @@
         store.read().await.unwrap().unwrap().map
     }
 
-    /// Ends all faults, and lets the hosts take over what nobody serves.
-    async fn rest(&mut self) {
-        self.faulty.send_replace(false);
+    /// Disables faults, and lets the hosts take over the partitions of processes that no longer run.
+    async fn quiesce(&mut self) {
+        self.faults_enabled.send_replace(false);
         for host in &self.hosts {
-            host.gate.set(Run::Running);
+            host.gate.set(RunState::Running);
         }
-        let deadline = Instant::now() + REST_TIMEOUT;
-        while !self.is_at_rest().await {
-            assert!(Instant::now() < deadline, "the hosts never come to rest");
+        let deadline = Instant::now() + QUIESCENCE_TIMEOUT;
+        while !self.is_quiescent().await {
+            assert!(Instant::now() < deadline, "the hosts did not become quiescent");
             tokio::time::sleep(Duration::from_millis(50)).await;
             self.rejoin_fenced().await;
             let live: BTreeSet<Process> = self.hosts.iter().map(Host::me).collect();
-            for gone in self.journals.in_order(&self.map().await.processes()) {
-                if !live.contains(&gone) {
-                    let _ = self.hosts[0].takeover.take_over(&gone).await;
+            for failed in self.journals.in_order(&self.map().await.processes()) {
+                if !live.contains(&failed) {
+                    let _ = self.hosts[0].takeover.take_over(&failed).await;
                 }
             }
             for host in &self.hosts {
@@ -339,18 +340,21 @@
         }
     }
 
-    async fn is_at_rest(&mut self) -> bool {
+    async fn is_quiescent(&mut self) -> bool {
         for host in &mut self.hosts {
-            while host.moves.try_join_next().is_some() {}
+            while host.handoffs.try_join_next().is_some() {}
             while host.calls.try_join_next().is_some() {}
         }
         let map = self.map().await;
         let live: BTreeSet<Process> = self.hosts.iter().map(Host::me).collect();
-        let quiet = self.hosts.iter().all(|host| {
+        let idle = self.hosts.iter().all(|host| {
             let view = host.ownership().map();
-            view.version == map.version && host.moves.is_empty() && host.calls.is_empty() && !host.is_fenced()
+            view.version == map.version
+                && host.handoffs.is_empty()
+                && host.calls.is_empty()
+                && !host.is_fenced()
         });
-        quiet && map.processes().is_subset(&live)
+        idle && map.processes().is_subset(&live)
     }
 
     fn check(&self, when: &str) {
@@ -363,20 +367,27 @@
         }
         let confirmed = self.confirmed.lock().unwrap();
         for (root_id, copies) in &served {
-            assert_eq!(copies.len(), 1, "{when}: {root_id} is served twice");
-            assert!(!confirmed.ended.contains(root_id), "{when}: {root_id} came back");
+            assert_eq!(
+                copies.len(),
+                1,
+                "{when}: {root_id} is served by more than one host"
+            );
+            assert!(
+                !confirmed.ended.contains(root_id),
+                "{when}: {root_id} is served after its end was stored"
+            );
         }
-        let kept = confirmed
+        let open_trees = confirmed
             .programs
             .iter()
             .filter(|(root_id, _)| !confirmed.ending.contains(*root_id));
-        for (root_id, programs) in kept {
+        for (root_id, programs) in open_trees {
             let copies = served.get(root_id).map_or(&[][..], Vec::as_slice);
-            assert_eq!(copies.len(), 1, "{when}: {root_id} is lost");
+            assert_eq!(copies.len(), 1, "{when}: {root_id} is not served");
             let missing: Vec<_> = programs.difference(&copies[0]).collect();
             assert!(
                 missing.is_empty(),
-                "{when}: {root_id} is stale, without {missing:?}"
+                "{when}: the copy of {root_id} lacks {missing:?}"
             );
         }
     }
@@ -408,37 +419,37 @@
     }
 
     fn is_fenced(&self) -> bool {
-        // The notice is kept until somebody waits for it, so that it is looked at once.
-        let noticed = futures_util::FutureExt::now_or_never(self.fenced.notified()).is_some();
-        noticed || self.journal.is_fenced()
+        // `Notify` stores a notification until the next wait, so that the check consumes it without waiting.
+        let notified = futures_util::FutureExt::now_or_never(self.fenced.notified()).is_some();
+        notified || self.journal.is_fenced()
     }
 
-    fn handing_off(&mut self) -> bool {
-        while self.moves.try_join_next().is_some() {}
-        !self.moves.is_empty()
+    fn is_handing_off(&mut self) -> bool {
+        while self.handoffs.try_join_next().is_some() {}
+        !self.handoffs.is_empty()
     }
 }
 
 async fn run(seed: u64) {
-    let mut world = World::new(seed).await;
-    world.faulty.send_replace(true);
+    let mut cluster = Cluster::new(seed).await;
+    cluster.faults_enabled.send_replace(true);
     for _ in 0..STEPS {
-        world.step().await;
+        cluster.step().await;
     }
-    world.rest().await;
-    world.check("at rest");
-    for host in &world.hosts {
-        host.gate.set(Run::Crashed);
+    cluster.quiesce().await;
+    cluster.check("after faults were disabled");
+    for host in &cluster.hosts {
+        host.gate.set(RunState::Crashed);
     }
-    let survivor = world.start("survivor").await;
-    world.hosts = vec![survivor];
-    world.rest().await;
-    world.check("after all crashed");
+    let survivor = cluster.start("survivor").await;
+    cluster.hosts = vec![survivor];
+    cluster.quiesce().await;
+    cluster.check("after all crashed");
     assert_eq!(
-        world.hosts[0]
+        cluster.hosts[0]
             .ownership()
             .map()
-            .partitions_of(&world.hosts[0].me())
+            .partitions_of(&cluster.hosts[0].me())
             .len(),
         usize::from(PARTITIONS)
     );
@@ -456,8 +467,10 @@
 
 #[test]
 fn model_random_seeds() {
-    let asked = std::env::var("MODEL_SEEDS").ok();
-    let seeds = asked.and_then(|seeds| seeds.parse().ok()).unwrap_or(SEEDS);
+    let requested = std::env::var("MODEL_SEEDS").ok();
+    let seeds = requested
+        .and_then(|seeds| seeds.parse().ok())
+        .unwrap_or(DEFAULT_SEED_COUNT);
     for seed in 0..seeds {
         run_seed(seed);
     }
@@ -465,7 +478,7 @@
 
 #[test]
 fn model_kept_seeds() {
-    for seed in KEPT_SEEDS {
+    for seed in REGRESSION_SEEDS {
         run_seed(*seed);
     }
 }
--- a/crates/burdockroad-daemon/tests/fleet/model_store.rs
+++ b/crates/burdockroad-daemon/tests/fleet/model_store.rs
@@ -1,4 +1,4 @@
-//! A store, and connections between hosts, that fail and delay as a seed says.
+//! A store and connections between hosts with random faults and delays, which are determined by a seed.
 
 use std::{
     collections::BTreeMap,
@@ -18,66 +18,69 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::{mpsc, watch};
 
-/// Longest time by which a message is late, in milliseconds.
-const LATE_MAX_MS: u64 = 300;
+/// Maximum delay of a late message.
+const LATE_DELAY_MAX_MS: u64 = 300;
 
-/// Random numbers that all parts of one case share.
+/// Random number generator that all components of a case share.
 #[derive(Clone, Debug)]
-pub struct Dice(Arc<Mutex<ChaCha8Rng>>);
+pub struct SharedRng(Arc<Mutex<ChaCha8Rng>>);
 
-impl Dice {
+impl SharedRng {
     pub fn new(seed: u64) -> Self {
         Self(Arc::new(Mutex::new(ChaCha8Rng::seed_from_u64(seed))))
     }
 
-    /// A number below `end`.
-    pub fn roll(&self, end: u64) -> u64 {
+    /// Returns a random number below `end`.
+    pub fn below(&self, end: u64) -> u64 {
         self.0.lock().unwrap().random_range(0..end)
     }
 
-    pub fn pick<'a, T>(&self, items: &'a [T]) -> Option<&'a T> {
-        let position = (!items.is_empty()).then(|| self.roll(items.len() as u64))?;
+    /// Returns a random item, or `None` if there are no items.
+    pub fn choose<'a, T>(&self, items: &'a [T]) -> Option<&'a T> {
+        let position = (!items.is_empty()).then(|| self.below(items.len() as u64))?;
         items.get(usize::try_from(position).unwrap())
     }
 
+    /// Sleeps for a random time below `max_ms`.
     pub async fn delay(&self, max_ms: u64) {
-        tokio::time::sleep(Duration::from_millis(self.roll(max_ms))).await;
+        tokio::time::sleep(Duration::from_millis(self.below(max_ms))).await;
     }
 }
 
-/// Whether a process runs.
+/// State of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Run {
+pub enum RunState {
     #[default]
     Running,
     Paused,
-    /// Nothing that waits here ever goes on.
+    /// Tasks that wait at the gate of a crashed process never resume.
     Crashed,
 }
 
-/// Stops a process where it meets the world.
+/// Gate at which a process blocks before and after each request to the store or to another host.
 #[derive(Clone, Debug)]
-pub struct Gate(watch::Sender<Run>);
+pub struct Gate(watch::Sender<RunState>);
 
 impl Default for Gate {
     fn default() -> Self {
-        Self(watch::Sender::new(Run::Running))
+        Self(watch::Sender::new(RunState::Running))
     }
 }
 
 impl Gate {
-    pub fn set(&self, run: Run) {
-        self.0.send_replace(run);
+    pub fn set(&self, state: RunState) {
+        self.0.send_replace(state);
     }
 
     pub fn is_paused(&self) -> bool {
-        *self.0.borrow() == Run::Paused
+        *self.0.borrow() == RunState::Paused
     }
 
+    /// Waits until the process is running.
     pub async fn pass(&self) {
-        let mut run = self.0.subscribe();
-        // The sender lives in this gate, so the waiting cannot fail.
-        run.wait_for(|run| *run == Run::Running).await.unwrap();
+        let mut state = self.0.subscribe();
+        // The gate owns the sender, so the wait cannot fail.
+        state.wait_for(|state| *state == RunState::Running).await.unwrap();
     }
 }
 
@@ -85,31 +88,32 @@
 #[derive(Clone, Debug)]
 pub struct ModelStore {
     pub store: Arc<MemoryKeyValue>,
-    pub dice: Dice,
+    pub rng: SharedRng,
     pub gate: Gate,
-    pub faulty: watch::Receiver<bool>,
+    pub faults_enabled: watch::Receiver<bool>,
 }
 
 impl ModelStore {
-    fn roll(&self) -> u64 {
-        if *self.faulty.borrow() {
-            self.dice.roll(100)
+    /// Returns a random number below 100, which selects the fault of a request, or 100 for no fault.
+    fn draw_fault(&self) -> u64 {
+        if *self.faults_enabled.borrow() {
+            self.rng.below(100)
         } else {
             100
         }
     }
 
-    /// Sends a write that arrives after up to `late_ms`, whatever becomes of its sender.
+    /// Sends a write that the store applies after a delay below `delay_max_ms`, even if the sender crashes.
     fn send(
         &self,
         key: &str,
         value: Bytes,
         expected: Expected,
-        late_ms: u64,
+        delay_max_ms: u64,
     ) -> tokio::task::JoinHandle<Result<Put, StoreError>> {
-        let (store, dice, key) = (Arc::clone(&self.store), self.dice.clone(), key.to_owned());
+        let (store, rng, key) = (Arc::clone(&self.store), self.rng.clone(), key.to_owned());
         tokio::spawn(async move {
-            dice.delay(late_ms).await;
+            rng.delay(delay_max_ms).await;
             store.put(&key, value, expected).await
         })
     }
@@ -132,12 +136,12 @@
 impl KeyValue for ModelStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>, StoreError> {
         self.gate.pass().await;
-        self.dice.delay(10).await;
-        let found = match self.roll() {
+        self.rng.delay(10).await;
+        let found = match self.draw_fault() {
             0..10 => Err(unavailable()),
             _ => self.store.get(key).await,
         };
-        self.dice.delay(10).await;
+        self.rng.delay(10).await;
         self.gate.pass().await;
         found
     }
@@ -148,7 +152,7 @@
 
     async fn put(&self, key: &str, value: Bytes, expected: Expected) -> Result<Put, StoreError> {
         self.gate.pass().await;
-        let outcome = match self.roll() {
+        let outcome = match self.draw_fault() {
             0..8 => Err(unavailable()),
             8..16 => Err(ambiguous()),
             16..24 => {
@@ -156,13 +160,13 @@
                 Err(ambiguous())
             }
             24..32 => {
-                // The write goes on its way, and nobody waits for it.
-                drop(self.send(key, value, expected, LATE_MAX_MS));
+                // The write is still in flight when the caller gets the error.
+                drop(self.send(key, value, expected, LATE_DELAY_MAX_MS));
                 Err(ambiguous())
             }
             _ => self.send(key, value, expected, 10).await.unwrap(),
         };
-        self.dice.delay(10).await;
+        self.rng.delay(10).await;
         self.gate.pass().await;
         outcome
     }
@@ -184,24 +188,29 @@
     }
 }
 
-/// Who answers at an address.
+/// Adopters, and the gates of their processes, by address.
 pub type Adopters = Arc<Mutex<BTreeMap<String, (StagingAdopter, Gate)>>>;
 
 /// One host's connections to the others.
 #[derive(Clone, Debug)]
 pub struct ModelSender {
     pub adopters: Adopters,
-    pub dice: Dice,
+    pub rng: SharedRng,
     pub gate: Gate,
-    pub faulty: watch::Receiver<bool>,
+    pub faults_enabled: watch::Receiver<bool>,
 }
 
 impl ModelSender {
-    fn deliver(&self, address: &str, request: AdoptRequest, late_ms: u64) -> tokio::task::JoinHandle<bool> {
-        let (adopters, dice) = (Arc::clone(&self.adopters), self.dice.clone());
+    fn deliver(
+        &self,
+        address: &str,
+        request: AdoptRequest,
+        delay_max_ms: u64,
+    ) -> tokio::task::JoinHandle<bool> {
+        let (adopters, rng) = (Arc::clone(&self.adopters), self.rng.clone());
         let address = address.to_owned();
         tokio::spawn(async move {
-            dice.delay(late_ms).await;
+            rng.delay(delay_max_ms).await;
             let Some((adopter, gate)) = adopters.lock().unwrap().get(&address).cloned() else {
                 return false;
             };
@@ -215,25 +224,25 @@
 impl TreeSender for ModelSender {
     async fn send(&self, address: &str, request: AdoptRequest) -> bool {
         self.gate.pass().await;
-        let roll = if *self.faulty.borrow() {
-            self.dice.roll(100)
+        let fault = if *self.faults_enabled.borrow() {
+            self.rng.below(100)
         } else {
             100
         };
-        if roll < 15 {
-            // A second copy of the message comes late.
-            drop(self.deliver(address, request.clone(), LATE_MAX_MS));
+        if fault < 15 {
+            // A duplicate of the message arrives late.
+            drop(self.deliver(address, request.clone(), LATE_DELAY_MAX_MS));
         }
-        let delivered = match roll {
+        let delivered = match fault {
             15..25 => false,
             25..35 => {
-                drop(self.deliver(address, request, LATE_MAX_MS));
+                drop(self.deliver(address, request, LATE_DELAY_MAX_MS));
                 false
             }
             _ => {
-                let answer = self.deliver(address, request, 10);
-                let answer = tokio::time::timeout(Duration::from_millis(500), answer).await;
-                matches!(answer, Ok(Ok(true)))
+                let response = self.deliver(address, request, 10);
+                let response = tokio::time::timeout(Duration::from_millis(500), response).await;
+                matches!(response, Ok(Ok(true)))
             }
         };
         self.gate.pass().await;
--- a/crates/burdockroad-daemon/tests/fleet/programs.rs
+++ b/crates/burdockroad-daemon/tests/fleet/programs.rs
@@ -1,4 +1,4 @@
-//! Programs whose partition moves away between a request's check and its change.
+//! Requests whose program's partition moves to another host between the ownership check and the change.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,10 +18,10 @@
 use crate::journals::Journals;
 
 #[derive(Debug)]
-struct NoMemory;
+struct NoopReleaser;
 
 #[async_trait]
-impl PrefixReleaser for NoMemory {
+impl PrefixReleaser for NoopReleaser {
     async fn release(&self, _: &CachedPrefix) -> bool {
         true
     }
@@ -63,7 +63,7 @@
     let (sender, ownership) = watch::channel(Arc::new(view));
     let programs = ProgramsHandle::start(ProgramsParts {
         journal: Journals::new().open(me.clone()).await.unwrap(),
-        releaser: Arc::new(NoMemory),
+        releaser: Arc::new(NoopReleaser),
         ownership,
         options: ProgramsOptions::default(),
     })
--- a/crates/burdockroad-daemon/tests/fleet/service.rs
+++ b/crates/burdockroad-daemon/tests/fleet/service.rs
@@ -1,4 +1,4 @@
-//! A peer service of which only the coordinator's part answers.
+//! Peer handlers of which only those of the coordinator are real.
 
 use std::{sync::Arc, time::Instant};
 
@@ -18,23 +18,23 @@
     ReplicateTailResponse, SealTailRequest, SealTailResponse,
 };
 
-/// Answers everything with nothing.
+/// Peer handlers that return default responses, and a document gossip that ignores its peers.
 #[derive(Debug)]
-pub struct Silent;
+pub struct StubHandlers;
 
 pub fn handlers(heartbeat: Arc<dyn HeartbeatHandler>, adopt: Arc<dyn AdoptHandler>) -> PeerHandlers {
     PeerHandlers {
         heartbeat,
         adopt,
-        forward: Arc::new(Silent),
-        tail: Arc::new(Silent),
-        document: Arc::new(Silent),
-        grant: Arc::new(Silent),
-        slot: Arc::new(Silent),
+        forward: Arc::new(StubHandlers),
+        tail: Arc::new(StubHandlers),
+        document: Arc::new(StubHandlers),
+        grant: Arc::new(StubHandlers),
+        slot: Arc::new(StubHandlers),
     }
 }
 
-impl DocumentGossip for Silent {
+impl DocumentGossip for StubHandlers {
     fn document_freshness(&self) -> DocumentFreshness {
         DocumentFreshness::default()
     }
@@ -45,14 +45,14 @@
 }
 
 #[async_trait]
-impl ForwardHandler for Silent {
+impl ForwardHandler for StubHandlers {
     async fn forward(&self, _: ForwardRequest) -> ForwardStream {
         Box::pin(futures_util::stream::empty())
     }
 }
 
 #[async_trait]
-impl TailHandler for Silent {
+impl TailHandler for StubHandlers {
     async fn replicate(&self, _: ReplicateTailRequest) -> ReplicateTailResponse {
         ReplicateTailResponse::default()
     }
@@ -63,21 +63,21 @@
 }
 
 #[async_trait]
-impl DocumentHandler for Silent {
+impl DocumentHandler for StubHandlers {
     async fn document(&self) -> FetchDocumentResponse {
         FetchDocumentResponse::default()
     }
 }
 
 #[async_trait]
-impl GrantHandler for Silent {
+impl GrantHandler for StubHandlers {
     async fn grant(&self, _: GrantRequest) -> GrantResponse {
         GrantResponse::default()
     }
 }
 
 #[async_trait]
-impl SlotHandler for Silent {
+impl SlotHandler for StubHandlers {
     async fn acquire(&self, _: AcquireSlotRequest) -> AcquireSlotResponse {
         AcquireSlotResponse::default()
     }
--- a/crates/burdockroad-daemon/tests/fleet/tails.rs
+++ b/crates/burdockroad-daemon/tests/fleet/tails.rs
@@ -1,4 +1,4 @@
-//! Copies of peers' tails at a process that was fenced and goes on as another.
+//! Tail copies at a process that was fenced and resumes under another incarnation.
 
 use burdockroad_daemon::{journal::TailStore, membership::host_ref, ownership::Process, peer::TailHandler};
 use burdockroad_proto::peer::ReplicateTailRequest;
@@ -10,7 +10,7 @@
     }
 }
 
-fn copies(to: &Process) -> ReplicateTailRequest {
+fn replicate_request(to: &Process) -> ReplicateTailRequest {
     ReplicateTailRequest {
         writer: Some(host_ref(&process("writer", 1))),
         to: Some(host_ref(to)),
@@ -22,12 +22,12 @@
 
 #[tokio::test]
 async fn restart_as_other_process() {
-    let (former, next) = (process("a", 1), process("a", 2));
-    let tails = TailStore::new(former.clone());
-    assert!(!tails.replicate(copies(&former)).await.other_process);
-    assert!(tails.replicate(copies(&next)).await.other_process);
+    let (previous, next) = (process("a", 1), process("a", 2));
+    let tails = TailStore::new(previous.clone());
+    assert!(!tails.replicate(replicate_request(&previous)).await.other_process);
+    assert!(tails.replicate(replicate_request(&next)).await.other_process);
     tails.restart(next.clone());
-    assert!(tails.replicate(copies(&former)).await.other_process);
-    assert!(!tails.replicate(copies(&next)).await.other_process);
+    assert!(tails.replicate(replicate_request(&previous)).await.other_process);
+    assert!(!tails.replicate(replicate_request(&next)).await.other_process);
     assert_eq!(tails.seal_local(&process("writer", 1)).records.len(), 1);
 }
--- a/crates/burdockroad-daemon/tests/fleet/trees.rs
+++ b/crates/burdockroad-daemon/tests/fleet/trees.rs
@@ -1,4 +1,4 @@
-//! Trees of one host, which grow by one sub-agent at a time.
+//! In-memory program trees of one host, to which sub-agents are added one at a time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,7 +17,7 @@
     ownership::OwnershipReceiver,
 };
 
-/// Serves trees as long as the map says so.
+/// Program trees that are served while the ownership map assigns their partition to this host.
 #[derive(Debug)]
 pub struct MemoryTrees {
     journal: Arc<JournalHandle>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Creates a tree; true once it is stored.
+    /// Creates a tree, and returns whether it was stored.
     pub async fn create(&self, root_id: &str) -> bool {
         let event = created(root_id, None);
         let appended = {
@@ -55,8 +55,8 @@
         matches!(appended.await, Ok(Ok(())))
     }
 
-    /// Adds a sub-agent to a tree; true once it is stored.
-    pub async fn grow(&self, root_id: &str, program_id: &str) -> bool {
+    /// Adds a sub-agent to a tree, and returns whether it was stored.
+    pub async fn add_sub_agent(&self, root_id: &str, program_id: &str) -> bool {
         let event = created(program_id, Some(root_id));
         let appended = {
             let mut table = self.table.lock().unwrap();
@@ -74,7 +74,7 @@
         matches!(appended.await, Ok(Ok(())))
     }
 
-    /// Forgets a tree for good; true once that is stored.
+    /// Removes a tree permanently, and returns whether the removal was stored.
     pub async fn end(&self, root_id: &str) -> bool {
         let appended = {
             let mut table = self.table.lock().unwrap();
@@ -89,7 +89,7 @@
         matches!(appended.await, Ok(Ok(())))
     }
 
-    /// The trees that are served here.
+    /// Returns the trees that this host serves.
     pub fn served(&self) -> BTreeMap<ProgramId, Tree> {
         let table = self.table.lock().unwrap();
         let served = table
@@ -124,8 +124,8 @@
             table
                 .released
                 .remove(&partition_of_program(&tree.root_id).unwrap());
-            let known = table.trees.get(&tree.root_id).map_or(0, |known| known.sequence);
-            if tree.sequence > known {
+            let own_sequence = table.trees.get(&tree.root_id).map_or(0, |own| own.sequence);
+            if tree.sequence > own_sequence {
                 table.trees.insert(tree.root_id.clone(), tree);
             }
         }
@@ -148,11 +148,11 @@
     async fn drop_partitions(&self, partitions: Vec<PartitionId>) {
         let mut table = self.table.lock().unwrap();
         table.released.retain(|partition| !partitions.contains(partition));
-        let (lost, kept): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut table.trees)
+        let (dropped, retained): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut table.trees)
             .into_iter()
             .partition(|(root_id, _)| partitions.contains(&partition_of_program(root_id).unwrap()));
-        table.trees = kept;
-        let records = lost
+        table.trees = retained;
+        let records = dropped
             .into_values()
             .map(|tree| Record {
                 root_id: tree.root_id,
