--- a/crates/burdockroad-daemon/examples/quickstart.rs
+++ b/crates/burdockroad-daemon/examples/quickstart.rs
@@ -1,8 +1,8 @@
 //! One host with an embedded store, a stand-in engine and a stand-in service, on loopback.
 //!
-//! Runs a program of several calls: two completions, a pause as a tool would make it, and an order at a
-//! service that may not be repeated, which is sent twice by the caller and runs once. With `--serve` it
-//! then stays up and prints the address and key to try.
+//! Runs a program with several calls: two completions, a pause that simulates a tool, and an order to a
+//! service. The order is not idempotent: the caller sends it twice, and it runs once. With `--serve` the
+//! daemon then keeps running, and the example prints its URL and a key.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -25,20 +25,20 @@
 use hyper_util::{client::legacy::Client, rt::TokioExecutor};
 use serde_json::{Value, json};
 
-/// How long the pretended tool takes.
+/// Duration of the simulated tool call.
 const TOOL_PAUSE: Duration = Duration::from_millis(300);
 
 #[tokio::main]
 async fn main() -> Result<()> {
     let serve = std::env::args().any(|argument| argument == "--serve");
-    let folder = tempfile::tempdir().context("a scratch folder")?;
+    let directory = tempfile::tempdir().context("create a temporary directory")?;
     let engine = EngineStandin::start(EngineOptions::default()).await?;
     let service = ServiceStandin::start(ServiceOptions::default()).await?;
     let key = new_key(&mut rand::rng());
     let document = document(engine.address(), service.address(), &key);
-    apply(folder.path(), &document).await?;
+    store_document(directory.path(), &document).await?;
 
-    let daemon = Daemon::start(settings(folder.path()), Telemetry::without_exporter()).await?;
+    let daemon = Daemon::start(settings(directory.path()), Telemetry::without_exporter()).await?;
     let caller = Caller {
         url: format!("http://{}", daemon.caller_address()),
         key: key.secret,
@@ -57,60 +57,65 @@
 
 async fn run_program(caller: &Caller) -> Result<()> {
     let budget = json!({ "budget": { "max_tokens": 2_000, "max_calls": 10, "max_duration_s": 60 } });
-    let program = caller.ask(Method::POST, "/v1/programs", None, &budget).await?;
-    let id = program["id"].as_str().context("the program's id")?;
+    let program = caller.send(Method::POST, "/v1/programs", None, &budget).await?;
+    let id = program["id"]
+        .as_str()
+        .context("the response contains no program ID")?;
     println!("program={id}");
 
-    let question = completion("Which fuel does the escort from Sohar need?");
-    let answer = caller
-        .ask(Method::POST, "/v1/chat/completions", Some((id, 1)), &question)
+    let request = completion("Which fuel does the escort from Sohar need?");
+    let response = caller
+        .send(Method::POST, "/v1/chat/completions", Some((id, 1)), &request)
         .await?;
-    println!("call=1 answer={}", answer["choices"][0]["message"]["content"]);
+    println!("call=1 answer={}", response["choices"][0]["message"]["content"]);
 
     tokio::time::sleep(TOOL_PAUSE).await;
     let order = json!({ "tonnes": 120 });
     let first = caller
-        .ask(
+        .send(
             Method::POST,
             "/services/fuel-orders/orders",
             Some((id, 2)),
             &order,
         )
         .await?;
-    let again = caller
-        .ask(
+    let repeated = caller
+        .send(
             Method::POST,
             "/services/fuel-orders/orders",
             Some((id, 2)),
             &order,
         )
         .await?;
-    ensure!(first == again, "the repeated order got another answer");
-    println!("call=2 answer={first} repeated_answer={again}");
-
-    let question = completion("The fuel is ordered. Draft the passage plan.");
-    let answer = caller
-        .ask(Method::POST, "/v1/chat/completions", Some((id, 3)), &question)
+    ensure!(
+        first == repeated,
+        "the repeated order returned a different response"
+    );
+    println!("call=2 answer={first} repeated_answer={repeated}");
+
+    let request = completion("The fuel is ordered. Draft the passage plan.");
+    let response = caller
+        .send(Method::POST, "/v1/chat/completions", Some((id, 3)), &request)
         .await?;
-    println!("call=3 answer={}", answer["choices"][0]["message"]["content"]);
+    println!("call=3 answer={}", response["choices"][0]["message"]["content"]);
 
-    let shown = caller
-        .ask(Method::GET, &format!("/v1/programs/{id}"), None, &Value::Null)
+    let program = caller
+        .send(Method::GET, &format!("/v1/programs/{id}"), None, &Value::Null)
         .await?;
-    println!("history={:#}", shown["calls"]);
-    println!("budget={:#}", shown["budget"]);
+    println!("history={:#}", program["calls"]);
+    println!("budget={:#}", program["budget"]);
     Ok(())
 }
 
-fn completion(question: &str) -> Value {
+fn completion(prompt: &str) -> Value {
     json!({
         "model": "planner-llm",
-        "messages": [{ "role": "user", "content": question }],
+        "messages": [{ "role": "user", "content": prompt }],
         "max_tokens": 60,
     })
 }
 
-fn settings(folder: &Path) -> Settings {
+fn settings(directory: &Path) -> Settings {
     let any_port = "127.0.0.1:0".to_owned();
     Settings {
         host_id: "host-1".to_owned(),
@@ -120,7 +125,7 @@
         peer_address: any_port.clone(),
         admin_address: any_port,
         store: StoreSettings::Embedded {
-            data_folder: folder.to_owned(),
+            data_folder: directory.to_owned(),
         },
         host_list: HostListSettings::Fixed { hosts: Vec::new() },
         log_level: "warn".to_owned(),
@@ -150,11 +155,11 @@
     format!("{document:#}")
 }
 
-/// Puts the first document into the store before the daemon opens it.
-async fn apply(folder: &Path, text: &str) -> Result<()> {
-    let store = EmbeddedKeyValue::open(folder)?;
+/// Writes the first document to the store before the daemon opens it.
+async fn store_document(directory: &Path, text: &str) -> Result<()> {
+    let store = EmbeddedKeyValue::open(directory)?;
     let document = VersionedDocument::new(1, text)
-        .map_err(|findings| anyhow::anyhow!("the document has faults: {findings:?}"))?;
+        .map_err(|findings| anyhow::anyhow!("the document is invalid: {findings:?}"))?;
     let put = store
         .put(DOCUMENT_KEY, Bytes::from(document.to_bytes()), Expected::Absent)
         .await?;
@@ -162,7 +167,7 @@
     Ok(())
 }
 
-/// A caller with a key.
+/// HTTP client of the daemon, which authenticates with a key.
 struct Caller {
     url: String,
     key: String,
@@ -171,8 +176,8 @@
 impl Caller {
     async fn wait_until_ready(&self) -> Result<()> {
         for _ in 0..200 {
-            let answer = self.ask(Method::POST, "/v1/programs", None, &json!({})).await;
-            if answer.is_ok() {
+            let response = self.send(Method::POST, "/v1/programs", None, &json!({})).await;
+            if response.is_ok() {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -180,7 +185,7 @@
         anyhow::bail!("the daemon did not become ready")
     }
 
-    async fn ask(
+    async fn send(
         &self,
         method: Method,
         path: &str,
@@ -208,7 +213,7 @@
         let bytes = response.into_body().collect().await?.to_bytes();
         ensure!(
             status.is_success(),
-            "{path} answered {status}: {}",
+            "{path} responded with {status}: {}",
             String::from_utf8_lossy(&bytes)
         );
         Ok(serde_json::from_slice(&bytes)?)
--- a/crates/burdockroad-daemon/examples/write_schema.rs
+++ b/crates/burdockroad-daemon/examples/write_schema.rs
@@ -1,4 +1,4 @@
-//! Writes the JSON Schemas of document and settings to `docs/schema`.
+//! Writes the JSON Schemas of the document and of the settings to `docs/schema`.
 
 use std::{fs, io, path::Path};
 
@@ -6,16 +6,16 @@
 use burdockroad_daemon::settings::Settings;
 
 fn main() -> io::Result<()> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/schema");
-    fs::create_dir_all(&folder)?;
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/schema");
+    fs::create_dir_all(&directory)?;
     let document = schemars::schema_for!(Document);
     let settings = schemars::schema_for!(Settings);
     fs::write(
-        folder.join("document.json"),
+        directory.join("document.json"),
         format!("{:#}\n", document.as_value()),
     )?;
     fs::write(
-        folder.join("settings.json"),
+        directory.join("settings.json"),
         format!("{:#}\n", settings.as_value()),
     )
 }
--- a/crates/burdockroad-daemon/tests/journal.rs
+++ b/crates/burdockroad-daemon/tests/journal.rs
@@ -1,4 +1,5 @@
-//! Contract of journal and recovery under faults: hosts in one process, over loopback, on one store.
+//! Contract of the journal and its recovery under faults. All hosts run in one process, are connected over
+//! loopback and share one store.
 
 #[path = "journal/host.rs"]
 mod host;
@@ -19,64 +20,67 @@
 
 use self::host::Host;
 
-/// Longest wait for anything that is to happen.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of each step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case", deny_unknown_fields)]
 enum Step {
-    /// Starts a host, or starts it again as a new process without any copies.
+    /// Starts a host, or restarts it as a new process that has no copies.
     Start {
         host: String,
         domain: String,
-        /// Whether the others do not learn of it yet.
+        /// Whether the hosts keep their current views of their peers, without the new process.
         #[serde(default)]
         hidden: bool,
     },
     /// Opens the journal of a host.
     Open { host: String },
-    /// Appends records and waits for the answer.
+    /// Appends records and checks the outcome.
     Append {
         host: String,
         numbers: Vec<u64>,
         #[serde(default)]
         size_bytes: usize,
-        durability: Level,
-        then: Answer,
+        durability: DurabilityLevel,
+        then: Outcome,
     },
-    /// Waits until one more append with that durability is answered so; earlier answers are passed over.
+    /// Appends one record repeatedly until an append has the given outcome. Other outcomes are ignored.
     Until {
         host: String,
         number: u64,
-        durability: Level,
-        then: Answer,
+        durability: DurabilityLevel,
+        then: Outcome,
     },
-    /// Waits until the journal takes new work of that durability again.
-    Admitted { host: String, durability: Level },
-    /// Tells a host which others are alive.
+    /// Waits until the journal admits appends of that durability.
+    Admitted {
+        host: String,
+        durability: DurabilityLevel,
+    },
+    /// Sets which other hosts a host sees as live.
     Alive { host: String, others: Vec<String> },
-    /// Stops or resumes answering peers, without forgetting anything.
+    /// Suspends or resumes a host's responses to its peers. The host keeps its state.
     Mute { host: String, muted: bool },
-    /// Sets the faults of a host's next writes to the store.
+    /// Sets the faults of a host's next writes to the store, one for each write.
     Script { host: String, writes: Vec<StoreFault> },
-    /// Sets the fault of all of a host's calls to the store.
+    /// Sets the fault of all requests of a host to the store.
     Store { host: String, fault: StoreFault },
-    /// Seals and reads the journal of a host as it was opened last.
+    /// Seals and reads the journal of a host's current process, and checks the records and the tail.
     Recover {
         by: String,
         of: String,
         numbers: Vec<u64>,
         tail: Tail,
     },
-    /// Removes that journal.
+    /// Removes the journal of a host's current process.
     Remove { by: String, of: String },
 }
 
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Level {
+enum DurabilityLevel {
     Queued,
     Replicated,
     Stored,
@@ -85,7 +89,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Answer {
+enum Outcome {
     Durable,
     Unavailable,
     Fenced,
@@ -129,8 +133,8 @@
                 durability,
                 then,
             } => {
-                let answer = self.append(host, numbers, *size_bytes, *durability).await;
-                assert_eq!(answer, *then);
+                let outcome = self.append(host, numbers, *size_bytes, *durability).await;
+                assert_eq!(outcome, *then);
             }
             Step::Until {
                 host,
@@ -148,10 +152,10 @@
                 }
             }
             Step::Alive { host, others } => {
-                let view = host::view(&self.hosts, host, others);
+                let view = host::peers_view(&self.hosts, host, others);
                 self.host(host).set_peers(view);
             }
-            Step::Mute { host, muted } => self.host(host).mute(*muted),
+            Step::Mute { host, muted } => self.host(host).set_muted(*muted),
             Step::Script { host, writes } => {
                 self.host(host)
                     .store
@@ -164,15 +168,15 @@
                 numbers,
                 tail,
             } => {
-                let dead = self.host(of).process.clone();
-                let recovered = self.host(by).recovery().seal_and_read(&dead).await.unwrap();
-                let found: Vec<_> = recovered.records.iter().map(|record| record.sequence).collect();
-                assert_eq!(found, *numbers);
+                let failed = self.host(of).process.clone();
+                let recovered = self.host(by).recovery().seal_and_read(&failed).await.unwrap();
+                let sequences: Vec<_> = recovered.records.iter().map(|record| record.sequence).collect();
+                assert_eq!(sequences, *numbers);
                 assert_eq!(recovered.tail, (*tail).into());
             }
             Step::Remove { by, of } => {
-                let dead = self.host(of).process.clone();
-                self.host(by).recovery().remove(&dead).await.unwrap();
+                let failed = self.host(of).process.clone();
+                self.host(by).recovery().remove(&failed).await.unwrap();
             }
         }
     }
@@ -185,20 +189,26 @@
         }
         for host_id in self.hosts.keys() {
             let others: Vec<_> = self.hosts.keys().cloned().collect();
-            let view = host::view(&self.hosts, host_id, &others);
+            let view = host::peers_view(&self.hosts, host_id, &others);
             self.hosts[host_id].set_peers(view);
         }
     }
 
-    async fn append(&self, host: &str, numbers: &[u64], size_bytes: usize, level: Level) -> Answer {
+    async fn append(
+        &self,
+        host: &str,
+        numbers: &[u64],
+        size_bytes: usize,
+        level: DurabilityLevel,
+    ) -> Outcome {
         let records = numbers.iter().map(|&number| record(number, size_bytes)).collect();
         let appended = self.host(host).journal().append(records, level.into());
-        let answer = appended.await.expect("the journal runs");
-        match answer {
-            Ok(()) => Answer::Durable,
-            Err(JournalError::Fenced) => Answer::Fenced,
-            Err(JournalError::Unavailable { .. }) => Answer::Unavailable,
-            Err(JournalError::TooLarge) => Answer::TooLarge,
+        let outcome = appended.await.expect("the journal runs");
+        match outcome {
+            Ok(()) => Outcome::Durable,
+            Err(JournalError::Fenced) => Outcome::Fenced,
+            Err(JournalError::Unavailable { .. }) => Outcome::Unavailable,
+            Err(JournalError::TooLarge) => Outcome::TooLarge,
         }
     }
 
@@ -211,12 +221,12 @@
     }
 }
 
-impl From<Level> for Durability {
-    fn from(level: Level) -> Self {
+impl From<DurabilityLevel> for Durability {
+    fn from(level: DurabilityLevel) -> Self {
         match level {
-            Level::Queued => Self::Queued,
-            Level::Replicated => Self::Replicated,
-            Level::Stored => Self::Stored,
+            DurabilityLevel::Queued => Self::Queued,
+            DurabilityLevel::Replicated => Self::Replicated,
+            DurabilityLevel::Stored => Self::Stored,
         }
     }
 }
@@ -264,7 +274,9 @@
         };
         for (number, step) in steps.iter().enumerate() {
             println!("step {number}: {step:?}");
-            timeout(PATIENCE, run.step(step)).await.expect("the step ends");
+            timeout(STEP_TIMEOUT, run.step(step))
+                .await
+                .expect("the step ends before the timeout");
         }
     });
     Ok(())
--- a/crates/burdockroad-daemon/tests/journal/host.rs
+++ b/crates/burdockroad-daemon/tests/journal/host.rs
@@ -1,4 +1,4 @@
-//! One host of a case: its journal, the copies that it keeps, and its server for peers.
+//! One host of a case: its journal, its copies of the tails of peers, and its peer server.
 
 use std::{
     collections::BTreeMap,
@@ -30,8 +30,8 @@
 };
 use tokio::{net::TcpListener, sync::watch};
 
-/// Tells the processes of one test run apart.
-static INCARNATIONS: AtomicU64 = AtomicU64::new(1);
+/// Source of incarnations, which are unique within one test run.
+static NEXT_INCARNATION: AtomicU64 = AtomicU64::new(1);
 
 pub(crate) struct Host {
     pub(crate) process: Process,
@@ -48,13 +48,13 @@
     pub(crate) async fn start(host_id: &str, domain: &str, store: &MemoryKeyValue) -> Self {
         let process = Process {
             host_id: host_id.to_owned(),
-            incarnation: INCARNATIONS.fetch_add(1, Ordering::Relaxed),
+            incarnation: NEXT_INCARNATION.fetch_add(1, Ordering::Relaxed),
         };
         let tails = Arc::new(TailStore::new(process.clone()));
         let muted = Arc::new(AtomicBool::new(false));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let stub = Arc::new(Stub {
+        let stub = Arc::new(TailStub {
             tails: Arc::clone(&tails),
             muted: Arc::clone(&muted),
         });
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Opens the journal so that records that nobody waits for stay in the queue.
+    /// Opens the journal with long group-commit windows, so that records that no caller waits for stay in the
+    /// queue.
     pub(crate) async fn open(&mut self) {
         let options = WriterOptions {
             writes_per_s: 200.0,
@@ -86,7 +87,7 @@
         self.open_with(options).await;
     }
 
-    /// The options that a daemon has on the platform's key-value service.
+    /// Returns the writer options of a daemon that uses the platform's key-value service.
     pub(crate) fn service_options(&self) -> WriterOptions {
         let service = StoreSettings::Service {
             addresses: Vec::new(),
@@ -118,7 +119,7 @@
         )
     }
 
-    pub(crate) fn mute(&self, muted: bool) {
+    pub(crate) fn set_muted(&self, muted: bool) {
         self.muted.store(muted, Ordering::Relaxed);
     }
 
@@ -127,8 +128,8 @@
     }
 }
 
-/// How a host sees the others, of which only some are alive.
-pub(crate) fn view(hosts: &BTreeMap<String, Host>, me: &str, live: &[String]) -> PeersView {
+/// Returns the view that the host `me` has of its peers, of which those in `live` are live.
+pub(crate) fn peers_view(hosts: &BTreeMap<String, Host>, me: &str, live: &[String]) -> PeersView {
     let others = hosts.values().filter(|host| host.process.host_id != me);
     let peers = others.map(|host| {
         let peer = PeerView {
@@ -145,14 +146,14 @@
     }
 }
 
-/// Passes tails on, and answers nothing else.
+/// Peer handlers that pass tail requests to the tail store. No case makes other requests.
 #[derive(Debug)]
-struct Stub {
+struct TailStub {
     tails: Arc<TailStore>,
     muted: Arc<AtomicBool>,
 }
 
-impl Stub {
+impl TailStub {
     async fn wait_while_muted(&self) {
         while self.muted.load(Ordering::Relaxed) {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -160,7 +161,7 @@
     }
 }
 
-fn handlers(stub: &Arc<Stub>) -> PeerHandlers {
+fn handlers(stub: &Arc<TailStub>) -> PeerHandlers {
     PeerHandlers {
         heartbeat: Arc::clone(stub) as _,
         forward: Arc::clone(stub) as _,
@@ -173,7 +174,7 @@
 }
 
 #[async_trait]
-impl TailHandler for Stub {
+impl TailHandler for TailStub {
     async fn replicate(&self, request: ReplicateTailRequest) -> ReplicateTailResponse {
         self.wait_while_muted().await;
         self.tails.replicate(request).await
@@ -185,52 +186,52 @@
     }
 }
 
-fn unused<T>(request: impl fmt::Debug) -> T {
-    unreachable!("no case makes this call: {request:?}")
+fn unexpected_request<T>(request: impl fmt::Debug) -> T {
+    unreachable!("unexpected request: {request:?}")
 }
 
 #[async_trait]
-impl HeartbeatHandler for Stub {
+impl HeartbeatHandler for TailStub {
     async fn heartbeat(&self, request: HeartbeatRequest) -> HeartbeatResponse {
-        unused(request)
+        unexpected_request(request)
     }
 }
 
 #[async_trait]
-impl ForwardHandler for Stub {
+impl ForwardHandler for TailStub {
     async fn forward(&self, request: ForwardRequest) -> ForwardStream {
-        unused(request)
+        unexpected_request(request)
     }
 }
 
 #[async_trait]
-impl AdoptHandler for Stub {
+impl AdoptHandler for TailStub {
     async fn adopt(&self, request: AdoptRequest) -> AdoptResponse {
-        unused(request)
+        unexpected_request(request)
     }
 }
 
 #[async_trait]
-impl DocumentHandler for Stub {
+impl DocumentHandler for TailStub {
     async fn document(&self) -> FetchDocumentResponse {
-        unused("document")
+        unexpected_request("document")
     }
 }
 
 #[async_trait]
-impl GrantHandler for Stub {
+impl GrantHandler for TailStub {
     async fn grant(&self, request: GrantRequest) -> GrantResponse {
-        unused(request)
+        unexpected_request(request)
     }
 }
 
 #[async_trait]
-impl SlotHandler for Stub {
+impl SlotHandler for TailStub {
     async fn acquire(&self, request: AcquireSlotRequest) -> AcquireSlotResponse {
-        unused(request)
+        unexpected_request(request)
     }
 
     async fn release(&self, request: ReleaseSlotRequest) -> ReleaseSlotResponse {
-        unused(request)
+        unexpected_request(request)
     }
 }
--- a/crates/burdockroad-daemon/tests/key_value.rs
+++ b/crates/burdockroad-daemon/tests/key_value.rs
@@ -1,4 +1,4 @@
-//! Contract of the key-value service: each case runs against every implementation.
+//! Contract of the key-value service. Each case runs against every implementation.
 
 use std::{collections::HashMap, fs, path::Path, sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use tokio::{runtime::Runtime, sync::mpsc, time::timeout};
 
-/// Longest wait for an event of a watch.
+/// Timeout of each event of a watch.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
@@ -20,17 +20,17 @@
     Put {
         key: String,
         value: String,
-        /// Name given to a revision by an earlier step; none for a key that must be absent.
+        /// Name that an earlier step gave to the expected revision. `None` if the key must be absent.
         revision: Option<String>,
-        /// Name to give to the new revision.
+        /// Name that later steps use for the new revision.
         name: Option<String>,
-        conflict: Option<Held>,
+        conflict: Option<ExpectedConflict>,
     },
     CreateAfter {
         key: String,
         value: String,
         predecessor: String,
-        conflict: Option<Held>,
+        conflict: Option<ExpectedConflict>,
     },
     DeleteRange {
         from: String,
@@ -60,9 +60,10 @@
     Reopen,
 }
 
+/// Conflict that a write must report, with the value that the key has.
 #[derive(Debug)]
 #[derive(Deserialize)]
-struct Held {
+struct ExpectedConflict {
     value: Option<String>,
 }
 
@@ -118,30 +119,31 @@
                 self.watches.insert(key.clone(), watch);
             }
             Step::Changed { key, value } => {
-                let WatchEvent::Changed(held) = self.event(key, |event| *event != WatchEvent::Progress).await
+                let WatchEvent::Changed(entry) =
+                    self.next_event(key, |event| *event != WatchEvent::Progress).await
                 else {
-                    unreachable!("progress was passed over")
+                    unreachable!("progress events are skipped")
                 };
-                assert_eq!(text(held.as_ref()), *value);
+                assert_eq!(text(entry.as_ref()), *value);
             }
             Step::Progress { key } => {
-                self.event(key, |event| *event == WatchEvent::Progress).await;
+                self.next_event(key, |event| *event == WatchEvent::Progress).await;
             }
             Step::Reopen => {}
         }
     }
 
-    fn check(&mut self, put: Put, name: Option<&str>, conflict: Option<&Held>) {
+    fn check(&mut self, put: Put, name: Option<&str>, conflict: Option<&ExpectedConflict>) {
         match (put, conflict) {
-            (Put::Done(revision), None) => self.name(name, revision),
-            (Put::Conflict(held), Some(conflict)) => assert_eq!(text(held.as_ref()), conflict.value),
+            (Put::Done(revision), None) => self.record_revision(name, revision),
+            (Put::Conflict(entry), Some(conflict)) => assert_eq!(text(entry.as_ref()), conflict.value),
             (put, _) => panic!("unexpected result {put:?}"),
         }
     }
 
-    fn name(&mut self, name: Option<&str>, revision: Revision) {
+    fn record_revision(&mut self, name: Option<&str>, revision: Revision) {
         let highest = self.revisions.values().max().copied().unwrap_or(0);
-        assert!(revision > highest, "revision {revision} after {highest}");
+        assert!(revision > highest, "revision {revision} is not above {highest}");
         if let Some(name) = name {
             self.revisions.insert(name.to_owned(), revision);
         }
@@ -163,14 +165,15 @@
         );
     }
 
-    async fn event(&mut self, key: &str, wanted: impl Fn(&WatchEvent) -> bool) -> WatchEvent {
+    /// Returns the next event of a watch for which `matches` is true, and skips the events before it.
+    async fn next_event(&mut self, key: &str, matches: impl Fn(&WatchEvent) -> bool) -> WatchEvent {
         let watch = self.watches.get_mut(key).unwrap();
         loop {
             let event = timeout(EVENT_TIMEOUT, watch.recv())
                 .await
                 .expect("an event in time");
             let event = event.expect("the watch stands");
-            if wanted(&event) {
+            if matches(&event) {
                 return event;
             }
         }
@@ -182,14 +185,14 @@
 }
 
 async fn run_embedded(steps: &[Step]) {
-    let folder = tempfile::tempdir().unwrap();
-    let mut run = Run::new(Arc::new(EmbeddedKeyValue::open(folder.path()).unwrap()));
+    let directory = tempfile::tempdir().unwrap();
+    let mut run = Run::new(Arc::new(EmbeddedKeyValue::open(directory.path()).unwrap()));
     for step in steps {
         if matches!(step, Step::Reopen) {
-            // The store has to be closed before it is opened again.
+            // The store must be closed before it is reopened.
             run.watches.clear();
             run.store = Arc::new(MemoryKeyValue::new());
-            run.store = Arc::new(EmbeddedKeyValue::open(folder.path()).unwrap());
+            run.store = Arc::new(EmbeddedKeyValue::open(directory.path()).unwrap());
         }
         run.step(step).await;
     }
--- a/crates/burdockroad-daemon/tests/logging.rs
+++ b/crates/burdockroad-daemon/tests/logging.rs
@@ -1,4 +1,5 @@
-//! Log lines in a file. Alone in its test binary, since logging starts once for a process.
+//! Log lines written to a file. This is a separate test binary, because a process can start logging only
+//! once.
 
 use std::fs;
 
@@ -8,8 +9,8 @@
 fn start_writes_lines() {
     let refused = logging::start("loud", None);
     assert_eq!(refused, Err(LoggingError::Level("loud".to_owned())));
-    let folder = tempfile::tempdir().expect("a scratch folder can be made");
-    let file = folder.path().join("log");
+    let directory = tempfile::tempdir().expect("the temporary directory is created");
+    let file = directory.path().join("log");
     logging::start("info", Some(&file)).expect("logging starts");
     log::info!(target: "burdockroad_daemon", "event=started host={}", "h1");
     log::debug!(target: "burdockroad_daemon", "event=hidden_by_level");
--- a/crates/burdockroad-daemon/tests/settings.rs
+++ b/crates/burdockroad-daemon/tests/settings.rs
@@ -1,5 +1,4 @@
-//! Settings as files with the findings that each must give beside it, the shipped examples, and the
-//! committed JSON Schemas.
+//! Settings files with their expected findings, the shipped examples, and the committed JSON Schemas.
 
 use std::{fs, path::Path};
 
@@ -9,26 +8,27 @@
 };
 use burdockroad_daemon::settings::Settings;
 
-/// The findings of `NAME.jsonc`, one a line, stand in `NAME.findings`; valid settings have none.
+/// Checks that parsing `NAME.jsonc` returns the findings in `NAME.findings`, one per line. Valid settings
+/// have no findings.
 fn parse_settings(path: &Path) -> datatest_stable::Result<()> {
     let text = fs::read_to_string(path)?;
     let expected = fs::read_to_string(path.with_extension("findings"))?;
-    compare(expected.trim_end(), &lines(Settings::parse(&text)))
+    compare(expected.trim_end(), &finding_lines(Settings::parse(&text)))
 }
 
-/// Documents and settings that are shipped must be valid.
+/// Checks that a shipped document or settings file is valid.
 fn parse_example(path: &Path) -> datatest_stable::Result<()> {
     let text = fs::read_to_string(path)?;
     let is_document = path.file_stem().is_some_and(|name| name == "document");
-    let found = if is_document {
-        lines(config::parse(&text))
+    let actual = if is_document {
+        finding_lines(config::parse(&text))
     } else {
-        lines(Settings::parse(&text))
+        finding_lines(Settings::parse(&text))
     };
-    compare("", &found)
+    compare("", &actual)
 }
 
-/// The committed schema is the one that the types give.
+/// Checks that the committed schema equals the schema generated from the types.
 fn schema_is_current(path: &Path) -> datatest_stable::Result<()> {
     let current = if path.ends_with("document.json") {
         schemars::schema_for!(Document)
@@ -42,17 +42,17 @@
     Err("run `cargo run -p burdockroad-daemon --example write_schema` and commit".into())
 }
 
-fn lines<T>(result: Result<T, Vec<Finding>>) -> String {
+fn finding_lines<T>(result: Result<T, Vec<Finding>>) -> String {
     let findings = result.err().unwrap_or_default();
     let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
-fn compare(expected: &str, found: &str) -> datatest_stable::Result<()> {
-    if found == expected {
+fn compare(expected: &str, actual: &str) -> datatest_stable::Result<()> {
+    if actual == expected {
         return Ok(());
     }
-    Err(format!("expected\n{expected}\nfound\n{found}").into())
+    Err(format!("expected\n{expected}\nfound\n{actual}").into())
 }
 
 datatest_stable::harness! {
--- a/crates/burdockroad-daemon/tests/settings_text.rs
+++ b/crates/burdockroad-daemon/tests/settings_text.rs
@@ -1,4 +1,4 @@
-//! Settings of arbitrary text, and the report of what they change.
+//! Parsing of arbitrary settings text, and the report of limits that differ from their defaults.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 const VALID: &str = include_str!("settings/valid.jsonc");
 
 #[test]
-fn changed_limits_names_one() {
+fn changed_limits_one_override() {
     let settings = Settings::parse(VALID).expect("the settings are valid");
     assert_eq!(
         settings.changed_limits(),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn check_tells_changes() {
+fn check_reports_changed_limits() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/settings/valid.jsonc");
     let report = Settings::check(&path).expect("the settings are valid");
     assert!(
@@ -34,8 +34,8 @@
         "{report}"
     );
     let faulty = path.with_file_name("faulty.jsonc");
-    let refused = Settings::check(&faulty).expect_err("the settings are faulty");
-    let lines = refused.to_string();
+    let error = Settings::check(&faulty).expect_err("the settings are faulty");
+    let lines = error.to_string();
     assert!(
         lines
             .lines()
@@ -50,10 +50,10 @@
     }
 
     #[test]
-    fn parse_damaged_settings(at in 0..VALID.len(), removed in 1..40_usize) {
-        let end = (at + removed).min(VALID.len());
-        let text = format!("{}{}", &VALID[..at], &VALID[end..]);
-        let refused = Settings::parse(&text).err();
-        prop_assert!(refused.is_none_or(|findings| !findings.is_empty()));
+    fn parse_damaged_settings(start in 0..VALID.len(), removed in 1..40_usize) {
+        let end = (start + removed).min(VALID.len());
+        let text = format!("{}{}", &VALID[..start], &VALID[end..]);
+        let error = Settings::parse(&text).err();
+        prop_assert!(error.is_none_or(|findings| !findings.is_empty()));
     }
 }
