--- a/crates/burdockroad-proto/src/lib.rs
+++ b/crates/burdockroad-proto/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages that burdockroad's processes exchange with each other and with the key-value service.
+//! Protocol messages between burdockroad daemons, and between a daemon and the key-value service.
 //!
-//! The code under `generated/` is written by `tools/generate` from the files under `proto/` and
-//! committed, so that a build needs no generator. [`peer`] holds the messages between daemons;
-//! [`etcdserverpb`] and [`mvccpb`] hold the part of the etcd v3 interface that is used.
+//! `tools/generate` writes the code under `generated/` from the files under `proto/`. The code is committed,
+//! so that a build needs no generator. [`peer`] contains the messages between daemons. [`etcdserverpb`] and
+//! [`mvccpb`] contain the subset of the etcd v3 API that is used.
 
 /// Messages between daemons.
 #[allow(
@@ -17,7 +17,7 @@
     include!("generated/burdockroad.peer.v1.rs");
 }
 
-/// Calls of the etcd v3 interface.
+/// Services and messages of the etcd v3 API.
 #[allow(
     missing_docs,
     clippy::all,
@@ -30,7 +30,7 @@
     include!("generated/etcdserverpb.rs");
 }
 
-/// Stored values and events of the etcd v3 interface.
+/// Stored values and events of the etcd v3 API.
 #[allow(
     missing_docs,
     clippy::all,
