--- a/crates/burdockroad-daemon/tests/config_watch.rs
+++ b/crates/burdockroad-daemon/tests/config_watch.rs
@@ -156,7 +156,7 @@
 /// Writes the document's key, whatever its current revision.
 async fn write(store: &MemoryKeyValue, value: Vec<u8>) {
     let current = store.get(DOCUMENT_KEY).await.expect("the store has no faults");
-    let expected = current.map_or(Expected::Absent, |entry| Expected::Revision(entry.revision));
+    let expected = current.map_or(Expected::Absent, |stored| Expected::Revision(stored.revision));
     let put = store.put(DOCUMENT_KEY, value.into(), expected).await;
     assert!(matches!(put, Ok(Put::Done(_))), "{put:?}");
 }
--- a/crates/burdockroad-daemon/tests/key_value.rs
+++ b/crates/burdockroad-daemon/tests/key_value.rs
@@ -119,12 +119,12 @@
                 self.watches.insert(key.clone(), watch);
             }
             Step::Changed { key, value } => {
-                let WatchEvent::Changed(entry) =
+                let WatchEvent::Changed(stored) =
                     self.next_event(key, |event| *event != WatchEvent::Progress).await
                 else {
                     unreachable!("progress events are skipped")
                 };
-                assert_eq!(text(entry.as_ref()), *value);
+                assert_eq!(text(stored.as_ref()), *value);
             }
             Step::Progress { key } => {
                 self.next_event(key, |event| *event == WatchEvent::Progress).await;
@@ -136,7 +136,7 @@
     fn check(&mut self, put: Put, name: Option<&str>, conflict: Option<&ExpectedConflict>) {
         match (put, conflict) {
             (Put::Done(revision), None) => self.record_revision(name, revision),
-            (Put::Conflict(entry), Some(conflict)) => assert_eq!(text(entry.as_ref()), conflict.value),
+            (Put::Conflict(stored), Some(conflict)) => assert_eq!(text(stored.as_ref()), conflict.value),
             (put, _) => panic!("unexpected result {put:?}"),
         }
     }
