--- a/crates/burdockroad-daemon/tests/etcd_faults.rs
+++ b/crates/burdockroad-daemon/tests/etcd_faults.rs
@@ -68,19 +68,19 @@
     };
     let standin = KvStandin::start(options).await.unwrap();
     let store = EtcdKeyValue::new(&[address(&standin)]).unwrap();
-    let mut refused = 0;
+    let mut refused_count = 0;
     for number in 0..20 {
         let key = format!("key-{number}");
         match create(&store, &key).await {
             Ok(_) => {}
             Err(StoreError::Unavailable { .. }) => {
-                refused += 1;
+                refused_count += 1;
                 assert_eq!(store.get(&key).await.unwrap_or(None), None);
             }
             ambiguous @ Err(StoreError::Ambiguous { .. }) => panic!("{ambiguous:?}"),
         }
     }
-    assert!(refused > 0);
+    assert!(refused_count > 0);
     standin.close().await;
 }
 
--- a/crates/burdockroad-daemon/tests/fleet/model.rs
+++ b/crates/burdockroad-daemon/tests/fleet/model.rs
@@ -40,10 +40,10 @@
 const HOST_COUNT: usize = 3;
 
 /// Number of partitions that have programs.
-const USED_PARTITIONS: PartitionId = 5;
+const USED_PARTITION_COUNT: PartitionId = 5;
 
 /// Number of steps of a case.
-const STEPS: u32 = 120;
+const STEP_COUNT: u32 = 120;
 
 /// Number of seeds that are run, unless the environment variable `MODEL_SEEDS` sets another number.
 const DEFAULT_SEED_COUNT: u64 = 400;
@@ -74,7 +74,7 @@
     faults_enabled: watch::Sender<bool>,
     confirmed: Arc<Mutex<Confirmed>>,
     hosts: Vec<Host>,
-    counter: u64,
+    program_counter: u64,
 }
 
 struct Host {
@@ -99,7 +99,7 @@
             faults_enabled: watch::Sender::new(false),
             confirmed: Arc::default(),
             hosts: Vec::new(),
-            counter: 0,
+            program_counter: 0,
         };
         for host in 0..HOST_COUNT {
             let host = cluster.start(&format!("host-{host}")).await;
@@ -191,9 +191,9 @@
 
     /// Creates a tree, adds a sub-agent to one, or ends one.
     fn call(&mut self, host: usize) {
-        self.counter += 1;
-        let partition = PartitionId::try_from(self.rng.below(USED_PARTITIONS.into())).unwrap();
-        let fresh_id = program_id(partition, &self.counter.to_string());
+        self.program_counter += 1;
+        let partition = PartitionId::try_from(self.rng.below(USED_PARTITION_COUNT.into())).unwrap();
+        let new_program_id = program_id(partition, &self.program_counter.to_string());
         let trees = Arc::clone(&self.hosts[host].trees);
         let confirmed = Arc::clone(&self.confirmed);
         let served: Vec<ProgramId> = trees.served().into_keys().collect();
@@ -208,19 +208,23 @@
                     }
                 }
                 (Some(root_id), 1..7) => {
-                    if trees.add_sub_agent(&root_id, &fresh_id).await {
+                    if trees.add_sub_agent(&root_id, &new_program_id).await {
                         let mut confirmed = confirmed.lock().unwrap();
-                        confirmed.programs.entry(root_id).or_default().insert(fresh_id);
+                        confirmed
+                            .programs
+                            .entry(root_id)
+                            .or_default()
+                            .insert(new_program_id);
                     }
                 }
                 _ => {
-                    if trees.create(&fresh_id).await {
+                    if trees.create(&new_program_id).await {
                         let mut confirmed = confirmed.lock().unwrap();
                         confirmed
                             .programs
-                            .entry(fresh_id.clone())
+                            .entry(new_program_id.clone())
                             .or_default()
-                            .insert(fresh_id);
+                            .insert(new_program_id);
                     }
                 }
             }
@@ -232,8 +236,8 @@
         let Some(to) = self.rng.choose(&targets).cloned() else {
             return;
         };
-        let first = PartitionId::try_from(self.rng.below(USED_PARTITIONS.into())).unwrap();
-        let partitions: Vec<PartitionId> = (first..USED_PARTITIONS).collect();
+        let first = PartitionId::try_from(self.rng.below(USED_PARTITION_COUNT.into())).unwrap();
+        let partitions: Vec<PartitionId> = (first..USED_PARTITION_COUNT).collect();
         let host = &mut self.hosts[host];
         // A host runs one handoff at a time, as in the coordinator.
         if to.process != host.me() && !host.is_handing_off() {
@@ -247,28 +251,28 @@
 
     async fn take_over(&mut self, host: usize) {
         let owners = self.journals.in_order(&self.map().await.processes());
-        let Some(failed) = self.rng.choose(&owners).cloned() else {
+        let Some(target) = self.rng.choose(&owners).cloned() else {
             return;
         };
         let host = &mut self.hosts[host];
-        if failed != host.me() {
+        if target != host.me() {
             let takeover = host.takeover.clone();
             host.calls.spawn(async move {
-                let _ = takeover.take_over(&failed).await;
+                let _ = takeover.take_over(&target).await;
             });
         }
     }
 
     fn remove_orphaned(&mut self, host: usize) {
         let writers = self.journals.processes();
-        let Some(failed) = self.rng.choose(&writers).cloned() else {
+        let Some(target) = self.rng.choose(&writers).cloned() else {
             return;
         };
         let host = &mut self.hosts[host];
-        if failed != host.me() {
+        if target != host.me() {
             let takeover = host.takeover.clone();
             host.calls.spawn(async move {
-                let _ = takeover.remove_orphaned(&failed).await;
+                let _ = takeover.remove_orphaned(&target).await;
             });
         }
     }
@@ -433,7 +437,7 @@
 async fn run(seed: u64) {
     let mut cluster = Cluster::new(seed).await;
     cluster.faults_enabled.send_replace(true);
-    for _ in 0..STEPS {
+    for _ in 0..STEP_COUNT {
         cluster.step().await;
     }
     cluster.quiesce().await;
--- a/crates/burdockroad-daemon/tests/fleet/model_store.rs
+++ b/crates/burdockroad-daemon/tests/fleet/model_store.rs
@@ -137,13 +137,13 @@
     async fn get(&self, key: &str) -> Result<Option<Entry>, StoreError> {
         self.gate.pass().await;
         self.rng.delay(10).await;
-        let found = match self.draw_fault() {
+        let result = match self.draw_fault() {
             0..10 => Err(unavailable()),
             _ => self.store.get(key).await,
         };
         self.rng.delay(10).await;
         self.gate.pass().await;
-        found
+        result
     }
 
     async fn list(&self, prefix: &str, listing: Listing) -> Result<Vec<Entry>, StoreError> {
--- a/crates/burdockroad-daemon/tests/fleet/programs.rs
+++ b/crates/burdockroad-daemon/tests/fleet/programs.rs
@@ -79,15 +79,15 @@
 
     let moved = OwnershipView::new(me, &map_of(&process("b")), true);
     sender.send_replace(Arc::new(moved));
-    let refused = programs.create(new_program("y")).await.unwrap_err();
-    assert!(matches!(refused, Rejection::Refused(Refusal::NotOwner)));
+    let rejection = programs.create(new_program("y")).await.unwrap_err();
+    assert!(matches!(rejection, Rejection::Refused(Refusal::NotOwner)));
     let program_id = program_id(7, "x");
-    let refused = programs
+    let refusal = programs
         .get("account".to_owned(), program_id.clone())
         .await
         .unwrap_err();
-    assert_eq!(refused, Refusal::NotOwner);
-    let refused = programs.end("account".to_owned(), program_id).await.unwrap_err();
-    assert_eq!(refused, Refusal::NotOwner);
+    assert_eq!(refusal, Refusal::NotOwner);
+    let refusal = programs.end("account".to_owned(), program_id).await.unwrap_err();
+    assert_eq!(refusal, Refusal::NotOwner);
     programs.close();
 }
--- a/crates/burdockroad-daemon/tests/key_value.rs
+++ b/crates/burdockroad-daemon/tests/key_value.rs
@@ -151,11 +151,11 @@
 
     async fn list(&self, prefix: &str, expected: &[(String, String)]) {
         let entries = self.store.list(prefix, Listing::Entries).await.unwrap();
-        let found: Vec<_> = entries
+        let actual: Vec<_> = entries
             .iter()
             .map(|entry| (entry.key.clone(), text(Some(entry)).unwrap()))
             .collect();
-        assert_eq!(found, expected);
+        assert_eq!(actual, expected);
         let keys = self.store.list(prefix, Listing::Keys).await.unwrap();
         assert!(keys.iter().all(|entry| entry.value.is_empty()));
         assert!(
--- a/crates/burdockroad-daemon/tests/logging.rs
+++ b/crates/burdockroad-daemon/tests/logging.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn start_writes_lines() {
-    let refused = logging::start("loud", None);
-    assert_eq!(refused, Err(LoggingError::Level("loud".to_owned())));
+    let result = logging::start("loud", None);
+    assert_eq!(result, Err(LoggingError::Level("loud".to_owned())));
     let directory = tempfile::tempdir().expect("the temporary directory is created");
     let file = directory.path().join("log");
     logging::start("info", Some(&file)).expect("logging starts");
