--- a/crates/burdockroad-daemon/tests/journal.rs
+++ b/crates/burdockroad-daemon/tests/journal.rs
@@ -116,12 +116,13 @@
     Lost,
 }
 
-struct Run {
+/// Runner of the steps of one case.
+struct CaseRunner {
     store: MemoryKeyValue,
     hosts: BTreeMap<String, Host>,
 }
 
-impl Run {
+impl CaseRunner {
     async fn step(&mut self, step: &Step) {
         match step {
             Step::Start { host, domain, hidden } => self.start(host, domain, *hidden).await,
@@ -268,13 +269,13 @@
     let steps: Vec<Step> = serde_json::from_str(&fs::read_to_string(path)?)?;
     let runtime = Runtime::new()?;
     runtime.block_on(async {
-        let mut run = Run {
+        let mut runner = CaseRunner {
             store: MemoryKeyValue::new(),
             hosts: BTreeMap::new(),
         };
         for (number, step) in steps.iter().enumerate() {
             println!("step {number}: {step:?}");
-            timeout(STEP_TIMEOUT, run.step(step))
+            timeout(STEP_TIMEOUT, runner.step(step))
                 .await
                 .expect("the step ends before the timeout");
         }
--- a/crates/burdockroad-daemon/tests/key_value.rs
+++ b/crates/burdockroad-daemon/tests/key_value.rs
@@ -67,13 +67,14 @@
     value: Option<String>,
 }
 
-struct Run {
+/// Runner of the steps of one case against one store.
+struct CaseRunner {
     store: SharedKeyValue,
     revisions: HashMap<String, Revision>,
     watches: HashMap<String, mpsc::Receiver<WatchEvent>>,
 }
 
-impl Run {
+impl CaseRunner {
     fn new(store: SharedKeyValue) -> Self {
         Self {
             store,
@@ -186,31 +187,31 @@
 
 async fn run_embedded(steps: &[Step]) {
     let directory = tempfile::tempdir().unwrap();
-    let mut run = Run::new(Arc::new(EmbeddedKeyValue::open(directory.path()).unwrap()));
+    let mut runner = CaseRunner::new(Arc::new(EmbeddedKeyValue::open(directory.path()).unwrap()));
     for step in steps {
         if matches!(step, Step::Reopen) {
             // The store must be closed before it is reopened.
-            run.watches.clear();
-            run.store = Arc::new(MemoryKeyValue::new());
-            run.store = Arc::new(EmbeddedKeyValue::open(directory.path()).unwrap());
+            runner.watches.clear();
+            runner.store = Arc::new(MemoryKeyValue::new());
+            runner.store = Arc::new(EmbeddedKeyValue::open(directory.path()).unwrap());
         }
-        run.step(step).await;
+        runner.step(step).await;
     }
 }
 
 async fn run_memory(steps: &[Step]) {
-    let mut run = Run::new(Arc::new(MemoryKeyValue::new()));
+    let mut runner = CaseRunner::new(Arc::new(MemoryKeyValue::new()));
     for step in steps {
-        run.step(step).await;
+        runner.step(step).await;
     }
 }
 
 async fn run_etcd(steps: &[Step]) {
     let standin = KvStandin::start(KvOptions::default()).await.unwrap();
     let address = format!("http://{}", standin.address());
-    let mut run = Run::new(Arc::new(EtcdKeyValue::new(&[address]).unwrap()));
+    let mut runner = CaseRunner::new(Arc::new(EtcdKeyValue::new(&[address]).unwrap()));
     for step in steps {
-        run.step(step).await;
+        runner.step(step).await;
     }
     standin.close().await;
 }
