--- a/crates/burdockroad-daemon/tests/fleet/programs.rs
+++ b/crates/burdockroad-daemon/tests/fleet/programs.rs
@@ -1,4 +1,4 @@
-//! Programs whose partition moves away between a request's check and its change.
+//! Requests whose program's partition moves to another host between the ownership check and the change.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,10 +18,10 @@
 use crate::journals::Journals;
 
 #[derive(Debug)]
-struct NoMemory;
+struct NoopReleaser;
 
 #[async_trait]
-impl PrefixReleaser for NoMemory {
+impl PrefixReleaser for NoopReleaser {
     async fn release(&self, _: &CachedPrefix) -> bool {
         true
     }
@@ -63,7 +63,7 @@
     let (sender, ownership) = watch::channel(Arc::new(view));
     let programs = ProgramsHandle::start(ProgramsParts {
         journal: Journals::new().open(me.clone()).await.unwrap(),
-        releaser: Arc::new(NoMemory),
+        releaser: Arc::new(NoopReleaser),
         ownership,
         options: ProgramsOptions::default(),
     })
@@ -79,15 +79,15 @@
 
     let moved = OwnershipView::new(me, &map_of(&process("b")), true);
     sender.send_replace(Arc::new(moved));
-    let refused = programs.create(new_program("y")).await.unwrap_err();
-    assert!(matches!(refused, Rejection::Refused(Refusal::NotOwner)));
+    let rejection = programs.create(new_program("y")).await.unwrap_err();
+    assert!(matches!(rejection, Rejection::Refused(Refusal::NotOwner)));
     let program_id = program_id(7, "x");
-    let refused = programs
+    let refusal = programs
         .get("account".to_owned(), program_id.clone())
         .await
         .unwrap_err();
-    assert_eq!(refused, Refusal::NotOwner);
-    let refused = programs.end("account".to_owned(), program_id).await.unwrap_err();
-    assert_eq!(refused, Refusal::NotOwner);
+    assert_eq!(refusal, Refusal::NotOwner);
+    let refusal = programs.end("account".to_owned(), program_id).await.unwrap_err();
+    assert_eq!(refusal, Refusal::NotOwner);
     programs.close();
 }
