--- a/crates/burdockroad/src/journal.rs
+++ b/crates/burdockroad/src/journal.rs
@@ -38,7 +38,8 @@
 pub enum Durability {
     /// The record is queued and is written with the next group.
     Queued,
-    /// A peer in another failure domain has a copy of the record, or the key-value service stores it.
+    /// A peer has a copy of the record, or the key-value service stores it. A peer in another failure
+    /// domain is preferred.
     Replicated,
     /// The key-value service stores the record. A replaced writer cannot reach this durability, because
     /// its writes fail once the journal is sealed.
@@ -48,10 +49,11 @@
 /// Reason why records could not be made durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JournalError {
-    /// Another host has sealed the journal, so that this process no longer owns anything.
+    /// Another host has sealed the journal. This process no longer owns any partition.
     Fenced,
-    /// The records were stored neither by the key-value service nor, where that is sufficient, by a
-    /// peer within the append timeout.
+    /// The records could not be made durable within the append timeout, or cannot be made durable at
+    /// present: the key-value service does not store them, and neither does a peer where that would be
+    /// sufficient.
     Unavailable {
         /// Delay before a retry.
         retry_after: Duration,
--- a/crates/burdockroad/src/journal/join.rs
+++ b/crates/burdockroad/src/journal/join.rs
@@ -6,7 +6,7 @@
     program::Record,
 };
 
-/// Records that a peer kept copies of.
+/// Copies of records that one peer kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TailCopy {
     /// Position of the first record.
@@ -20,15 +20,15 @@
 pub struct Joined {
     /// The records, in order of position.
     pub records: Vec<Record>,
-    /// Number of records at the end that were recovered from copies.
+    /// Number of records that were recovered from copies. These are the last ones.
     pub tail_count: usize,
 }
 
 /// Joins consecutive segments with the copies of later records.
 ///
 /// A record that was only partly stored counts as not stored, and is taken from the copies if they
-/// contain it. If a cleaned journal starts in the middle of a record, the rest of that record is
-/// skipped.
+/// contain it. If the removal of old segments removed the start of a record, the rest of that
+/// record is skipped.
 ///
 /// # Errors
 ///
--- a/crates/burdockroad/src/journal/segment.rs
+++ b/crates/burdockroad/src/journal/segment.rs
@@ -29,7 +29,7 @@
     pub writer_id: WriterId,
     /// The peer that keeps copies of the records that are not yet stored, from this segment on.
     pub tail_peer: Option<Process>,
-    /// Position of the record of the first piece.
+    /// Position of the record that the first piece belongs to.
     pub first_position: Position,
     /// Whether the first piece continues a record of the previous segment.
     pub continues: bool,
--- a/crates/burdockroad/src/journal/tail_table.rs
+++ b/crates/burdockroad/src/journal/tail_table.rs
@@ -14,8 +14,8 @@
 /// Copies of records that a writer sends to its tail peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TailBatch {
-    /// Session number, which increases each time the writer selects the peer. It identifies copies
-    /// of earlier sessions that arrive late.
+    /// Session number. The writer starts a session with a higher number each time it selects the peer, so
+    /// that the peer can reject copies of an earlier session that arrive late.
     pub session: u64,
     /// Position of the first record.
     pub position: Position,
@@ -53,8 +53,8 @@
 
 /// Tails of other hosts' journals, by writer.
 ///
-/// Records that exceed the limits are refused instead of dropped later, because a writer relies on the
-/// records that were accepted.
+/// Records that exceed the limits are refused. Accepted records are never dropped to make space, because
+/// their writer relies on them.
 #[derive(Clone, Debug, Default)]
 pub struct TailTable {
     options: TailTableOptions,
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Appends copies to the tail of a writer, as far as the size limits allow and no earlier record is
-    /// missing.
+    /// Appends copies to the tail of a writer. Records are left out from the first one that exceeds a size
+    /// limit, and all are left out if earlier records are missing.
     pub fn append_batch(&mut self, writer: &Process, copies: TailBatch) -> TailReply {
         let tail = self.tails.entry(writer.clone()).or_default();
         if tail.sealed {
@@ -110,7 +110,7 @@
         let free_bytes = self.options.total_max_bytes.saturating_sub(self.bytes);
         tail.extend(copies, free_bytes.min(self.options.writer_max_bytes));
         self.bytes += tail.bytes;
-        TailReply::Held(tail.end())
+        TailReply::Acknowledged(tail.end())
     }
 
     /// Seals a tail, so that its writer can no longer append to it, and returns its records.
@@ -131,7 +131,7 @@
     }
 
     /// Frees the records of tails that were sealed at least [`TailTableOptions::sealed_retention`] ago,
-    /// and removes the oldest sealed tails above the limit.
+    /// and removes the oldest sealed tails to make room for one more.
     fn evict_sealed(&mut self, now: Instant) {
         for sealed in &self.sealed {
             if now.saturating_duration_since(sealed.sealed_at) < self.options.sealed_retention {
--- a/crates/burdockroad/src/journal/writer.rs
+++ b/crates/burdockroad/src/journal/writer.rs
@@ -42,7 +42,7 @@
 /// Number of consecutive failures after which the store is considered down.
 const FAILURES_MAX: u32 = 3;
 
-/// Delay before a segment is written again after a write with unknown outcome that was not found.
+/// Delay before a segment is written again that a write with unknown outcome did not create.
 const REWRITE_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Minimum retry delay suggested to callers.
@@ -70,9 +70,9 @@
     stored_end: Position,
     /// Whether a segment was stored that no delayed duplicate write can create again.
     ///
-    /// After the journal is removed, a delayed duplicate of an earlier write could recreate its segment
-    /// and the one after it. It cannot recreate the segment that opened the journal, so that a replaced
-    /// writer stops there.
+    /// After the journal is removed, a delayed duplicate of a write could recreate a segment, and the next
+    /// segment could then be created after it. No duplicate exists of the write that opened the journal,
+    /// so a replaced writer cannot get past that segment.
     open: bool,
     in_flight: Option<InFlightWrite>,
     failures: u32,
@@ -100,16 +100,16 @@
     Reading,
     /// The write had an unknown outcome. The segment must be read back.
     NeedsRead,
-    /// The segment was not found. The same value must be written again, because the lost write may
-    /// still arrive.
+    /// The segment was not found. The same value must be written again, because the earlier write may
+    /// still take effect.
     NeedsWrite,
 }
 
 impl Writer {
     /// Creates the writer of a new journal. Its first segment is due immediately.
     ///
-    /// No record counts as stored until the journal is open, which requires that the first write of
-    /// some segment succeeded.
+    /// No record counts as stored until the journal is open. It opens when a segment is stored by the
+    /// first attempt to write it.
     pub fn new(options: WriterOptions, now: Instant) -> Self {
         Self {
             queue: Queue::new(options.segment_max_bytes),
@@ -121,7 +121,7 @@
                 options.window_max,
                 now,
             ),
-            tail: Tail::new(options.me.clone(), options.failure_domain.clone()),
+            tail: Tail::new(options.owner.clone(), options.failure_domain.clone()),
             store: StoreState::new(),
             removal: Removal::new(options.segments_max, options.stored_max_bytes),
             completions: Vec::new(),
@@ -139,7 +139,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the error with which an append would currently fail.
+    /// Fails if the journal is sealed, if the durability cannot be reached at present, or if the queue
+    /// exceeds [`WriterOptions::queue_max_bytes`].
     pub fn admit(&self, durability: Durability, now: Instant) -> std::result::Result<(), JournalError> {
         if self.fenced {
             return Err(JournalError::Fenced);
@@ -185,7 +186,7 @@
         };
         match reply {
             WriteReply::Done => self.on_stored(&in_flight, now),
-            WriteReply::Held(found) => self.check_stored_segment(&in_flight, &found, now),
+            WriteReply::Exists(found) => self.check_stored_segment(&in_flight, &found, now),
             WriteReply::Removed => self.fence(),
             WriteReply::Ambiguous => {
                 in_flight.step = Step::NeedsRead;
@@ -206,7 +207,7 @@
             return;
         };
         match reply {
-            ReadReply::Held(found) => self.check_stored_segment(&in_flight, &found, now),
+            ReadReply::Found(found) => self.check_stored_segment(&in_flight, &found, now),
             ReadReply::Absent => {
                 in_flight.step = Step::NeedsWrite;
                 self.store.retry_at = Some(now + REWRITE_BACKOFF);
@@ -223,7 +224,7 @@
     /// Handles the reply to [`Action::Replicate`].
     pub fn replicated(&mut self, from: &Process, session: u64, reply: TailReply, now: Instant) {
         match reply {
-            TailReply::Held(held_end) => self.tail.on_replicated(from, session, held_end, now),
+            TailReply::Acknowledged(acked_end) => self.tail.on_replicated(from, session, acked_end, now),
             TailReply::Sealed => self.fence(),
             TailReply::Failed => self.tail.on_replication_failed(from, session, now),
         }
@@ -242,7 +243,7 @@
         }
         self.tail.choose_peer(now);
         let progress = self.progress(now);
-        self.tail.mark_relied_on(progress.replicated_end);
+        self.tail.advance_relied_on(progress.replicated_end);
         for (ticket, result) in self.waiters.settle(&progress, now) {
             actions.push(Action::Complete { ticket, result });
         }
@@ -336,7 +337,8 @@
         });
     }
 
-    /// Checks which writer created the segment that was found under the written number.
+    /// Checks whether this writer created the segment that already exists under the written number, and
+    /// fences the writer if not.
     fn check_stored_segment(&mut self, in_flight: &InFlightWrite, found: &[u8], now: Instant) {
         match StoredSegment::decode(found) {
             Ok(StoredSegment::Group(segment)) if segment.writer_id == self.options.writer_id => {
@@ -366,8 +368,8 @@
         }
     }
 
-    /// Returns the records of a group to the queue for regrouping, unless an earlier write of the group
-    /// may have taken effect.
+    /// Discards a group that was not written. Its records are still queued and are grouped again. If an
+    /// earlier write of the group may have taken effect, the segment is read back instead.
     fn on_not_written(&mut self, mut in_flight: InFlightWrite) {
         if in_flight.may_be_stored {
             in_flight.step = Step::NeedsRead;
--- a/crates/burdockroad/src/journal/writer/action.rs
+++ b/crates/burdockroad/src/journal/writer/action.rs
@@ -47,7 +47,7 @@
     Remove {
         /// First segment of the range.
         from: SegmentNumber,
-        /// Segment after the last one of the range.
+        /// End of the range, exclusive.
         to: SegmentNumber,
     },
 }
@@ -57,8 +57,8 @@
 pub enum WriteReply {
     /// The segment was written.
     Done,
-    /// The key already exists and has this value.
-    Held(Vec<u8>),
+    /// The segment already exists and has this value.
+    Exists(Vec<u8>),
     /// The previous segment does not exist, because the journal was sealed and removed.
     Removed,
     /// Nothing was written.
@@ -73,9 +73,9 @@
 /// Result of [`Action::ReadBack`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadReply {
-    /// The key has this value.
-    Held(Vec<u8>),
-    /// The key does not exist.
+    /// The segment exists and has this value.
+    Found(Vec<u8>),
+    /// The segment does not exist.
     Absent,
     /// The store could not be read.
     Unavailable {
@@ -87,8 +87,8 @@
 /// Result of [`Action::Replicate`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TailReply {
-    /// The peer keeps copies of all records before this position that are not yet stored.
-    Held(Position),
+    /// The peer has copies of all records before this position that are not yet stored.
+    Acknowledged(Position),
     /// The peer has sealed the tail.
     Sealed,
     /// The peer could not be reached, or another process now runs at its address.
--- a/crates/burdockroad/src/journal/writer/options.rs
+++ b/crates/burdockroad/src/journal/writer/options.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub struct WriterOptions {
     /// The process that owns the journal.
-    pub me: Process,
+    pub owner: Process,
     /// Failure domain of this host.
     pub failure_domain: String,
     /// Random number that identifies this writer in its segments.
--- a/crates/burdockroad/src/journal/writer/pacer.rs
+++ b/crates/burdockroad/src/journal/writer/pacer.rs
@@ -5,7 +5,8 @@
 /// Divisor of the exponential moving average of write times: a new measurement has a weight of 1/4.
 const SMOOTHING_DIVISOR: u32 = 4;
 
-/// Minimum length of the batching window, as a multiple of the average write time.
+/// Length of the batching window as a multiple of the average write time, before the limits of the window
+/// are applied.
 const WINDOW_PER_WRITE_TIME: u32 = 4;
 
 /// Limits the rate of writes with a token bucket, and lengthens the batching window when the store is
--- a/crates/burdockroad/src/journal/writer/queue.rs
+++ b/crates/burdockroad/src/journal/writer/queue.rs
@@ -9,7 +9,7 @@
     ownership::Process,
 };
 
-/// Space reserved for the segment header, in bytes. The names of hosts take a small part of it.
+/// Space reserved for the segment header, in bytes. The host name in the header takes a small part of it.
 const HEAD_BYTES: usize = 1_024;
 
 /// Space reserved for the header of each piece, in bytes.
@@ -46,7 +46,7 @@
     pub(super) first_segment: SegmentNumber,
 }
 
-/// Queued records in order, starting with the first that is not completely stored.
+/// Queued records in order of position. The first may be partly stored.
 #[derive(Clone, Debug)]
 pub(super) struct Queue {
     records: VecDeque<QueuedRecord>,
@@ -115,7 +115,7 @@
         self.bytes = 0;
     }
 
-    /// Returns at least one record from a position on, up to a total size of about `bytes_max`.
+    /// Returns the queued records from a position on, up to a total size of `bytes_max`, but at least one.
     pub(super) fn copies(&self, from: Position, bytes_max: usize) -> Vec<Arc<[u8]>> {
         let skipped = usize::try_from(from.saturating_sub(self.first)).unwrap_or(usize::MAX);
         let mut copies = Vec::new();
@@ -130,8 +130,8 @@
         copies
     }
 
-    /// Packs as many records as fit into the next segment. The choice of the tail peer depends on the
-    /// position after the last of them.
+    /// Packs as many records as fit into the next segment. `tail_peer` returns the tail peer that the
+    /// segment names, given the position after its last complete record.
     pub(super) fn build_group(
         &self,
         segment: SegmentNumber,
@@ -180,7 +180,8 @@
         (pieces, 0)
     }
 
-    /// Removes what a group stored from the queue, and returns the records that it completed.
+    /// Removes the records that are completely stored now that `group` is stored, and returns them. A
+    /// record that is only partly stored remains queued.
     pub(super) fn on_stored(&mut self, group: &Group) -> Vec<StoredRecord> {
         let mut stored = Vec::new();
         while self.first < group.end {
--- a/crates/burdockroad/src/journal/writer/tail.rs
+++ b/crates/burdockroad/src/journal/writer/tail.rs
@@ -1,4 +1,4 @@
-//! Replication to one peer of the records that are not yet stored.
+//! Replication of records that are not yet stored to a peer.
 
 use std::{
     collections::BTreeMap,
@@ -24,7 +24,7 @@
 /// The tail peer, and the peer that replaces it next.
 #[derive(Clone, Debug)]
 pub(super) struct Tail {
-    me: Process,
+    owner: Process,
     failure_domain: String,
     peers: Vec<Peer>,
     majority_live: bool,
@@ -69,9 +69,9 @@
 }
 
 impl Tail {
-    pub(super) fn new(me: Process, failure_domain: String) -> Self {
+    pub(super) fn new(owner: Process, failure_domain: String) -> Self {
         Self {
-            me,
+            owner,
             failure_domain,
             peers: Vec::new(),
             majority_live: false,
@@ -95,10 +95,10 @@
             .retain(|process, _| peers.iter().any(|peer| peer.process == *process));
     }
 
-    /// Returns whether copies count as durable: all peers that a successor may read from are live, and
-    /// so is a majority of the hosts.
+    /// Returns whether copies count as durable. This requires that a majority of the hosts is live, and that
+    /// all peers that a successor may read from are live and have not failed.
     ///
-    /// Without a majority, this process may have been replaced without having been notified.
+    /// Without a majority, another host may have taken over from this process unnoticed.
     pub(super) fn is_usable(&self) -> bool {
         self.stored_peer.is_some()
             && self.majority_live
@@ -120,8 +120,8 @@
         acked.min().unwrap_or(0)
     }
 
-    /// Records that all records before this position are reported durable because of their copies.
-    pub(super) fn mark_relied_on(&mut self, replicated_end: Position) {
+    /// Updates the position up to which appends were reported durable because of copies.
+    pub(super) fn advance_relied_on(&mut self, replicated_end: Position) {
         self.relied_on_end = self.relied_on_end.max(replicated_end);
     }
 
@@ -161,7 +161,7 @@
         });
     }
 
-    /// Resets the state after a write that certainly did not create its segment.
+    /// Handles a failed write that certainly did not create its segment.
     pub(super) fn on_write_failed(&mut self) {
         self.in_flight = None;
     }
@@ -176,7 +176,8 @@
         self.released.extend(released.map(|(process, _)| process));
     }
 
-    /// Returns the batches that can be sent now, of records from `first` to `end` that peers lack.
+    /// Returns the batches that can be sent now. A batch starts at the first record from `first` on that
+    /// the peer lacks. `end` is the position after the last queued record.
     pub(super) fn due(&mut self, first: Position, end: Position, now: Instant) -> Vec<DueBatch> {
         let receivers: Vec<_> = self.receivers().cloned().collect();
         let mut due = Vec::new();
@@ -201,7 +202,8 @@
         due
     }
 
-    /// Returns the former tail peers, with `end` as the position before which they can drop their copies.
+    /// Returns a message for each former tail peer that lets it drop its copies, which are all before
+    /// `end`.
     pub(super) fn releases(&mut self, end: Position) -> Vec<DueBatch> {
         let released = std::mem::take(&mut self.released);
         let mut due = Vec::new();
@@ -226,7 +228,8 @@
     ) {
         let replica = self.replicas.get_mut(process);
         if let Some(replica) = replica.filter(|replica| replica.session == session) {
-            // A peer without free space is not sent the same records again immediately.
+            // A peer that accepted no new record may have no space. It is sent the records again only
+            // after a delay.
             let advanced = acked_end > replica.acked_end;
             *replica = Replica {
                 session,
@@ -335,7 +338,7 @@
     }
 
     fn rank(&self, process: &Process) -> u64 {
-        let pair = format!("{}/{}", self.me.host_id, process.host_id);
+        let pair = format!("{}/{}", self.owner.host_id, process.host_id);
         xxh3_64(pair.as_bytes())
     }
 }
--- a/crates/burdockroad/src/journal/writer/waiters.rs
+++ b/crates/burdockroad/src/journal/writer/waiters.rs
@@ -7,9 +7,10 @@
 /// Current durability of the records of a journal.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
-    /// Position after the last stored record; 0 before the first segment is stored.
+    /// Position after the last completely stored record; 0 before the journal is open.
     pub(super) stored_end: Position,
-    /// Position after the last record that is stored or replicated.
+    /// Position after the last record that is replicated to all required peers; 0 while copies do not
+    /// count as durable.
     pub(super) replicated_end: Position,
     /// Whether the store is considered down.
     pub(super) store_down: bool,
@@ -99,8 +100,8 @@
 }
 
 impl Progress {
-    /// Returns whether records cannot currently reach this durability, so that waiting would be
-    /// useless.
+    /// Returns whether records currently cannot reach this durability, so appends should fail without
+    /// waiting.
     pub(super) fn is_unattainable(&self, durability: Durability) -> bool {
         match durability {
             Durability::Queued => false,
--- a/crates/burdockroad/tests/journal_cleaning.rs
+++ b/crates/burdockroad/tests/journal_cleaning.rs
@@ -21,7 +21,7 @@
 
 fn writer(now: Instant) -> Writer {
     let options = WriterOptions {
-        me: Process {
+        owner: Process {
             host_id: "a".to_owned(),
             incarnation: 1,
         },
@@ -40,7 +40,8 @@
     Writer::new(options, now)
 }
 
-/// Creates a record that a tree can be read from, one that depends on it, or one that removes the tree.
+/// Creates a record of a kind: `base` starts a tree, `change` depends on earlier records, and `end`
+/// removes the tree.
 fn record(root_id: &str, kind: &str) -> Record {
     let event = match kind {
         "base" => Event::Created {
--- a/crates/burdockroad/tests/journal_interleavings/world.rs
+++ b/crates/burdockroad/tests/journal_interleavings/world.rs
@@ -30,12 +30,16 @@
 /// Interval of positions at which a record can be read without earlier records.
 const BASE_INTERVAL: u64 = 5;
 
-/// Numbers of records confirmed in all runs.
+/// Totals of one or more runs.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
+    /// Records confirmed as stored.
     pub(crate) stored: u64,
+    /// Records confirmed as replicated.
     pub(crate) replicated: u64,
+    /// Runs in which the successor read the tail peer named by the last segment.
     pub(crate) tails_sealed: u64,
+    /// Records recovered from copies.
     pub(crate) from_copies: u64,
 }
 
@@ -48,8 +52,8 @@
     }
 }
 
-/// A message in transit. `replied` is set if the writer has already received a reply to it, so that only
-/// its effect remains.
+/// A message in transit. If `replied` is set, the writer has already received a reply, and the message
+/// can only change the state of its receiver.
 #[derive(Clone, Debug)]
 enum Message {
     Write {
@@ -82,7 +86,7 @@
     rng: ChaCha8Rng,
     now: Instant,
     writer: Writer,
-    me: Process,
+    owner: Process,
     store: BTreeMap<SegmentNumber, Vec<u8>>,
     store_down: bool,
     messages: Vec<Message>,
@@ -132,9 +136,9 @@
     pub(crate) fn new(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let now = Instant::now();
-        let me = process("w", 1);
+        let owner = process("w", 1);
         let options = WriterOptions {
-            me: me.clone(),
+            owner: owner.clone(),
             failure_domain: "x".to_owned(),
             writer_id: rng.random(),
             // Small, so that groups and records often span several segments.
@@ -155,7 +159,7 @@
         });
         Self {
             writer: Writer::new(options, now),
-            me,
+            owner,
             now,
             store: BTreeMap::new(),
             store_down: false,
@@ -342,7 +346,7 @@
                     _ if self.store_down => ReadReply::Unavailable {
                         retry_after: Duration::from_millis(50),
                     },
-                    Some(value) => ReadReply::Held(value.clone()),
+                    Some(value) => ReadReply::Found(value.clone()),
                     None => ReadReply::Absent,
                 };
                 self.writer.read_back(reply, self.now);
@@ -403,7 +407,7 @@
 
     fn create(&mut self, segment: SegmentNumber, value: &[u8]) -> WriteReply {
         if let Some(value) = self.store.get(&segment) {
-            return WriteReply::Held(value.clone());
+            return WriteReply::Exists(value.clone());
         }
         if segment > 1 && !self.store.contains_key(&(segment - 1)) {
             return WriteReply::Removed;
@@ -427,7 +431,7 @@
         let session = copies.session;
         let peer = self.peers.iter_mut().find(|peer| peer.process == to && peer.up);
         let reply = match peer {
-            Some(peer) => peer.table.append_batch(&self.me, copies.clone()),
+            Some(peer) => peer.table.append_batch(&self.owner, copies.clone()),
             None => TailReply::Failed,
         };
         if self.rng.random_ratio(1, 10) {
@@ -499,7 +503,7 @@
             self.steps(STEPS_BETWEEN);
             let peer = &mut self.peers[index];
             if peer.up {
-                copies.push(peer.table.seal(&self.me, self.now));
+                copies.push(peer.table.seal(&self.owner, self.now));
                 read_peers.push(peer.process.clone());
             }
         }
