--- a/crates/burdockroad-daemon/src/membership/wire.rs
+++ b/crates/burdockroad-daemon/src/membership/wire.rs
@@ -31,7 +31,7 @@
             failure_domain: request.failure_domain.clone(),
             leaving: request.leaving,
         },
-        heard: request.heard.iter().map(process_of).collect(),
+        live_processes: request.heard.iter().map(process_of).collect(),
     })
 }
 
@@ -44,6 +44,6 @@
             failure_domain: response.failure_domain.clone(),
             leaving: response.leaving,
         },
-        heard: response.heard.iter().map(process_of).collect(),
+        live_processes: response.heard.iter().map(process_of).collect(),
     })
 }
--- a/crates/burdockroad/src/membership.rs
+++ b/crates/burdockroad/src/membership.rs
@@ -2,8 +2,8 @@
 //!
 //! A [`Table`] processes heartbeats and the host list of the platform, which may be outdated. It
 //! determines which processes can be taken over, and until when this process may act as an owner.
-//! Clocks only decide when an operation is attempted. Its correctness is ensured by the journals and
-//! the ownership map.
+//! Clocks only decide when a takeover is attempted. The journals and the ownership map ensure that it is
+//! correct.
 //!
 //! # Why a lease ends before a takeover starts
 //!
--- a/crates/burdockroad/src/membership/options.rs
+++ b/crates/burdockroad/src/membership/options.rs
@@ -11,7 +11,7 @@
 /// Time for which an acknowledged heartbeat allows a process to act as an owner, from when it was sent.
 const LEASE_TIME: Duration = Duration::from_secs(1);
 
-/// Interval between two ticks above which this process is considered to have been paused.
+/// Time between two ticks above which this process is considered to have been paused.
 const PAUSE_GAP: Duration = Duration::from_millis(750);
 
 /// Maximum number of hosts for which every host sends heartbeats to every other.
@@ -30,7 +30,7 @@
     /// Time for which an acknowledged heartbeat allows a process to act as an owner, from when it was
     /// sent. Must be shorter than the suspicion time.
     pub lease_time: Duration,
-    /// Interval between two ticks above which this process is considered to have been paused.
+    /// Time between two ticks above which this process is considered to have been paused.
     pub pause_gap: Duration,
     /// Maximum number of hosts for which every host sends heartbeats to every other.
     pub full_mesh_hosts_max: usize,
--- a/crates/burdockroad/src/membership/peer.rs
+++ b/crates/burdockroad/src/membership/peer.rs
@@ -7,7 +7,7 @@
     ownership::Process,
 };
 
-/// Maximum number of replaced incarnations tracked per host, in order to reject their late messages.
+/// Maximum number of replaced incarnations tracked per host. Late messages from these are rejected.
 const REPLACED_INCARNATIONS_MAX: usize = 8;
 
 /// Description of a process that it sends to its peers.
@@ -42,14 +42,14 @@
     /// The sender.
     pub member: Member,
     /// Processes from which the sender received a heartbeat or response within its suspicion time.
-    pub heard: Vec<Process>,
+    pub live_processes: Vec<Process>,
 }
 
-/// Row of the membership table.
+/// Peer host in the membership table.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) member: Member,
-    pub(super) heard: Vec<Process>,
+    pub(super) live_processes: Vec<Process>,
     pub(super) first_received_at: Instant,
     pub(super) last_received_at: Instant,
     /// Time at which the newest acknowledged heartbeat was sent.
@@ -61,7 +61,7 @@
     pub(super) fn new(report: HeartbeatReport, now: Instant) -> Self {
         Self {
             member: report.member,
-            heard: report.heard,
+            live_processes: report.live_processes,
             first_received_at: now,
             last_received_at: now,
             acknowledged_at: None,
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Updates the row, and returns whether the report was accepted. A report from a replaced process
-    /// is rejected.
+    /// Processes a report, and returns whether it was accepted. A report from a replaced process is
+    /// rejected.
     pub(super) fn observe(&mut self, report: HeartbeatReport, now: Instant) -> bool {
         let current = self.member.process.incarnation;
         let incarnation = report.member.process.incarnation;
@@ -87,7 +87,7 @@
             member.address = std::mem::take(&mut self.member.address);
         }
         self.member = member;
-        self.heard = report.heard;
+        self.live_processes = report.live_processes;
         self.last_received_at = now;
         true
     }
--- a/crates/burdockroad/src/membership/table.rs
+++ b/crates/burdockroad/src/membership/table.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub struct Table {
     options: Options,
-    me: Member,
+    local_member: Member,
     listed: BTreeMap<HostId, ListedMember>,
     peers: BTreeMap<HostId, Peer>,
     owners: BTreeSet<Process>,
@@ -54,10 +54,10 @@
 
 impl Table {
     /// Creates a table that contains only this process.
-    pub fn new(me: Member, options: Options, now: Instant) -> Self {
+    pub fn new(local_member: Member, options: Options, now: Instant) -> Self {
         Self {
             options,
-            me,
+            local_member,
             listed: BTreeMap::new(),
             peers: BTreeMap::new(),
             owners: BTreeSet::new(),
@@ -68,14 +68,14 @@
         }
     }
 
-    /// Returns the description of this process.
-    pub fn me(&self) -> &Member {
-        &self.me
+    /// Returns the description that this process sends to its peers.
+    pub fn local_member(&self) -> &Member {
+        &self.local_member
     }
 
     /// Continues as a new incarnation after this process was fenced.
     pub fn rejoin(&mut self, process: Process) {
-        self.me.process = process;
+        self.local_member.process = process;
         for peer in self.peers.values_mut() {
             peer.acknowledged_at = None;
         }
@@ -83,7 +83,7 @@
 
     /// Sets whether this host is being removed.
     pub fn set_leaving(&mut self, leaving: bool) {
-        self.me.leaving = leaving;
+        self.local_member.leaving = leaving;
     }
 
     /// Sets the hosts listed by the platform.
@@ -100,11 +100,11 @@
         self.owners = owners;
     }
 
-    /// Processes a heartbeat or the response to one. Returns whether it was accepted; a late message
-    /// from a replaced process is rejected.
+    /// Processes a heartbeat or the response to one, and returns whether it was accepted. A message from
+    /// this host or from a replaced process is rejected.
     pub fn observe(&mut self, report: HeartbeatReport, now: Instant) -> bool {
         let host_id = report.member.process.host_id.clone();
-        if host_id == self.me.process.host_id {
+        if host_id == self.local_member.process.host_id {
             return false;
         }
         match self.peers.get_mut(&host_id) {
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Advances the time. Returns true if this process was paused, in which case all hosts get the full
-    /// suspicion time again.
+    /// Advances the time, and returns whether this process was paused. After a pause, no host is suspected
+    /// until the full suspicion time has passed again.
     pub fn tick(&mut self, now: Instant) -> bool {
         let gap = now.saturating_duration_since(self.last_tick_at);
         let paused = gap > self.options.pause_gap;
@@ -141,23 +141,24 @@
     /// Their responses contain their votes.
     pub fn targets(&self, now: Instant) -> Vec<Target> {
         let mut hosts = self.heartbeat_hosts.clone();
-        let me = &self.me.process.host_id;
+        let local_host_id = &self.local_member.process.host_id;
         for process in self
             .owners
             .iter()
             .filter(|process| !self.is_live_process(process, now))
         {
             let voters = self.voters(&process.host_id);
-            if voters.contains(me) {
+            if voters.contains(local_host_id) {
                 hosts.extend(voters);
             }
         }
-        hosts.remove(me);
+        hosts.remove(local_host_id);
         hosts.iter().filter_map(|host_id| self.target(host_id)).collect()
     }
 
-    /// Returns the processes from which a heartbeat or response was received within the suspicion time.
-    pub fn heard(&self, now: Instant) -> Vec<Process> {
+    /// Returns the processes that are live: those from which a heartbeat or response was received within
+    /// the suspicion time. Pauses of this process do not count towards that time.
+    pub fn live_processes(&self, now: Instant) -> Vec<Process> {
         self.peers
             .values()
             .filter(|peer| self.is_live(peer, now))
@@ -178,7 +179,7 @@
     pub fn listed(&self) -> impl Iterator<Item = &ListedMember> {
         self.listed
             .values()
-            .filter(|listed| listed.host_id != self.me.process.host_id)
+            .filter(|listed| listed.host_id != self.local_member.process.host_id)
     }
 
     /// Returns whether every other listed host is live.
@@ -194,7 +195,7 @@
     pub fn dead(&self, now: Instant) -> Vec<DeadProcess> {
         self.owners
             .iter()
-            .filter(|process| **process != self.me.process)
+            .filter(|process| **process != self.local_member.process)
             .filter_map(|process| self.check_dead(process, now))
             .collect()
     }
@@ -207,7 +208,7 @@
     /// Fails if too few voters have acknowledged a heartbeat yet. The process must not act as an owner
     /// then.
     pub fn lease_until(&self) -> Result<Option<Instant>, TooFewAcknowledgements> {
-        let voters = self.voters(&self.me.process.host_id);
+        let voters = self.voters(&self.local_member.process.host_id);
         let needed = voters.len().div_ceil(2);
         let Some(position) = needed.checked_sub(1) else {
             return Ok(None);
@@ -226,7 +227,7 @@
             process: process.clone(),
             replaced,
         };
-        if process.host_id == self.me.process.host_id {
+        if process.host_id == self.local_member.process.host_id {
             return Some(dead(true));
         }
         match self.peers.get(&process.host_id) {
@@ -235,7 +236,8 @@
         }
     }
 
-    /// Returns whether enough voters have not received heartbeats from the process either.
+    /// Returns whether the process is not live for this host, for more than half of its voters, and for
+    /// more than half of all live hosts.
     fn is_confirmed_dead(&self, process: &Process, now: Instant) -> bool {
         if self.is_live_process(process, now) {
             return false;
@@ -250,10 +252,10 @@
         } else {
             voters.len() / 2 + 1
         };
-        dead_votes >= needed && self.majority_agrees(process, now)
+        dead_votes >= needed && self.majority_reports_dead(process, now)
     }
 
-    fn majority_agrees(&self, process: &Process, now: Instant) -> bool {
+    fn majority_reports_dead(&self, process: &Process, now: Instant) -> bool {
         let live_peers: Vec<&Peer> = self
             .peers
             .values()
@@ -261,27 +263,29 @@
             .collect();
         let still_live = live_peers
             .iter()
-            .filter(|peer| peer.heard.contains(process))
+            .filter(|peer| peer.live_processes.contains(process))
             .count();
-        // This host, which does not receive heartbeats from the process, also counts.
+        // 1 is added for this host, for which the process is not live.
         still_live * 2 < live_peers.len() + 1
     }
 
     fn votes_dead(&self, host_id: &HostId, process: &Process, now: Instant) -> bool {
-        if *host_id == self.me.process.host_id {
+        if *host_id == self.local_member.process.host_id {
             return true;
         }
         let Some(peer) = self.peers.get(host_id) else {
             return false;
         };
-        // The report of a recently started process may lack other processes, so it does not count as a
-        // vote.
+        // A process that started recently has not yet received heartbeats from all others, so a process
+        // missing from its report does not count as a vote.
         let tracked_for = now.saturating_duration_since(peer.first_received_at);
-        self.is_live(peer, now) && tracked_for >= self.options.suspicion_time && !peer.heard.contains(process)
+        self.is_live(peer, now)
+            && tracked_for >= self.options.suspicion_time
+            && !peer.live_processes.contains(process)
     }
 
-    /// Returns whether the time since the last heartbeat or response of the process is shorter than the
-    /// suspicion time. The time is counted at the earliest from the start of the observation period.
+    /// Returns whether the process sent a heartbeat or response within the suspicion time, or the current
+    /// observation period is shorter than the suspicion time.
     fn is_live_process(&self, process: &Process, now: Instant) -> bool {
         let last_received_at = self
             .peers
@@ -312,8 +316,8 @@
     /// Returns the hosts in the ownership map that still exist, or the listed hosts if there is no map
     /// yet.
     ///
-    /// All hosts agree on the map, whereas the list may be outdated. However, a host that was removed
-    /// from the list and has sent this host no message must not count as a voter indefinitely.
+    /// All hosts agree on the map, whereas the list may be outdated. However, a host in the map that is no
+    /// longer listed and has never sent this host a message must not remain a voter indefinitely.
     fn voting_hosts(&self) -> BTreeSet<HostId> {
         if self.owners.is_empty() {
             return self.listed.keys().cloned().collect();
@@ -324,7 +328,7 @@
             .filter(|host_id| {
                 self.listed.contains_key(host_id)
                     || self.peers.contains_key(host_id)
-                    || *host_id == self.me.process.host_id
+                    || *host_id == self.local_member.process.host_id
             })
             .collect()
     }
@@ -338,13 +342,14 @@
     /// Sets the heartbeat destinations: hosts that monitor this one and hosts that it monitors. In a
     /// small fleet, these are all hosts.
     fn update_heartbeat_hosts(&mut self) {
-        let me = self.me.process.host_id.clone();
+        let local_host_id = self.local_member.process.host_id.clone();
         let mut hosts: BTreeSet<HostId> = self.listed.keys().cloned().collect();
         hosts.extend(self.peers.keys().cloned());
-        hosts.insert(me.clone());
-        let mut heartbeat_hosts: BTreeSet<HostId> = self.monitors_of(&me, &hosts).into_iter().collect();
-        for host_id in hosts.iter().filter(|host_id| **host_id != me) {
-            if self.monitors_of(host_id, &hosts).contains(&me) {
+        hosts.insert(local_host_id.clone());
+        let mut heartbeat_hosts: BTreeSet<HostId> =
+            self.monitors_of(&local_host_id, &hosts).into_iter().collect();
+        for host_id in hosts.iter().filter(|host_id| **host_id != local_host_id) {
+            if self.monitors_of(host_id, &hosts).contains(&local_host_id) {
                 heartbeat_hosts.insert(host_id.clone());
             }
         }
--- a/crates/burdockroad/tests/membership.rs
+++ b/crates/burdockroad/tests/membership.rs
@@ -60,12 +60,18 @@
             self.now += STEP;
             self.table.tick(self.now);
             for host in (1..self.hosts).filter(|&host| reaches(0, host)) {
-                let heard = (0..self.hosts)
+                let live_processes = (0..self.hosts)
                     .filter(|&other| other != host && reaches(host, other))
                     .map(|other| process(other, 1))
                     .collect();
                 let member = member(host, 1);
-                self.table.observe(HeartbeatReport { member, heard }, self.now);
+                self.table.observe(
+                    HeartbeatReport {
+                        member,
+                        live_processes,
+                    },
+                    self.now,
+                );
                 if reaches(host, 0) {
                     self.table.acknowledge(&process(host, 1), self.now);
                 }
@@ -138,7 +144,7 @@
     case.run(20, |_, _| true);
     let report = |incarnation| HeartbeatReport {
         member: member(2, incarnation),
-        heard: Vec::new(),
+        live_processes: Vec::new(),
     };
     assert!(case.table.observe(report(2), case.now));
     assert_eq!(case.dead(), [process(2, 1)]);
@@ -161,7 +167,7 @@
     case.run(7, |a, b| a != 2 && b != 2 && !(a == 0 && b == 1));
     let report = HeartbeatReport {
         member: member(1, 2),
-        heard: Vec::new(),
+        live_processes: Vec::new(),
     };
     case.table.observe(report, case.now);
     assert!(!case.dead().contains(&process(2, 1)));
@@ -175,9 +181,9 @@
     assert!(!case.may_act());
     assert!(case.table.tick(case.now));
     assert_eq!(case.dead(), []);
-    assert_eq!(case.table.heard(case.now).len(), 6);
+    assert_eq!(case.table.live_processes(case.now).len(), 6);
     case.run(8, |_, _| false);
-    assert_eq!(case.table.heard(case.now), []);
+    assert_eq!(case.table.live_processes(case.now), []);
 }
 
 #[test]
@@ -185,7 +191,7 @@
     let mut case = Case::new(2);
     let report = HeartbeatReport {
         member: member(5, 1),
-        heard: Vec::new(),
+        live_processes: Vec::new(),
     };
     case.table.observe(report, case.now);
     let targets = case.table.targets(case.now);
@@ -211,8 +217,8 @@
     assert!(*max_count <= 4 * options.monitors_per_host, "{max_count}");
 }
 
-/// When the first other host may take over from a process that has been partitioned from all hosts, the
-/// lease of the process has ended.
+/// The lease of a process that is partitioned from all other hosts ends before another host may take
+/// over from it.
 #[test]
 fn lease_until_before_takeover() {
     let hosts = 7;
@@ -234,12 +240,18 @@
             // The other hosts report the owner as live until the suspicion time after its last
             // heartbeat.
             let reports_owner = step < partitioned_at + 6;
-            let heard = (0..hosts)
+            let live_processes = (0..hosts)
                 .filter(|&other| other != host && (other != 0 || reports_owner))
                 .map(|other| process(other, 1))
                 .collect();
             let member = member(host, 1);
-            other.table.observe(HeartbeatReport { member, heard }, other.now);
+            other.table.observe(
+                HeartbeatReport {
+                    member,
+                    live_processes,
+                },
+                other.now,
+            );
         }
         let taken_over = other
             .table
