--- a/crates/burdockroad/examples/embed.rs
+++ b/crates/burdockroad/examples/embed.rs
@@ -39,7 +39,7 @@
         journal.extend(run(&mut programs, &program_id, number)?);
         println!("call={number} waited_ms={}", waited.as_millis());
     }
-    let repeated = programs.begin(request(&program_id, 2), SystemTime::now())?;
+    let repeated = programs.accept_call(request(&program_id, 2), SystemTime::now())?;
     println!("repeated_call={repeated:?}");
 
     // Another process can rebuild the program from its records.
@@ -64,7 +64,7 @@
     number: u32,
 ) -> Result<[Record; 2], Box<dyn std::error::Error>> {
     let now = SystemTime::now();
-    let CallDecision::Run(..) = programs.begin(request(program_id, number), now)? else {
+    let CallDecision::Run(..) = programs.accept_call(request(program_id, number), now)? else {
         return Err("the call has already been run".into());
     };
     let placement = Placement {
@@ -73,13 +73,13 @@
         max_tokens: 20,
     };
     let prepared = programs.send(&program_id.to_owned(), placement, now)?;
-    let answer = CallResponse {
+    let response = CallResponse {
         status: 200,
         content_type: "application/json".to_owned(),
         body: Vec::new(),
         message: Some(format!("\"answer after {} messages\"", prepared.prompt.len())),
     };
-    let settled = programs.settle(&program_id.to_owned(), Outcome::Answered(answer), 12);
+    let settled = programs.settle(&program_id.to_owned(), Outcome::Answered(response), 12);
     Ok([prepared.record, settled.ok_or("the call is no longer open")?])
 }
 
--- a/crates/burdockroad/src/program/checks.rs
+++ b/crates/burdockroad/src/program/checks.rs
@@ -114,9 +114,9 @@
     earlier.chain(request.messages.iter().cloned()).collect()
 }
 
-/// Returns whether this is the endpoint that served the last completion of an active program, so that
-/// the program's next call can reuse the cached prefix.
-pub(super) fn is_next_endpoint(tree: &Tree, prefix: &CachedPrefix) -> bool {
+/// Returns whether the next call of the program can reuse a cached prefix. This requires that the program
+/// is active, and that the endpoint is that of its last completion.
+pub(super) fn is_prefix_reusable(tree: &Tree, prefix: &CachedPrefix) -> bool {
     let program = tree
         .programs
         .get(&prefix.program_id)
--- a/crates/burdockroad/src/program/record.rs
+++ b/crates/burdockroad/src/program/record.rs
@@ -172,7 +172,7 @@
     pub message: Option<String>,
 }
 
-/// KV cache entry that an endpoint may keep for the prefix of a program.
+/// Prefix of a program that an endpoint may have in its KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct CachedPrefix {
--- a/crates/burdockroad/src/program/replay.rs
+++ b/crates/burdockroad/src/program/replay.rs
@@ -10,8 +10,8 @@
 
 /// Rebuilds trees from journal records.
 ///
-/// Records may be repeated. Records before the first snapshot of a tree may be missing, because a
-/// cleaned journal no longer contains them. A dropped tree stays dropped.
+/// Records may be repeated. Records before the first snapshot of a tree may be missing, because old
+/// segments of the journal were removed. Records from before a tree was dropped do not restore it.
 ///
 /// # Example
 ///
@@ -107,8 +107,8 @@
     }
 
     fn insert_new(&mut self, root_id: &ProgramId, sequence: u64, event: &Event) -> Result<()> {
-        // A record of an unseen tree with a higher sequence number precedes the snapshot of the tree in
-        // a cleaned journal, and is skipped.
+        // The removal of old segments may have removed the first records of a tree. The remaining records
+        // before its next snapshot cannot be applied and are skipped.
         if sequence == 1 {
             self.trees.insert(root_id.clone(), Tree::from_created(event)?);
         }
--- a/crates/burdockroad/src/program/request.rs
+++ b/crates/burdockroad/src/program/request.rs
@@ -65,10 +65,10 @@
 /// Decision on a requested call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallDecision {
-    /// The call must be run. Contains the usage of its program and the endpoint that may cache the
-    /// program's prefix.
+    /// The call must be run. Contains the usage of its program, and the endpoint that may have the
+    /// program's prefix in its KV cache.
     Run(Usage, Option<EndpointId>),
-    /// An earlier attempt of the same call is still running.
+    /// An earlier attempt of the same call is still open, and the caller must wait for its result.
     Attach,
     /// The call has completed with this response.
     Answered(CallResponse),
@@ -114,7 +114,7 @@
     Append(Record),
     /// Cancel a call.
     Cancel(CancelledCall),
-    /// Request an endpoint to free a cached prefix, then report the release with
+    /// Request that an endpoint free a cached prefix. After the endpoint confirms this, call
     /// [`Programs::on_prefix_released`](crate::program::Programs::on_prefix_released).
     Release(CachedPrefix),
 }
--- a/crates/burdockroad/src/program/table.rs
+++ b/crates/burdockroad/src/program/table.rs
@@ -12,7 +12,7 @@
         Action, CachedPrefix, CallDecision, CallRequest, CancelledCall, Event, Intent, NewProgram, Outcome,
         Placement, PreparedCall, Program, ProgramsOptions, Record, Refusal, State, Tree,
         checks::{
-            check_active, check_budget, check_history, check_next, is_next_endpoint, prompt,
+            check_active, check_budget, check_history, check_next, is_prefix_reusable, prompt,
             retry_of_finished_call, retry_of_open_call, usage,
         },
     },
@@ -35,11 +35,17 @@
 #[derive(Debug, Default)]
 pub struct Programs {
     options: ProgramsOptions,
+    /// Trees, by the ids of their roots.
     trees: BTreeMap<ProgramId, Tree>,
+    /// Root of the tree of each program.
     roots: HashMap<ProgramId, ProgramId>,
+    /// Open calls, by program. A program has at most one.
     open: HashMap<ProgramId, OpenCall>,
+    /// Partitions that are being handed off.
     frozen: BTreeSet<PartitionId>,
+    /// Roots of trees to be processed by [`tick`](Self::tick), ordered by the time at which each is due.
     due: BTreeSet<(SystemTime, ProgramId)>,
+    /// Cached prefixes to be released, with the time of the next request to the endpoint.
     releasing: BTreeMap<CachedPrefix, SystemTime>,
 }
 
@@ -132,9 +138,10 @@
     ///
     /// # Errors
     ///
-    /// Fails if the call is out of order, exceeds the budget, or belongs to a program that is not in
-    /// the table.
-    pub fn begin(
+    /// Fails if the call is out of order, reuses the number of a different request, or exceeds the budget
+    /// or the history limit. Also fails if the program is not in the table, has ended, or is being handed
+    /// off, and if an earlier attempt may have run but must not run again.
+    pub fn accept_call(
         &mut self,
         request: CallRequest,
         now: SystemTime,
@@ -188,8 +195,8 @@
 
     /// Records the outcome of a sent call.
     ///
-    /// Returns none if the call is no longer open, for example because the table was cleared when the
-    /// host was fenced.
+    /// Returns none if the program has no open call that was sent, for example because the table was
+    /// cleared when the host was fenced.
     pub fn settle(&mut self, program_id: &ProgramId, outcome: Outcome, spent_tokens: u64) -> Option<Record> {
         let open = self.open.remove(program_id).filter(|open| open.sent)?;
         let root_id = self.roots.get(program_id)?.clone();
@@ -222,12 +229,13 @@
 
     /// Records that an endpoint no longer caches the prefix of a program.
     ///
-    /// Returns none if the program has a call open, uses the endpoint again, or is not in the table.
+    /// Returns none if the program has an open call, can reuse the prefix in its next call, or is not in
+    /// the table, and if the release is already recorded.
     pub fn on_prefix_released(&mut self, prefix: &CachedPrefix) -> Option<Record> {
         self.releasing.remove(prefix);
         let tree = self.tree_of(&prefix.program_id)?;
         let cached = tree.cached_prefixes.contains(prefix);
-        if !cached || self.open.contains_key(&prefix.program_id) || is_next_endpoint(tree, prefix) {
+        if !cached || self.open.contains_key(&prefix.program_id) || is_prefix_reusable(tree, prefix) {
             return None;
         }
         let root_id = tree.root_id.clone();
@@ -249,9 +257,9 @@
         actions
     }
 
-    /// Takes over trees and closes calls that were still running when the previous owner stopped.
+    /// Adds trees of a previous owner, and closes their calls that were still running when it stopped.
     ///
-    /// A tree that is no newer than the one in the table is ignored.
+    /// A tree that is not newer than the one in the table is ignored.
     pub fn adopt(&mut self, trees: Vec<Tree>, now: SystemTime) -> Vec<Record> {
         let mut records = Vec::new();
         for tree in trees {
@@ -266,12 +274,12 @@
         records
     }
 
-    /// Stops accepting calls for partitions, before a handoff.
+    /// Stops accepting programs and calls in partitions that are being handed off.
     pub fn freeze(&mut self, partitions: &[PartitionId]) {
         self.frozen.extend(partitions);
     }
 
-    /// Accepts calls for partitions again.
+    /// Accepts programs and calls in the partitions again.
     pub fn thaw(&mut self, partitions: &[PartitionId]) {
         for partition in partitions {
             self.frozen.remove(partition);
@@ -304,8 +312,8 @@
         records
     }
 
-    /// Removes everything after the host was fenced. Returns the prefixes that endpoints may cache for
-    /// programs with open calls.
+    /// Removes all trees after the host was fenced. Returns the prefixes that endpoints may cache for
+    /// trees with open calls.
     pub fn clear(&mut self) -> Vec<CachedPrefix> {
         let cached_prefixes = self
             .open
@@ -317,7 +325,7 @@
         cached_prefixes
     }
 
-    /// Returns snapshot records of trees, which replace all earlier records of these trees.
+    /// Creates snapshots of trees, which replace all earlier records of these trees.
     pub fn snapshots(&mut self, root_ids: &[ProgramId]) -> Vec<Record> {
         root_ids
             .iter()
@@ -506,7 +514,7 @@
         let unused: Vec<CachedPrefix> = tree
             .cached_prefixes
             .iter()
-            .filter(|prefix| !is_next_endpoint(tree, prefix))
+            .filter(|prefix| !is_prefix_reusable(tree, prefix))
             .cloned()
             .collect();
         for prefix in unused {
@@ -554,7 +562,7 @@
     /// Applies a change that was validated by the caller, and returns its record.
     fn apply_change(&mut self, root_id: &ProgramId, event: Event) -> Record {
         let sequence = self.apply_to_tree(root_id, &event).unwrap_or_else(|error| {
-            // The validation above and `Tree::apply` disagree, which no input can cause.
+            // Only a bug can cause this: the caller's validation and `Tree::apply` disagree.
             panic!("a validated change does not apply: {error}")
         });
         Record {
--- a/crates/burdockroad/src/program/tree.rs
+++ b/crates/burdockroad/src/program/tree.rs
@@ -78,8 +78,8 @@
         self.intent.call_number
     }
 
-    /// Returns the messages that the call added to the conversation, or none unless it is a completion
-    /// with a response.
+    /// Returns the messages that the call added to the conversation. Returns none for a service call, and
+    /// for a completion without a response.
     fn conversation_messages(&self) -> Option<impl Iterator<Item = &str>> {
         let Some(Outcome::Answered(response)) = &self.outcome else {
             return None;
@@ -229,8 +229,7 @@
 
     /// Returns events that close all running calls after the owner of the tree failed.
     ///
-    /// The whole reservation of such a call is charged, because the engine may have generated all of
-    /// the tokens.
+    /// Each call is charged its whole reservation, because the engine may have generated that many tokens.
     pub fn close_orphans(&self, reason: &str) -> Vec<Event> {
         let calls = self
             .programs
@@ -356,7 +355,7 @@
         }
     }
 
-    /// Returns the call that was sent and has not ended.
+    /// Returns the running call, which was sent and has not ended, or none if no call is running.
     pub fn running(&self) -> Option<&Call> {
         self.calls.last().filter(|call| call.outcome.is_none())
     }
@@ -375,7 +374,8 @@
             .flatten()
     }
 
-    /// Returns the endpoint that served the last completion and may still cache the program's prefix.
+    /// Returns the endpoint of the last call that asked the engine to keep the program's prefix. The
+    /// endpoint may still have the prefix in its KV cache.
     pub fn prefix_endpoint_id(&self) -> Option<&EndpointId> {
         let completions = self.calls.iter().rev().filter(|call| call.intent.keeps_prefix);
         completions.map(|call| &call.intent.endpoint_id).next()
--- a/crates/burdockroad/tests/program_rules.rs
+++ b/crates/burdockroad/tests/program_rules.rs
@@ -48,14 +48,14 @@
     programs
 }
 
-fn call(program_id: &str, number: u32, text: u8, idempotent: bool) -> CallRequest {
+fn call(program_id: &str, number: u32, digest_byte: u8, idempotent: bool) -> CallRequest {
     let kind = if idempotent {
         CallKind::Completion
     } else {
         CallKind::Service
     };
     let messages = if idempotent {
-        vec![format!("\"{program_id} {number} {text}\"")]
+        vec![format!("\"{program_id} {number} {digest_byte}\"")]
     } else {
         Vec::new()
     };
@@ -63,7 +63,7 @@
         account_id: ACCOUNT.to_owned(),
         program_id: program_id.to_owned(),
         number,
-        digest: [text; 32],
+        digest: [digest_byte; 32],
         route_id: "planner-llm".to_owned(),
         kind,
         idempotent,
@@ -104,21 +104,22 @@
 enum Step {
     Call {
         child: bool,
-        ahead: u32,
-        text: u8,
+        /// Difference between the call number and that of the last sent call.
+        number_offset: u32,
+        digest_byte: u8,
         idempotent: bool,
         endpoint: u8,
         max_tokens: u64,
     },
     Settle {
         child: bool,
-        how: u8,
+        outcome_choice: u8,
         spent_tokens: u64,
     },
     Withdraw {
         child: bool,
     },
-    Move,
+    TakeOver,
     Snapshot,
     End {
         child: bool,
@@ -138,10 +139,10 @@
         1..60_u64,
     )
         .prop_map(
-            |(child, ahead, text, idempotent, endpoint, max_tokens)| Step::Call {
+            |(child, number_offset, digest_byte, idempotent, endpoint, max_tokens)| Step::Call {
                 child,
-                ahead,
-                text,
+                number_offset,
+                digest_byte,
                 idempotent,
                 endpoint,
                 max_tokens,
@@ -150,9 +151,9 @@
     prop_oneof![
         6 => call,
         6 => (any::<bool>(), 0..4_u8, 0..80_u64)
-            .prop_map(|(child, how, spent_tokens)| Step::Settle { child, how, spent_tokens }),
+            .prop_map(|(child, outcome_choice, spent_tokens)| Step::Settle { child, outcome_choice, spent_tokens }),
         1 => any::<bool>().prop_map(|child| Step::Withdraw { child }),
-        1 => Just(Step::Move),
+        1 => Just(Step::TakeOver),
         1 => Just(Step::Snapshot),
         1 => any::<bool>().prop_map(|child| Step::End { child }),
         1 => (0..20_u64).prop_map(|seconds| Step::Wait { seconds }),
@@ -198,26 +199,26 @@
         match *step {
             Step::Call {
                 child,
-                ahead,
-                text,
+                number_offset,
+                digest_byte,
                 idempotent,
                 endpoint,
                 max_tokens,
             } => {
                 let id = name(child);
-                let number = self.observed[id].sent.last().map_or(0, |sent| sent.0) + ahead;
+                let number = self.observed[id].sent.last().map_or(0, |sent| sent.0) + number_offset;
                 self.call(
-                    call(id, number, text, idempotent),
+                    call(id, number, digest_byte, idempotent),
                     placement(endpoint, max_tokens),
                 );
             }
             Step::Settle {
                 child,
-                how,
+                outcome_choice,
                 spent_tokens,
-            } => self.settle(name(child), how, spent_tokens),
+            } => self.settle(name(child), outcome_choice, spent_tokens),
             Step::Withdraw { child } => self.programs.withdraw(&name(child).to_owned()),
-            Step::Move => self.take_over(),
+            Step::TakeOver => self.take_over(),
             Step::Snapshot => self.records.extend(self.programs.snapshots(&[ROOT.to_owned()])),
             Step::End { child } => self.end(name(child)),
             Step::Wait { seconds } => self.wait(seconds),
@@ -226,8 +227,8 @@
 
     fn call(&mut self, request: CallRequest, placement: Placement) {
         let id = request.program_id.clone();
-        let (number, idempotent, text) = (request.number, request.idempotent, request.digest[0]);
-        let Ok(CallDecision::Run(..)) = self.programs.begin(request, self.now) else {
+        let (number, idempotent, digest_byte) = (request.number, request.idempotent, request.digest[0]);
+        let Ok(CallDecision::Run(..)) = self.programs.accept_call(request, self.now) else {
             return;
         };
         let Ok(prepared) = self.programs.send(&id, placement, self.now) else {
@@ -241,10 +242,10 @@
         self.sent_calls += 1;
         let observed = self.observed.get_mut(&id).expect("one of the two programs");
         check_order(observed, number, idempotent);
-        observed.sent.push((number, idempotent, text));
+        observed.sent.push((number, idempotent, digest_byte));
     }
 
-    fn settle(&mut self, id: &str, how: u8, spent_tokens: u64) {
+    fn settle(&mut self, id: &str, outcome_choice: u8, spent_tokens: u64) {
         let tree = self.programs.trees().next();
         let Some(running) = tree.and_then(|tree| tree.programs[id].running()) else {
             return;
@@ -255,7 +256,7 @@
             running.intent.idempotent,
         );
         let spent_tokens = spent_tokens.min(reserved_tokens);
-        let outcome = match how {
+        let outcome = match outcome_choice {
             0 | 1 => response(id, number),
             2 => Outcome::NotRun,
             _ if idempotent => Outcome::Failed {
@@ -399,7 +400,7 @@
 }
 
 #[test]
-fn begin_refusals() {
+fn accept_call_refusals() {
     let mut records = Vec::new();
     let mut programs = table_with(&mut records);
     let foreign = CallRequest {
@@ -413,24 +414,24 @@
         (call(ROOT, 0, 0, true), Refusal::WrongNumber { expected: 1 }),
     ];
     for (request, expected) in cases {
-        assert_eq!(programs.begin(request, start()), Err(expected));
+        assert_eq!(programs.accept_call(request, start()), Err(expected));
     }
 }
 
 #[test]
-fn begin_retries() {
+fn accept_call_retries() {
     let mut records = Vec::new();
     let mut programs = table_with(&mut records);
     let root = ROOT.to_owned();
     programs
-        .begin(call(ROOT, 1, 7, true), start())
+        .accept_call(call(ROOT, 1, 7, true), start())
         .expect("the first call");
     assert_eq!(
-        programs.begin(call(ROOT, 1, 7, true), start()),
+        programs.accept_call(call(ROOT, 1, 7, true), start()),
         Ok(CallDecision::Attach)
     );
     assert_eq!(
-        programs.begin(call(ROOT, 1, 8, true), start()),
+        programs.accept_call(call(ROOT, 1, 8, true), start()),
         Err(Refusal::DifferentRequest)
     );
     programs
@@ -439,26 +440,26 @@
     programs
         .settle(&root, response(ROOT, 1), 4)
         .expect("an open call");
-    let repeated = programs.begin(call(ROOT, 1, 7, true), start());
+    let repeated = programs.accept_call(call(ROOT, 1, 7, true), start());
     assert!(matches!(repeated, Ok(CallDecision::Answered(_))), "{repeated:?}");
     assert_eq!(
-        programs.begin(call(ROOT, 1, 8, true), start()),
+        programs.accept_call(call(ROOT, 1, 8, true), start()),
         Err(Refusal::DifferentRequest)
     );
 }
 
 #[test]
-fn begin_over_budget() {
+fn accept_call_over_budget() {
     let mut records = Vec::new();
     let mut programs = table_with(&mut records);
     let root = ROOT.to_owned();
     programs
-        .begin(call(ROOT, 1, 0, true), start())
+        .accept_call(call(ROOT, 1, 0, true), start())
         .expect("the first call");
     programs
         .send(&root, placement(0, 500), start())
         .expect("limited to the remaining budget");
-    let sibling = programs.begin(call(CHILD, 1, 0, true), start());
+    let sibling = programs.accept_call(call(CHILD, 1, 0, true), start());
     let expected = Refusal::OverBudget {
         shortage: Shortage::Tokens,
         retry_after: Some(Duration::from_secs(1)),
@@ -466,7 +467,7 @@
     assert_eq!(
         sibling,
         Err(expected),
-        "the reservation of its parent leaves a sub-agent no tokens"
+        "the parent's call has reserved all remaining tokens"
     );
     programs
         .settle(&root, response(ROOT, 1), 100)
@@ -475,11 +476,11 @@
         shortage: Shortage::Tokens,
         retry_after: None,
     };
-    assert_eq!(programs.begin(call(CHILD, 1, 0, true), start()), Err(spent));
+    assert_eq!(programs.accept_call(call(CHILD, 1, 0, true), start()), Err(spent));
 }
 
 #[test]
-fn begin_history_full() {
+fn accept_call_history_full() {
     let options = ProgramsOptions {
         history_max_bytes: 40,
         ..ProgramsOptions::default()
@@ -493,7 +494,7 @@
     };
     programs.create(root, start()).expect("a new root");
     programs
-        .begin(call(ROOT, 1, 0, true), start())
+        .accept_call(call(ROOT, 1, 0, true), start())
         .expect("an empty history");
     programs
         .send(&ROOT.to_owned(), placement(0, 1), start())
@@ -501,17 +502,17 @@
     programs
         .settle(&ROOT.to_owned(), response(ROOT, 1), 1)
         .expect("an open call");
-    let refused = programs.begin(call(ROOT, 2, 0, true), start());
+    let refused = programs.accept_call(call(ROOT, 2, 0, true), start());
     assert_eq!(refused, Err(Refusal::HistoryFull { max_bytes: 40 }));
 }
 
 #[test]
-fn adopt_closes_calls_whose_end_nobody_saw() {
+fn adopt_closes_running_calls() {
     let mut records = Vec::new();
     let mut programs = table_with(&mut records);
     for (id, idempotent) in [(ROOT, false), (CHILD, true)] {
         programs
-            .begin(call(id, 1, 0, idempotent), start())
+            .accept_call(call(id, 1, 0, idempotent), start())
             .expect("the first call");
         let prepared = programs
             .send(&id.to_owned(), placement(0, 10), start())
@@ -520,22 +521,22 @@
     }
     let mut successor = Programs::new(ProgramsOptions::default());
     successor.adopt(replay(&records).into_values().collect(), start());
-    let repeated = successor.begin(call(ROOT, 1, 0, false), start());
+    let repeated = successor.accept_call(call(ROOT, 1, 0, false), start());
     assert!(
         matches!(repeated, Err(Refusal::OutcomeUnknown { .. })),
         "{repeated:?}"
     );
-    let retried = successor.begin(call(CHILD, 1, 0, true), start());
+    let retried = successor.accept_call(call(CHILD, 1, 0, true), start());
     assert!(matches!(retried, Ok(CallDecision::Run(..))), "{retried:?}");
 }
 
 #[test]
-fn tick_frees_memory_of_ended_programs() {
+fn tick_releases_prefixes_of_ended_programs() {
     let mut records = Vec::new();
     let mut programs = table_with(&mut records);
     let root = ROOT.to_owned();
     programs
-        .begin(call(ROOT, 1, 0, true), start())
+        .accept_call(call(ROOT, 1, 0, true), start())
         .expect("the first call");
     programs
         .send(&root, placement(0, 10), start())
