--- a/crates/burdockroad/src/config/document.rs
+++ b/crates/burdockroad/src/config/document.rs
@@ -144,7 +144,7 @@
     /// Site of the endpoints.
     #[schemars(regex(pattern = NAME_PATTERN))]
     pub site: SiteId,
-    /// How the endpoints handle an order with an outdated fencing number.
+    /// How the endpoints handle an order, such as one to load a model, with an outdated fencing number.
     #[serde(default)]
     pub fencing: Fencing,
     /// Endpoints of the set.
@@ -152,7 +152,7 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-/// How endpoints handle an order with an outdated fencing number.
+/// How endpoints handle an order, such as one to load a model, with an outdated fencing number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
--- a/crates/burdockroad/src/config/finding.rs
+++ b/crates/burdockroad/src/config/finding.rs
@@ -59,8 +59,8 @@
         .map(|(_, name)| name.to_owned())
 }
 
-/// Returns whether a known name starts with the given one, provided that the given one is not too
-/// short.
+/// Returns whether a known name starts with the given one, which must have at least
+/// [`PREFIX_BYTES_MIN`] bytes.
 fn extends_given(name: &str, given: &[char]) -> bool {
     let given: String = given.iter().collect();
     given.len() >= PREFIX_BYTES_MIN && name.starts_with(&given)
--- a/crates/burdockroad/src/config/freshness.rs
+++ b/crates/burdockroad/src/config/freshness.rs
@@ -24,7 +24,7 @@
     Fresh,
     /// No host can confirm the document, so it cannot have been changed.
     OutageForAll,
-    /// The document may have been changed without this host having received the change.
+    /// The document may have been changed, and this host may not have received the change.
     CutOff,
 }
 
@@ -33,7 +33,7 @@
 pub struct FreshnessLimits {
     /// Maximum age of a confirmation.
     pub confirmation_max_age: Duration,
-    /// Maximum age of a response from a peer for which the peer counts as live.
+    /// Age of the newest response of a peer up to which the peer counts as live.
     pub peer_response_max_age: Duration,
 }
 
@@ -141,7 +141,7 @@
         self.peers.insert(host_id.clone(), statement);
     }
 
-    /// Sets the entry hosts listed by the platform.
+    /// Sets the hosts listed by the platform. Responses of peers that are not listed are discarded.
     pub fn observe_list(&mut self, host_ids: impl IntoIterator<Item = HostId>) {
         let listed_hosts: BTreeSet<HostId> = host_ids.into_iter().collect();
         self.peers.retain(|host_id, _| listed_hosts.contains(host_id));
@@ -197,8 +197,8 @@
 
     /// Returns whether a majority of the listed hosts is live. The host itself always counts as live.
     ///
-    /// A list without this host is outdated or wrong, so no majority can be derived from it. With an
-    /// empty list, a partitioned host would be the only host of its fleet.
+    /// A list without this host is outdated or wrong, so no majority can be derived from it. If an empty
+    /// list were accepted, a partitioned host would count as a majority by itself.
     fn majority_live(&self, now: Instant) -> bool {
         let Some(listed_hosts) = &self.listed_hosts else {
             return false;
@@ -216,8 +216,8 @@
         is_within(requested_at, now, self.limits.peer_response_max_age)
     }
 
-    /// Returns whether any peer can confirm any version, in which case the store is not down for all
-    /// hosts.
+    /// Returns whether a peer reported a confirmation of any version within the limit. The store is then
+    /// not down for all hosts.
     fn any_peer_confirms(&self, now: Instant) -> bool {
         let max_age = self.limits.confirmation_max_age;
         let mut statements = self.peers.values();
@@ -226,8 +226,9 @@
 }
 
 impl PeerStatement {
-    /// Returns the time at which the peer attests that `version` was the newest. A response with a
-    /// lower version is outdated, and one with a higher version does not confirm this one.
+    /// Returns the time at which `version` was the newest one, as attested by the peer. Returns none if the
+    /// peer has a different version in force: a lower version is outdated, and a higher one does not
+    /// confirm `version`.
     fn attestation_for(&self, version: DocumentVersion) -> Option<Instant> {
         self.confirmed_at.filter(|_| self.version == version)
     }
--- a/crates/burdockroad/src/config/names.rs
+++ b/crates/burdockroad/src/config/names.rs
@@ -33,7 +33,7 @@
         Some(name)
     }
 
-    /// Adds a text that must be unique among its kind.
+    /// Adds a text, and reports it if it is already defined.
     pub(super) fn add(&mut self, reader: &mut Reader<'_>, node: &Node<'_>, text: &str) {
         let line = reader.line(node.location());
         let Some(first) = self.lines.get(text) else {
--- a/crates/burdockroad/src/config/reader.rs
+++ b/crates/burdockroad/src/config/reader.rs
@@ -373,7 +373,7 @@
         node
     }
 
-    /// Reports all fields that have not been read.
+    /// Reports all fields that were not requested by name and are therefore unknown.
     pub fn close(self, reader: &mut Reader<'_>) {
         for property in &self.properties {
             let name = property.name.as_str();
--- a/crates/burdockroad/tests/config.rs
+++ b/crates/burdockroad/tests/config.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn versioned_document_refuses() {
+fn from_bytes_invalid() {
     let cases = [
         "",
         "[]",
--- a/crates/burdockroad/tests/freshness.rs
+++ b/crates/burdockroad/tests/freshness.rs
@@ -30,10 +30,11 @@
     },
 }
 
-/// Hosts, and a store whose newest version at each time is recorded.
+/// Simulated hosts and store.
 struct Fleet {
     now: Instant,
     hosts: Vec<FreshnessTracker>,
+    /// Times at which the store got a new version.
     writes: Vec<Instant>,
     responses: Vec<Response>,
 }
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn decide_links_cut() {
+fn decide_network_partitions() {
     use Freshness::{CutOff, Fresh, OutageForAll};
     let cases = [
         // A single host continues without the store.
@@ -267,7 +268,7 @@
 }
 
 #[test]
-fn confirm_old_answer() {
+fn confirm_late_response() {
     let now = Instant::now() + Duration::from_secs(1_000);
     let mut host = FreshnessTracker::new(name(0), FreshnessLimits::default());
     host.observe_list((0..2).map(name));
