--- a/crates/burdockroad/src/ownership/map.rs
+++ b/crates/burdockroad/src/ownership/map.rs
@@ -15,7 +15,7 @@
 pub struct Process {
     /// The host.
     pub host_id: HostId,
-    /// Number of the run.
+    /// Number that distinguishes this run from other runs on the host.
     pub incarnation: Incarnation,
 }
 
@@ -45,8 +45,8 @@
 pub struct OwnershipMap {
     /// Version number; each change increments it by 1.
     pub version: u64,
-    /// Random number of the change that created this version, by which the writer of the change
-    /// recognizes it.
+    /// Random number of the change that created this version. The writer of the change recognizes its own
+    /// version by this number.
     pub change_id: u64,
     /// Owners, indexed by partition number.
     pub owners: Vec<Owner>,
--- a/crates/burdockroad/src/ownership/plan.rs
+++ b/crates/burdockroad/src/ownership/plan.rs
@@ -50,7 +50,7 @@
 /// Returns the smallest set of moves after which each candidate owns its share and no failure domain
 /// owns more than necessary.
 ///
-/// Partitions of processes that are not candidates are not moved, because they are taken over instead.
+/// Partitions of processes that are not candidates are not moved: a successor takes them over instead.
 pub fn rebalance(map: &OwnershipMap, candidates: &[Candidate]) -> Vec<Move> {
     let mut table = candidate_shares(candidates, map);
     let total = table.iter().map(|row| row.partitions.len()).sum();
@@ -117,9 +117,9 @@
     }
 }
 
-/// Returns the candidate whose share is rounded up next. Prefers candidates that already own more than
-/// their share, because nothing has to be moved then, and after that those in the failure domain with
-/// the smallest share.
+/// Returns the candidate whose share is rounded up next. Candidates that already own more than their
+/// share come first, because they can keep a partition that would otherwise be moved. The others are
+/// ordered by the total share of their failure domain, smallest first.
 fn next_to_round_up(table: &[CandidateShare<'_>], rounded_up: &[bool]) -> Option<usize> {
     let domains = domain_shares(table);
     (0..table.len())
--- a/crates/burdockroad/src/ownership/rank.rs
+++ b/crates/burdockroad/src/ownership/rank.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing, which gives all hosts the same order of hosts without communication.
+//! Rendezvous hashing. All hosts compute the same order of hosts without communication.
 
 use std::cmp::Reverse;
 
