--- a/crates/burdockroad/src/config/names.rs
+++ b/crates/burdockroad/src/config/names.rs
@@ -8,6 +8,7 @@
 #[derive(Debug)]
 pub(super) struct NameTable {
     kind: &'static str,
+    /// Line of the first definition of each name.
     lines: HashMap<String, usize>,
 }
 
--- a/crates/burdockroad/src/config/reader.rs
+++ b/crates/burdockroad/src/config/reader.rs
@@ -50,6 +50,7 @@
 pub struct Fields<'v> {
     location: Location,
     properties: Vec<&'v ObjectProp<'v>>,
+    /// Names of the fields that were requested.
     known: Vec<&'static str>,
 }
 
--- a/crates/burdockroad/src/journal/writer.rs
+++ b/crates/burdockroad/src/journal/writer.rs
@@ -22,7 +22,7 @@
     pacer::Pacer,
     queue::{Group, Queue, QueuedRecord, Role},
     removal::Removal,
-    tail::{DueBatch, Tail},
+    tail::{DueBatch, TailReplicator},
     waiters::{Progress, Waiters},
 };
 use crate::{
@@ -55,7 +55,7 @@
     queue: Queue,
     waiters: Waiters,
     pacer: Pacer,
-    tail: Tail,
+    tail: TailReplicator,
     store: StoreState,
     removal: Removal,
     completions: Vec<Action>,
@@ -121,7 +121,7 @@
                 options.window_max,
                 now,
             ),
-            tail: Tail::new(options.owner.clone(), options.failure_domain.clone()),
+            tail: TailReplicator::new(options.owner.clone(), options.failure_domain.clone()),
             store: StoreState::new(),
             removal: Removal::new(options.segments_max, options.stored_max_bytes),
             completions: Vec::new(),
--- a/crates/burdockroad/src/journal/writer/tail.rs
+++ b/crates/burdockroad/src/journal/writer/tail.rs
@@ -21,9 +21,9 @@
 /// Delay before failed copies are sent again.
 const COPY_RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
-/// The tail peer, and the peer that replaces it next.
+/// Replicates records to the tail peer, and decides when another peer becomes the tail peer.
 #[derive(Clone, Debug)]
-pub(super) struct Tail {
+pub(super) struct TailReplicator {
     owner: Process,
     failure_domain: String,
     peers: Vec<Peer>,
@@ -68,7 +68,7 @@
     pub(super) position: Position,
 }
 
-impl Tail {
+impl TailReplicator {
     pub(super) fn new(owner: Process, failure_domain: String) -> Self {
         Self {
             owner,
--- a/crates/burdockroad/src/membership.rs
+++ b/crates/burdockroad/src/membership.rs
@@ -1,6 +1,6 @@
 //! Failure detection: the hosts that are live, as seen by one host.
 //!
-//! A [`Table`] processes heartbeats and the host list of the platform, which may be outdated. It
+//! A [`Table`] processes heartbeats and the platform's host list. The list may be outdated. The table
 //! determines which processes can be taken over, and until when this process may act as an owner.
 //! Clocks only decide when a takeover is attempted. The journals and the ownership map ensure that it is
 //! correct.
--- a/crates/burdockroad/src/program/checks.rs
+++ b/crates/burdockroad/src/program/checks.rs
@@ -36,6 +36,7 @@
     request: &CallRequest,
 ) -> Result<CallDecision, Refusal> {
     let Some(call) = call else {
+        // Every earlier number from 1 on has a call, so the number is 0.
         return Err(Refusal::WrongNumber { expected: 1 });
     };
     if call.intent.digest != request.digest {
--- a/crates/burdockroad/src/program/table.rs
+++ b/crates/burdockroad/src/program/table.rs
@@ -104,7 +104,7 @@
         Ok(self.apply_change(&root_id, event))
     }
 
-    /// Returns whether the table contains a program of any account.
+    /// Returns whether the table contains a program, regardless of its account.
     pub fn contains(&self, program_id: &ProgramId) -> bool {
         self.roots.contains_key(program_id)
     }
@@ -469,7 +469,8 @@
         let Some(ended_at) = tree.ended_at() else {
             return self.end_subtree(&root_id.clone(), root_id, TIME_LIMIT, now);
         };
-        // A tree that ended before its time limit becomes due a second time at that limit.
+        // A tree that ended early is still scheduled for its time limit, which may come before the end of
+        // its retention period.
         if ended_at + self.options.retention > now {
             return Vec::new();
         }
--- a/crates/burdockroad/src/program/tree.rs
+++ b/crates/burdockroad/src/program/tree.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// Resource usage of a program, the input of fair scheduling.
+/// Resource usage of a program, used for fair scheduling.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Tokens that engines generated for the whole tree.
--- a/crates/burdockroad/tests/journal_interleavings.rs
+++ b/crates/burdockroad/tests/journal_interleavings.rs
@@ -19,11 +19,11 @@
 fn journal_survives_interleavings() {
     // `FIRST_SEED` selects another range of seeds for manual runs. CI always uses the same range.
     let first = std::env::var("FIRST_SEED").map_or(0, |text| text.parse().expect("a number"));
-    let mut confirmed = world::Counts::default();
+    let mut totals = world::Counts::default();
     for seed in REGRESSION_SEEDS.into_iter().chain(first..first + SEEDS) {
         let outcome = std::panic::catch_unwind(|| World::new(seed).run());
         match outcome {
-            Ok(counts) => confirmed.add(counts),
+            Ok(counts) => totals.add(counts),
             Err(cause) => {
                 eprintln!("seed {seed} fails");
                 std::panic::resume_unwind(cause);
@@ -31,9 +31,9 @@
         }
     }
     // The interleavings are useful only if they confirm records of each durability often.
-    println!("{confirmed:?}");
-    assert!(confirmed.stored > SEEDS, "{confirmed:?}");
-    assert!(confirmed.replicated > SEEDS, "{confirmed:?}");
-    assert!(confirmed.tails_sealed > SEEDS / 10, "{confirmed:?}");
-    assert!(confirmed.from_copies > SEEDS / 10, "{confirmed:?}");
+    println!("{totals:?}");
+    assert!(totals.stored > SEEDS, "{totals:?}");
+    assert!(totals.replicated > SEEDS, "{totals:?}");
+    assert!(totals.complete_recoveries > SEEDS / 10, "{totals:?}");
+    assert!(totals.from_copies > SEEDS / 10, "{totals:?}");
 }
--- a/crates/burdockroad/tests/journal_interleavings/world.rs
+++ b/crates/burdockroad/tests/journal_interleavings/world.rs
@@ -22,10 +22,10 @@
 const STEPS_BEFORE_SEAL: usize = 120;
 
 /// Maximum number of steps between two actions of the successor.
-const STEPS_BETWEEN: usize = 12;
+const STEPS_BETWEEN_ACTIONS: usize = 12;
 
 /// Maximum number of steps after the journal was removed.
-const STEPS_AFTER: usize = 60;
+const STEPS_AFTER_REMOVAL: usize = 60;
 
 /// Interval of positions at which a record can be read without earlier records.
 const BASE_INTERVAL: u64 = 5;
@@ -37,8 +37,8 @@
     pub(crate) stored: u64,
     /// Records confirmed as replicated.
     pub(crate) replicated: u64,
-    /// Runs in which the successor read the tail peer named by the last segment.
-    pub(crate) tails_sealed: u64,
+    /// Runs in which the successor could read the tail peer named by the last segment, or none was named.
+    pub(crate) complete_recoveries: u64,
     /// Records recovered from copies.
     pub(crate) from_copies: u64,
 }
@@ -47,7 +47,7 @@
     pub(crate) fn add(&mut self, other: Self) {
         self.stored += other.stored;
         self.replicated += other.replicated;
-        self.tails_sealed += other.tails_sealed;
+        self.complete_recoveries += other.complete_recoveries;
         self.from_copies += other.from_copies;
     }
 }
@@ -110,7 +110,7 @@
     tail_count: usize,
     /// Position of the last record that the segments contain completely, or that was removed before.
     stored_end: u64,
-    /// Whether the tail peer named by the last segment was read.
+    /// Whether the tail peer named by the last segment was read, or none was named.
     complete: bool,
 }
 
@@ -121,14 +121,15 @@
     fn agrees_with(&self, other: &Self) -> bool {
         let start = |recovery: &Self| recovery.records.first().map_or(0, |record| record.sequence);
         let from = start(self).max(start(other));
-        let of = |recovery: &Self| -> Vec<Record> {
+        let records_since = |recovery: &Self| -> Vec<Record> {
             let records = recovery.records.iter();
             records
                 .filter(|record| record.sequence >= from)
                 .cloned()
                 .collect()
         };
-        of(self).starts_with(&of(other)) || of(other).starts_with(&of(self))
+        records_since(self).starts_with(&records_since(other))
+            || records_since(other).starts_with(&records_since(self))
     }
 }
 
@@ -192,7 +193,7 @@
         }
         let first = self.recover(seal);
         self.check(&first);
-        self.steps(STEPS_BETWEEN);
+        self.steps(STEPS_BETWEEN_ACTIONS);
         // The successor is replaced as well: another successor seals the journal again and reads it.
         let second_seal = self.seal();
         assert_eq!(second_seal, seal, "a sealed journal got a second seal");
@@ -203,7 +204,7 @@
             "two successors read different records"
         );
         self.remove(seal);
-        self.steps(STEPS_AFTER);
+        self.steps(STEPS_AFTER_REMOVAL);
         self.deliver_all();
         // Only a write that was given up before the journal was open may still take effect.
         let opened = self.opened.unwrap_or(SegmentNumber::MAX);
@@ -214,7 +215,7 @@
         self.check(&second);
         self.counts.stored = self.stored;
         self.counts.replicated = self.replicated;
-        self.counts.tails_sealed = u64::from(first.complete);
+        self.counts.complete_recoveries = u64::from(first.complete);
         self.counts.from_copies = first.tail_count as u64;
         self.counts
     }
@@ -480,13 +481,13 @@
         loop {
             let newest = self.store.iter().next_back();
             let Some((&newest, value)) = newest else {
-                self.steps(STEPS_BETWEEN);
+                self.steps(STEPS_BETWEEN_ACTIONS);
                 continue;
             };
             if matches!(StoredSegment::decode(value).unwrap(), StoredSegment::Seal(_)) {
                 return newest;
             }
-            self.steps(STEPS_BETWEEN);
+            self.steps(STEPS_BETWEEN_ACTIONS);
             let seal = StoredSegment::Seal(Seal {
                 successor: process("p", 9),
             });
@@ -500,14 +501,14 @@
         let mut copies = Vec::new();
         let mut read_peers = Vec::new();
         for index in 0..self.peers.len() {
-            self.steps(STEPS_BETWEEN);
+            self.steps(STEPS_BETWEEN_ACTIONS);
             let peer = &mut self.peers[index];
             if peer.up {
                 copies.push(peer.table.seal(&self.owner, self.now));
                 read_peers.push(peer.process.clone());
             }
         }
-        self.steps(STEPS_BETWEEN);
+        self.steps(STEPS_BETWEEN_ACTIONS);
         self.read(seal, &copies, &read_peers)
     }
 
@@ -566,9 +567,9 @@
 
     /// Removes the journal in the order that a successor uses, with the seal last.
     fn remove(&mut self, seal: SegmentNumber) {
-        self.steps(STEPS_BETWEEN);
+        self.steps(STEPS_BETWEEN_ACTIONS);
         self.store.retain(|&number, _| number >= seal);
-        self.steps(STEPS_BETWEEN);
+        self.steps(STEPS_BETWEEN_ACTIONS);
         self.store.remove(&seal);
     }
 }
--- a/crates/burdockroad/tests/program_rules.rs
+++ b/crates/burdockroad/tests/program_rules.rs
@@ -205,7 +205,7 @@
                 endpoint,
                 max_tokens,
             } => {
-                let id = name(child);
+                let id = id_of(child);
                 let number = self.observed[id].sent.last().map_or(0, |sent| sent.0) + number_offset;
                 self.call(
                     call(id, number, digest_byte, idempotent),
@@ -216,11 +216,11 @@
                 child,
                 outcome_choice,
                 spent_tokens,
-            } => self.settle(name(child), outcome_choice, spent_tokens),
-            Step::Withdraw { child } => self.programs.withdraw(&name(child).to_owned()),
+            } => self.settle(id_of(child), outcome_choice, spent_tokens),
+            Step::Withdraw { child } => self.programs.withdraw(&id_of(child).to_owned()),
             Step::TakeOver => self.take_over(),
             Step::Snapshot => self.records.extend(self.programs.snapshots(&[ROOT.to_owned()])),
-            Step::End { child } => self.end(name(child)),
+            Step::End { child } => self.end(id_of(child)),
             Step::Wait { seconds } => self.wait(seconds),
         }
     }
@@ -346,7 +346,7 @@
     }
 }
 
-fn name(child: bool) -> &'static str {
+fn id_of(child: bool) -> &'static str {
     if child { CHILD } else { ROOT }
 }
 
