--- a/crates/burdockroad/tests/journal_interleavings/world.rs
+++ b/crates/burdockroad/tests/journal_interleavings/world.rs
@@ -22,20 +22,24 @@
 const STEPS_BEFORE_SEAL: usize = 120;
 
 /// Maximum number of steps between two actions of the successor.
-const STEPS_BETWEEN: usize = 12;
+const STEPS_BETWEEN_ACTIONS: usize = 12;
 
 /// Maximum number of steps after the journal was removed.
-const STEPS_AFTER: usize = 60;
+const STEPS_AFTER_REMOVAL: usize = 60;
 
 /// Interval of positions at which a record can be read without earlier records.
 const BASE_INTERVAL: u64 = 5;
 
-/// Numbers of records confirmed in all runs.
+/// Totals of one or more runs.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
+    /// Records confirmed as stored.
     pub(crate) stored: u64,
+    /// Records confirmed as replicated.
     pub(crate) replicated: u64,
-    pub(crate) tails_sealed: u64,
+    /// Runs in which the successor could read the tail peer named by the last segment, or none was named.
+    pub(crate) complete_recoveries: u64,
+    /// Records recovered from copies.
     pub(crate) from_copies: u64,
 }
 
@@ -43,13 +47,13 @@
     pub(crate) fn add(&mut self, other: Self) {
         self.stored += other.stored;
         self.replicated += other.replicated;
-        self.tails_sealed += other.tails_sealed;
+        self.complete_recoveries += other.complete_recoveries;
         self.from_copies += other.from_copies;
     }
 }
 
-/// A message in transit. `replied` is set if the writer has already received a reply to it, so that only
-/// its effect remains.
+/// A message in transit. If `replied` is set, the writer has already received a reply, and the message
+/// can only change the state of its receiver.
 #[derive(Clone, Debug)]
 enum Message {
     Write {
@@ -82,7 +86,7 @@
     rng: ChaCha8Rng,
     now: Instant,
     writer: Writer,
-    me: Process,
+    owner: Process,
     store: BTreeMap<SegmentNumber, Vec<u8>>,
     store_down: bool,
     messages: Vec<Message>,
@@ -106,7 +110,7 @@
     tail_count: usize,
     /// Position of the last record that the segments contain completely, or that was removed before.
     stored_end: u64,
-    /// Whether the tail peer named by the last segment was read.
+    /// Whether the tail peer named by the last segment was read, or none was named.
     complete: bool,
 }
 
@@ -117,14 +121,15 @@
     fn agrees_with(&self, other: &Self) -> bool {
         let start = |recovery: &Self| recovery.records.first().map_or(0, |record| record.sequence);
         let from = start(self).max(start(other));
-        let of = |recovery: &Self| -> Vec<Record> {
+        let records_since = |recovery: &Self| -> Vec<Record> {
             let records = recovery.records.iter();
             records
                 .filter(|record| record.sequence >= from)
                 .cloned()
                 .collect()
         };
-        of(self).starts_with(&of(other)) || of(other).starts_with(&of(self))
+        records_since(self).starts_with(&records_since(other))
+            || records_since(other).starts_with(&records_since(self))
     }
 }
 
@@ -132,9 +137,9 @@
     pub(crate) fn new(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let now = Instant::now();
-        let me = process("w", 1);
+        let owner = process("w", 1);
         let options = WriterOptions {
-            me: me.clone(),
+            owner: owner.clone(),
             failure_domain: "x".to_owned(),
             writer_id: rng.random(),
             // Small, so that groups and records often span several segments.
@@ -155,7 +160,7 @@
         });
         Self {
             writer: Writer::new(options, now),
-            me,
+            owner,
             now,
             store: BTreeMap::new(),
             store_down: false,
@@ -188,7 +193,7 @@
         }
         let first = self.recover(seal);
         self.check(&first);
-        self.steps(STEPS_BETWEEN);
+        self.steps(STEPS_BETWEEN_ACTIONS);
         // The successor is replaced as well: another successor seals the journal again and reads it.
         let second_seal = self.seal();
         assert_eq!(second_seal, seal, "a sealed journal got a second seal");
@@ -199,7 +204,7 @@
             "two successors read different records"
         );
         self.remove(seal);
-        self.steps(STEPS_AFTER);
+        self.steps(STEPS_AFTER_REMOVAL);
         self.deliver_all();
         // Only a write that was given up before the journal was open may still take effect.
         let opened = self.opened.unwrap_or(SegmentNumber::MAX);
@@ -210,7 +215,7 @@
         self.check(&second);
         self.counts.stored = self.stored;
         self.counts.replicated = self.replicated;
-        self.counts.tails_sealed = u64::from(first.complete);
+        self.counts.complete_recoveries = u64::from(first.complete);
         self.counts.from_copies = first.tail_count as u64;
         self.counts
     }
@@ -342,7 +347,7 @@
                     _ if self.store_down => ReadReply::Unavailable {
                         retry_after: Duration::from_millis(50),
                     },
-                    Some(value) => ReadReply::Held(value.clone()),
+                    Some(value) => ReadReply::Found(value.clone()),
                     None => ReadReply::Absent,
                 };
                 self.writer.read_back(reply, self.now);
@@ -403,7 +408,7 @@
 
     fn create(&mut self, segment: SegmentNumber, value: &[u8]) -> WriteReply {
         if let Some(value) = self.store.get(&segment) {
-            return WriteReply::Held(value.clone());
+            return WriteReply::Exists(value.clone());
         }
         if segment > 1 && !self.store.contains_key(&(segment - 1)) {
             return WriteReply::Removed;
@@ -427,7 +432,7 @@
         let session = copies.session;
         let peer = self.peers.iter_mut().find(|peer| peer.process == to && peer.up);
         let reply = match peer {
-            Some(peer) => peer.table.append_batch(&self.me, copies.clone()),
+            Some(peer) => peer.table.append_batch(&self.owner, copies.clone()),
             None => TailReply::Failed,
         };
         if self.rng.random_ratio(1, 10) {
@@ -476,13 +481,13 @@
         loop {
             let newest = self.store.iter().next_back();
             let Some((&newest, value)) = newest else {
-                self.steps(STEPS_BETWEEN);
+                self.steps(STEPS_BETWEEN_ACTIONS);
                 continue;
             };
             if matches!(StoredSegment::decode(value).unwrap(), StoredSegment::Seal(_)) {
                 return newest;
             }
-            self.steps(STEPS_BETWEEN);
+            self.steps(STEPS_BETWEEN_ACTIONS);
             let seal = StoredSegment::Seal(Seal {
                 successor: process("p", 9),
             });
@@ -496,14 +501,14 @@
         let mut copies = Vec::new();
         let mut read_peers = Vec::new();
         for index in 0..self.peers.len() {
-            self.steps(STEPS_BETWEEN);
+            self.steps(STEPS_BETWEEN_ACTIONS);
             let peer = &mut self.peers[index];
             if peer.up {
-                copies.push(peer.table.seal(&self.me, self.now));
+                copies.push(peer.table.seal(&self.owner, self.now));
                 read_peers.push(peer.process.clone());
             }
         }
-        self.steps(STEPS_BETWEEN);
+        self.steps(STEPS_BETWEEN_ACTIONS);
         self.read(seal, &copies, &read_peers)
     }
 
@@ -562,9 +567,9 @@
 
     /// Removes the journal in the order that a successor uses, with the seal last.
     fn remove(&mut self, seal: SegmentNumber) {
-        self.steps(STEPS_BETWEEN);
+        self.steps(STEPS_BETWEEN_ACTIONS);
         self.store.retain(|&number, _| number >= seal);
-        self.steps(STEPS_BETWEEN);
+        self.steps(STEPS_BETWEEN_ACTIONS);
         self.store.remove(&seal);
     }
 }
