--- a/crates/burdockroad-cli/src/apply.rs
+++ b/crates/burdockroad-cli/src/apply.rs
@@ -1,4 +1,4 @@
-//! Writes the document by compare-and-swap, and finds out what became of it.
+//! Writes the document with compare-and-swap and determines whether the write took effect.
 
 use std::time::Duration;
 
@@ -15,19 +15,19 @@
 
 use crate::error::CliError;
 
-/// Keys of earlier versions; the version follows in 16 digits.
+/// Prefix of the keys of earlier versions. The version follows with 16 digits.
 const HISTORY_PREFIX: &str = "burdockroad/config/history/";
 
-/// Earlier versions that are kept.
+/// Maximum number of versions in the history.
 const HISTORY_MAX: usize = 64;
 
-/// Tries to find out what became of a write whose reply was lost.
-const SETTLE_TRIES: u32 = 12;
+/// Maximum attempts of a write whose response is lost.
+const WRITE_ATTEMPTS_MAX: u32 = 12;
 
-/// Pause between two such tries.
-const SETTLE_PAUSE: Duration = Duration::from_millis(500);
+/// Backoff between two attempts of a write.
+const WRITE_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Text of the document before the first one was applied.
+/// Text of the document before the first one is applied.
 const EMPTY_TEXT: &str = r#"{
   "sites": [],
   "accounts": [],
@@ -36,10 +36,10 @@
 }
 "#;
 
-/// The stored document that a change starts from.
+/// Stored document that a change is based on.
 #[derive(Clone, Debug)]
 pub struct Base {
-    /// The document; version 0 with empty lists before the first one.
+    /// Document with its version; before the first one, version 0 with empty lists.
     pub versioned: VersionedDocument,
     revision: Option<Revision>,
 }
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the store cannot be reached, or holds a document that this tool cannot read.
+    /// Fails if the store cannot be reached, or if this tool cannot parse the stored document.
     pub async fn read(store: &dyn KeyValue) -> Result<Self, CliError> {
         match store.get(DOCUMENT_KEY).await? {
             Some(entry) => Ok(Self {
@@ -57,17 +57,19 @@
                 revision: Some(entry.revision),
             }),
             None => Ok(Self {
-                versioned: version(0, EMPTY_TEXT.to_owned(), "empty document")?,
+                versioned: versioned_document(0, EMPTY_TEXT.to_owned(), "empty document")?,
                 revision: None,
             }),
         }
     }
 
-    /// Fails when this is not the version that the operator started from.
+    /// Checks that this is the version that the operator expects. Without an expected version, any
+    /// version is accepted.
     ///
     /// # Errors
     ///
-    /// [`CliError::Superseded`] with what changed since, when the operator's version is still kept.
+    /// Returns [`CliError::Superseded`] if the versions differ. The error lists the changes since the
+    /// expected version if that version is still in the history.
     pub async fn expect(
         &self,
         store: &dyn KeyValue,
@@ -75,87 +77,87 @@
     ) -> Result<(), CliError> {
         match expected {
             Some(expected) if expected != self.versioned.version => {
-                let started_from = history(store, expected).await.ok().flatten();
-                Err(superseded(expected, started_from.as_ref(), &self.versioned))
+                let base = history(store, expected).await.ok().flatten();
+                Err(superseded(expected, base.as_ref(), &self.versioned))
             }
             _ => Ok(()),
         }
     }
 
-    /// Stores a text as the next version, if nobody changed the document since this was read.
+    /// Stores a text as the next version, unless the document was changed after this base was read.
     ///
     /// # Errors
     ///
-    /// [`CliError::Invalid`], [`CliError::Superseded`] and [`CliError::Unavailable`] when nothing was
-    /// stored; [`CliError::Unknown`] when that could not be found out.
+    /// Returns [`CliError::Invalid`], [`CliError::Superseded`] or [`CliError::Unavailable`] if nothing
+    /// was stored, and [`CliError::Unknown`] if it is not known whether the text was stored.
     pub async fn apply(
         &self,
         store: &dyn KeyValue,
         text: String,
         origin: &str,
     ) -> Result<VersionedDocument, CliError> {
-        let next = version(self.versioned.version + 1, text, origin)?;
-        self.keep(store).await?;
+        let next = versioned_document(self.versioned.version + 1, text, origin)?;
+        self.archive(store).await?;
         self.write(store, &next).await?;
-        // The change stands already; old versions that stay are removed by the next change.
+        // The change is already stored. If trimming fails, the next change removes the old versions.
         let _ = trim_history(store).await;
         Ok(next)
     }
 
-    /// Keeps this version in the history, before it is replaced.
-    async fn keep(&self, store: &dyn KeyValue) -> Result<(), CliError> {
+    /// Writes this version to the history, which happens before it is replaced.
+    async fn archive(&self, store: &dyn KeyValue) -> Result<(), CliError> {
         if self.revision.is_none() {
             return Ok(());
         }
         let key = history_key(self.versioned.version);
         let value = Bytes::from(self.versioned.to_bytes());
         let mut last = None;
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..WRITE_ATTEMPTS_MAX {
             match store.put(&key, value.clone(), Expected::Absent).await {
-                // A conflict means that it is kept already.
+                // A conflict means that the history already contains this version.
                 Ok(_) => return Ok(()),
                 Err(StoreError::Unavailable { reason, .. }) => return Err(CliError::Unavailable(reason)),
                 Err(error) => last = Some(error.to_string()),
             }
-            sleep(SETTLE_PAUSE).await;
+            sleep(WRITE_BACKOFF).await;
         }
         Err(CliError::Unavailable(last.unwrap_or_default()))
     }
 
-    /// Writes the next version, and repeats the write until its outcome is known.
+    /// Writes the next version and repeats the write until its outcome is known.
     ///
-    /// The repetition is harmless: it expects the same revision, so at most one of the writes takes
-    /// effect, and a conflict with the written value itself means that an earlier one did.
+    /// Repeating the write is safe. All attempts expect the same revision, so at most one takes effect.
+    /// A conflict with the written value itself means that an earlier attempt took effect.
     async fn write(&self, store: &dyn KeyValue, next: &VersionedDocument) -> Result<(), CliError> {
         let value = Bytes::from(next.to_bytes());
         let expected = self.revision.map_or(Expected::Absent, Expected::Revision);
-        let mut ambiguous = None;
-        for _ in 0..SETTLE_TRIES {
+        let mut ambiguous_error = None;
+        for _ in 0..WRITE_ATTEMPTS_MAX {
             match store.put(DOCUMENT_KEY, value.clone(), expected).await {
                 Ok(Put::Done(_)) => return Ok(()),
-                Ok(Put::Conflict(held)) => return self.settle(store, next, held, &value).await,
-                Err(StoreError::Unavailable { reason, .. }) if ambiguous.is_none() => {
+                Ok(Put::Conflict(found)) => return self.resolve_conflict(store, next, found, &value).await,
+                Err(StoreError::Unavailable { reason, .. }) if ambiguous_error.is_none() => {
                     return Err(CliError::Unavailable(reason));
                 }
-                Err(error) => ambiguous = Some(error.to_string()),
+                Err(error) => ambiguous_error = Some(error.to_string()),
             }
-            sleep(SETTLE_PAUSE).await;
+            sleep(WRITE_BACKOFF).await;
         }
         Err(CliError::Unknown {
             version: next.version,
-            reason: ambiguous.unwrap_or_default(),
+            reason: ambiguous_error.unwrap_or_default(),
         })
     }
 
-    /// Tells from what the store holds whether the change took effect.
-    async fn settle(
+    /// Determines from the stored entry whether the change took effect.
+    async fn resolve_conflict(
         &self,
         store: &dyn KeyValue,
         next: &VersionedDocument,
-        held: Option<Entry>,
+        found: Option<Entry>,
         value: &Bytes,
     ) -> Result<(), CliError> {
-        let Some(entry) = held else {
+        let Some(entry) = found else {
             return Err(CliError::Failed(
                 "the document was removed from the store".to_owned(),
             ));
@@ -163,20 +165,20 @@
         if entry.value == *value {
             return Ok(());
         }
-        let held = decode(&entry)?;
-        // Whoever replaced this change has kept it in the history first.
-        if held.version > next.version && history(store, next.version).await?.as_ref() == Some(next) {
+        let found = decode(&entry)?;
+        // If another writer has replaced this change, that writer first added it to the history.
+        if found.version > next.version && history(store, next.version).await?.as_ref() == Some(next) {
             return Ok(());
         }
-        Err(superseded(self.versioned.version, Some(&self.versioned), &held))
+        Err(superseded(self.versioned.version, Some(&self.versioned), &found))
     }
 }
 
-/// Returns an earlier version; none when it is not kept.
+/// Returns an earlier version, or none if the history does not contain it.
 ///
 /// # Errors
 ///
-/// Fails when the store cannot be reached, or holds a document that this tool cannot read.
+/// Fails if the store cannot be reached, or if this tool cannot parse the stored document.
 pub async fn history(
     store: &dyn KeyValue,
     version: DocumentVersion,
@@ -185,11 +187,11 @@
     entry.as_ref().map(decode).transpose()
 }
 
-/// Returns the versions that the history keeps, the oldest first.
+/// Returns the versions in the history, oldest first.
 ///
 /// # Errors
 ///
-/// Fails when the store cannot be reached.
+/// Fails if the store cannot be reached.
 pub async fn history_versions(store: &dyn KeyValue) -> Result<Vec<DocumentVersion>, CliError> {
     let entries = store.list(HISTORY_PREFIX, Listing::Keys).await?;
     let names = entries
@@ -200,8 +202,8 @@
 
 async fn trim_history(store: &dyn KeyValue) -> Result<(), CliError> {
     let versions = history_versions(store).await?;
-    let surplus = versions.len().saturating_sub(HISTORY_MAX);
-    for version in &versions[..surplus] {
+    let excess = versions.len().saturating_sub(HISTORY_MAX);
+    for version in &versions[..excess] {
         store.delete(&history_key(*version)).await?;
     }
     Ok(())
@@ -216,7 +218,11 @@
         .map_err(|error| CliError::Failed(format!("{}: {error}", entry.key)))
 }
 
-fn version(version: DocumentVersion, text: String, origin: &str) -> Result<VersionedDocument, CliError> {
+fn versioned_document(
+    version: DocumentVersion,
+    text: String,
+    origin: &str,
+) -> Result<VersionedDocument, CliError> {
     VersionedDocument::new(version, text).map_err(|findings| CliError::Invalid {
         origin: origin.to_owned(),
         findings,
@@ -225,10 +231,10 @@
 
 fn superseded(
     expected: DocumentVersion,
-    started_from: Option<&VersionedDocument>,
+    base: Option<&VersionedDocument>,
     found: &VersionedDocument,
 ) -> CliError {
-    let changes = started_from.map(|started| config::diff(&started.document, &found.document));
+    let changes = base.map(|base| config::diff(&base.document, &found.document));
     CliError::Superseded {
         expected,
         found: found.version,
--- a/crates/burdockroad-cli/src/args.rs
+++ b/crates/burdockroad-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! Reads the command line.
+//! Parser of the command line.
 
 use std::{env, ffi::OsString, path::PathBuf, str::FromStr, time::Duration};
 
@@ -7,62 +7,62 @@
 
 use crate::{completions::Shell, error::CliError, help, report::Output};
 
-/// Where the store is, when no option says so.
-const STORE_VARIABLE: &str = "BURDOCKROAD_STORE";
+/// Environment variable with the store addresses, separated by commas; used without `--store`.
+const STORE_ENV_VAR: &str = "BURDOCKROAD_STORE";
 
-/// Admin addresses of the hosts, with commas between, when no option says so.
-const HOSTS_VARIABLE: &str = "BURDOCKROAD_HOSTS";
+/// Environment variable with the admin addresses of the hosts, separated by commas; used without `--host`.
+const HOSTS_ENV_VAR: &str = "BURDOCKROAD_HOSTS";
 
-/// Port of the admin address of hosts that are taken from the host list.
-const ADMIN_PORT: u16 = 8082;
+/// Default admin port of hosts that come from the host list.
+const DEFAULT_ADMIN_PORT: u16 = 8082;
 
-/// Time that a change is waited for.
-const WAIT_S: u64 = 10;
+/// Default time to wait until a change is in force, in seconds.
+const DEFAULT_WAIT_S: u64 = 10;
 
-/// What the command line asks for.
+/// Parsed command line.
 #[derive(Debug)]
-pub enum Request {
-    /// To print a text.
+pub enum Invocation {
+    /// Text to print: the help or the version.
     Help(String),
-    /// To run a command.
+    /// Command to run, with the options that all commands share.
     Run(Box<Options>, Command),
 }
 
-/// Options of all commands.
+/// Options that all commands share.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Addresses of the store.
     pub store: Vec<String>,
-    /// Folder of an embedded store.
+    /// Data folder of an embedded store.
     pub data_folder: Option<PathBuf>,
     /// Admin addresses of the hosts.
     pub hosts: Vec<String>,
-    /// Address of the platform's host list.
+    /// URL of the platform's host list.
     pub host_list: Option<String>,
-    /// Port of the admin address of listed hosts.
+    /// Admin port of hosts that come from the host list.
     pub admin_port: u16,
-    /// Form of what is printed.
+    /// Output format.
     pub output: Output,
-    /// How long a change is waited for; none not to wait.
+    /// Maximum time to wait until a change is in force; none to return without waiting.
     pub wait: Option<Duration>,
-    /// Whether a change is only shown.
+    /// Whether a change is printed but not stored.
     pub dry_run: bool,
-    /// Version that the operator started from.
+    /// Stored version that the operator expects; a change is refused if the store has another one.
     pub expect_version: Option<DocumentVersion>,
 }
 
-/// A command with its own arguments.
+/// Command with its arguments.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Checks a file.
+    /// Validates a file.
     ConfigValidate { file: PathBuf },
-    /// Compares a file with the stored document.
+    /// Compares a file to the stored document.
     ConfigDiff { file: PathBuf },
     /// Stores a file as the next version.
     ConfigApply { file: PathBuf },
     /// Prints the stored document or an earlier version.
     ConfigShow { version: Option<DocumentVersion> },
-    /// Lists earlier versions.
+    /// Lists the versions in the history.
     ConfigHistory,
     /// Lists accounts.
     AccountList,
@@ -72,7 +72,7 @@
     AccountSet { id: String, limits: Limits },
     /// Removes an account and its keys.
     AccountRemove { id: String },
-    /// Makes a key.
+    /// Issues a key.
     KeyIssue { account: String },
     /// Withdraws a key.
     KeyRevoke { id: String },
@@ -88,9 +88,9 @@
     EndpointList,
     /// Adds or changes an endpoint.
     EndpointSet(EndpointOptions),
-    /// Empties an endpoint, or takes it back.
+    /// Drains an endpoint, or returns it to service.
     EndpointDrain { id: String, undo: bool },
-    /// Sets the weights of sites.
+    /// Sets the weights of sites for new programs.
     SiteShift { weights: Vec<SiteWeight> },
     /// Lists the programs of all hosts.
     ProgramList { account: Option<String> },
@@ -100,63 +100,63 @@
     ProgramEnd { id: String },
     /// Lists the hosts.
     HostList,
-    /// Lets a host hand its work over.
+    /// Drains a host: it hands its work over to other hosts and accepts no new work.
     HostDrain { address: String },
-    /// Tells how the fleet is.
+    /// Prints the status of all hosts, endpoints and accounts.
     Status,
-    /// Prints completions of a shell.
+    /// Prints the completion script of a shell.
     Completions { shell: Shell },
 }
 
-/// Rate, burst and weight of an account, as far as given.
+/// Rate, burst and weight of an account; none for an option that was not given.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Calls a second.
+    /// Admitted calls per second.
     pub rate_per_s: Option<f64>,
-    /// Calls at once.
+    /// Calls admitted at once.
     pub burst: Option<u32>,
-    /// Share under contention.
+    /// Scheduling weight under contention.
     pub weight: Option<f64>,
 }
 
-/// A new route.
+/// Fields of a new route.
 #[derive(Clone, Debug)]
 pub struct RouteOptions {
-    /// Name.
+    /// Id of the route.
     pub id: String,
     /// `model` or `service`.
     pub kind: String,
     /// `keyed` or `open`.
     pub access: Option<String>,
-    /// Whether its calls may be repeated.
+    /// Whether its calls may be repeated safely.
     pub idempotent: bool,
-    /// Endpoint sets.
+    /// Ids of the endpoint sets that serve it.
     pub endpoint_sets: Vec<String>,
 }
 
-/// An endpoint, as far as given.
+/// Fields of an endpoint; none for an option that was not given.
 #[derive(Clone, Debug)]
 pub struct EndpointOptions {
-    /// Its set.
+    /// Id of its endpoint set.
     pub set: String,
-    /// Name.
+    /// Id of the endpoint.
     pub id: String,
-    /// IP number and port.
+    /// IP address and port.
     pub address: Option<String>,
-    /// Host that it runs on.
+    /// Id of the host that it runs on.
     pub host_id: Option<String>,
-    /// Failure domain that it stands in.
+    /// Failure domain that it belongs to.
     pub failure_domain: Option<String>,
-    /// Calls at once.
+    /// Calls that it serves concurrently.
     pub slots: Option<u32>,
 }
 
 /// Weight of a site, written as `SITE=WEIGHT`.
 #[derive(Clone, Debug)]
 pub struct SiteWeight {
-    /// The site.
+    /// Id of the site.
     pub id: String,
-    /// Its weight.
+    /// Weight of the site among all sites.
     pub weight: u32,
 }
 
@@ -164,21 +164,21 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let form = || format!("`{text}` is not of the form SITE=WEIGHT");
-        let (id, weight) = text.split_once('=').ok_or_else(form)?;
+        let invalid = || format!("`{text}` does not have the form SITE=WEIGHT");
+        let (id, weight) = text.split_once('=').ok_or_else(invalid)?;
         Ok(Self {
             id: id.to_owned(),
-            weight: weight.parse().map_err(|_not_a_number| form())?,
+            weight: weight.parse().map_err(|_not_a_number| invalid())?,
         })
     }
 }
 
-/// Reads the arguments without the program's name.
-pub fn parse(arguments: Vec<OsString>) -> Result<Request, CliError> {
+/// Parses the arguments, which do not include the name of the executable.
+pub fn parse(arguments: Vec<OsString>) -> Result<Invocation, CliError> {
     let mut arguments = Arguments::from_vec(arguments);
-    let wants_help = arguments.contains(["-h", "--help"]);
+    let help_requested = arguments.contains(["-h", "--help"]);
     if arguments.contains(["-V", "--version"]) {
-        return Ok(Request::Help(format!(
+        return Ok(Invocation::Help(format!(
             "burdockroad {}\n",
             env!("CARGO_PKG_VERSION")
         )));
@@ -187,14 +187,14 @@
     let command_options = CommandOptions::take(&mut arguments)?;
     let words = words(arguments)?;
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    if wants_help || words.is_empty() {
-        return Ok(Request::Help(help::text(&words)));
+    if help_requested || words.is_empty() {
+        return Ok(Invocation::Help(help::text(&words)));
     }
     let command = command(&words, command_options)?;
-    Ok(Request::Run(Box::new(options), command))
+    Ok(Invocation::Run(Box::new(options), command))
 }
 
-/// Options that only some commands have.
+/// Options that only some commands accept.
 #[derive(Debug, Default)]
 struct CommandOptions {
     rate: Option<f64>,
@@ -237,7 +237,7 @@
         Ok(Self { given, ..options })
     }
 
-    /// Refuses options that a command does not have.
+    /// Returns an error if an option was given that the command does not accept.
     fn allow(&self, allowed: &[&str]) -> Result<(), CliError> {
         match self.given.iter().find(|name| !allowed.contains(name)) {
             Some(name) => Err(CliError::Usage(format!("this command has no option `{name}`"))),
@@ -256,20 +256,20 @@
 
 fn options(arguments: &mut Arguments) -> Result<Options, CliError> {
     let mut given = Vec::new();
-    let wait_s = optional(arguments, "--wait", &mut given)?.unwrap_or(WAIT_S);
+    let wait_s = optional(arguments, "--wait", &mut given)?.unwrap_or(DEFAULT_WAIT_S);
     let no_wait = flag(arguments, "--no-wait", &mut given);
     let output: Option<String> = optional(arguments, "--output", &mut given)?;
     Ok(Options {
-        store: listed(repeated(arguments, "--store", &mut given)?, STORE_VARIABLE),
+        store: values_or_env(repeated(arguments, "--store", &mut given)?, STORE_ENV_VAR),
         data_folder: optional(arguments, "--data-folder", &mut given)?,
-        hosts: listed(repeated(arguments, "--host", &mut given)?, HOSTS_VARIABLE),
+        hosts: values_or_env(repeated(arguments, "--host", &mut given)?, HOSTS_ENV_VAR),
         host_list: optional(arguments, "--host-list", &mut given)?,
-        admin_port: optional(arguments, "--admin-port", &mut given)?.unwrap_or(ADMIN_PORT),
+        admin_port: optional(arguments, "--admin-port", &mut given)?.unwrap_or(DEFAULT_ADMIN_PORT),
         output: match output.as_deref() {
             None | Some("text") => Output::Text,
             Some("json") => Output::Json,
             Some(other) => {
-                let reason = format!("`--output {other}` is not known; allowed: text, json");
+                let reason = format!("`--output {other}` is not valid; allowed: text, json");
                 return Err(CliError::Usage(reason));
             }
         },
@@ -318,7 +318,7 @@
         ["route", "list"] => Command::RouteList,
         ["route", "add", id] => Command::RouteAdd(RouteOptions {
             id: owned(id),
-            kind: needed(options.kind, "--kind")?,
+            kind: required(options.kind, "--kind")?,
             access: options.access,
             idempotent: options.idempotent,
             endpoint_sets: options.sets,
@@ -370,8 +370,8 @@
     word.to_owned()
 }
 
-fn needed(value: Option<String>, name: &str) -> Result<String, CliError> {
-    value.ok_or_else(|| CliError::Usage(format!("the option `{name}` is needed")))
+fn required(value: Option<String>, name: &str) -> Result<String, CliError> {
+    value.ok_or_else(|| CliError::Usage(format!("the option `{name}` is required")))
 }
 
 fn optional<T>(
@@ -404,8 +404,8 @@
     is_given
 }
 
-/// Takes the values of an option, or those of an environment variable if there are none.
-fn listed(values: Vec<String>, variable: &str) -> Vec<String> {
+/// Splits the values of an option at commas. Uses an environment variable if the option was not given.
+fn values_or_env(values: Vec<String>, variable: &str) -> Vec<String> {
     let values = if values.is_empty() {
         env::var(variable).into_iter().collect()
     } else {
@@ -423,7 +423,7 @@
     rest.map(|word| {
         let word = word
             .into_string()
-            .map_err(|word| CliError::Usage(format!("`{}` is not valid text", word.to_string_lossy())))?;
+            .map_err(|word| CliError::Usage(format!("`{}` is not valid UTF-8", word.to_string_lossy())))?;
         if word.starts_with('-') {
             return Err(CliError::Usage(format!("there is no option `{word}`")));
         }
--- a/crates/burdockroad-cli/src/commands.rs
+++ b/crates/burdockroad-cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, each in the module of its group.
+//! Implementations of the commands, one module for each group.
 
 mod account;
 mod change;
@@ -64,7 +64,7 @@
             data_folder: folder.clone(),
         },
         None if options.store.is_empty() => {
-            let reason = "say where the store is, by `--store http://IP:PORT` or `--data-folder FOLDER`";
+            let reason = "no store given; use `--store http://IP:PORT` or `--data-folder FOLDER`";
             return Err(CliError::Usage(reason.to_owned()));
         }
         None => StoreSettings::Service {
@@ -74,7 +74,7 @@
     Ok(connect(&settings)?)
 }
 
-/// Finds the hosts that the options name; none when they name none.
+/// Returns the hosts that the options or the host list name, or none if there are none.
 async fn find_hosts(options: &Options) -> Result<Option<Hosts>, CliError> {
     let Some(url) = &options.host_list else {
         let addresses = options.hosts.clone();
@@ -89,9 +89,9 @@
     Ok((!addresses.is_empty()).then(|| Hosts::new(addresses)))
 }
 
-/// Finds the hosts, which the command cannot do without.
-async fn need_hosts(options: &Options) -> Result<Hosts, CliError> {
-    let reason = "say where the hosts are, by `--host IP:PORT` for each or by `--host-list URL`";
+/// Returns the hosts for a command that requires them, or a usage error if there are none.
+async fn require_hosts(options: &Options) -> Result<Hosts, CliError> {
+    let reason = "no hosts given; use `--host IP:PORT` for each host, or `--host-list URL`";
     find_hosts(options)
         .await?
         .ok_or_else(|| CliError::Usage(reason.to_owned()))
--- a/crates/burdockroad-cli/src/commands/account.rs
+++ b/crates/burdockroad-cli/src/commands/account.rs
@@ -1,4 +1,4 @@
-//! `burdockroad account`.
+//! Commands of `burdockroad account`.
 
 use serde_json::json;
 
@@ -27,7 +27,7 @@
 pub(super) async fn add(options: &Options, id: &str, limits: Limits) -> Result<Report, CliError> {
     let (Some(rate), Some(burst)) = (limits.rate_per_s, limits.burst) else {
         return Err(CliError::Usage(
-            "the options `--rate` and `--burst` are needed".to_owned(),
+            "the options `--rate` and `--burst` are required".to_owned(),
         ));
     };
     let mut fields: Fields = vec![
@@ -45,7 +45,7 @@
 
 pub(super) async fn set(options: &Options, id: &str, limits: Limits) -> Result<Report, CliError> {
     if limits.rate_per_s.is_none() && limits.burst.is_none() && limits.weight.is_none() {
-        let reason = "say what to change, by `--rate`, `--burst` or `--weight`";
+        let reason = "nothing to change; use `--rate`, `--burst` or `--weight`";
         return Err(CliError::Usage(reason.to_owned()));
     }
     change::edit(options, |editor, _| {
--- a/crates/burdockroad-cli/src/commands/change.rs
+++ b/crates/burdockroad-cli/src/commands/change.rs
@@ -1,4 +1,4 @@
-//! What all changes of the document have in common.
+//! Steps that all changes of the document share.
 
 use burdockroad::config::{self, VersionedDocument};
 use burdockroad_daemon::platform::KeyValue;
@@ -14,7 +14,7 @@
     report::Report,
 };
 
-/// Reads the document, lets `edit` change its text, and applies it.
+/// Reads the document, changes its text with `edit`, and applies the result.
 pub(super) async fn edit(
     options: &Options,
     edit: impl FnOnce(&Editor, &VersionedDocument) -> Result<(), CliError>,
@@ -45,10 +45,10 @@
     .await
 }
 
-/// Finds the hosts on which the change has to come into force.
+/// Returns the hosts to wait for until the change is in force, or none if the command does not wait.
 ///
-/// They are looked for before the change, so that a change is not stored by an operator who then
-/// cannot be told where it is in force.
+/// Callers resolve the hosts before they store the change. Otherwise a change could be stored whose
+/// state on the hosts cannot be reported to the operator.
 pub(super) async fn hosts_to_wait_for(options: &Options) -> Result<Option<Hosts>, CliError> {
     if options.wait.is_none() || options.dry_run || options.data_folder.is_some() {
         return Ok(None);
@@ -56,14 +56,14 @@
     match find_hosts(options).await? {
         Some(hosts) => Ok(Some(hosts)),
         None => Err(CliError::Usage(
-            "say where the hosts are, by `--host IP:PORT` for each or by `--host-list URL`, \
-             or give `--no-wait`; nothing was changed"
+            "no hosts given; use `--host IP:PORT` for each host, `--host-list URL`, \
+             or `--no-wait`; nothing was changed"
                 .to_owned(),
         )),
     }
 }
 
-/// Applies a text, and waits until it is in force on the hosts.
+/// Applies a text and waits until it is in force on the hosts.
 pub(super) async fn apply(
     options: &Options,
     store: &dyn KeyValue,
@@ -82,10 +82,10 @@
     let json = json!({ "version": next.version, "changes": changes });
     let mut report = Report::new(lines, json);
     if let (Some(hosts), Some(wait)) = (hosts, options.wait) {
-        let behind = hosts.wait_in_force(&next, wait).await;
+        let lagging = hosts.wait_in_force(&next, wait).await;
         report.json["hosts"] = json!(hosts.addresses().len());
-        report.json["not_in_force"] = json!(behind);
-        if behind.is_empty() {
+        report.json["not_in_force"] = json!(lagging);
+        if lagging.is_empty() {
             let line = format!("in force on {} hosts\n", hosts.addresses().len());
             report.text.push_str(&line);
         } else {
@@ -93,16 +93,16 @@
             report.notes.push(format!(
                 "version {} is stored, but not in force on {} of {} hosts:",
                 next.version,
-                behind.len(),
+                lagging.len(),
                 hosts.addresses().len()
             ));
-            let hosts = behind.into_iter();
+            let hosts = lagging.into_iter();
             report
                 .notes
                 .extend(hosts.map(|host| format!("  {}: {}", host.address, host.reason)));
             report.notes.push(
-                "A host that is cut_off refuses keyed calls by itself; one with outage_for_all goes on with \
-                 its version. Look again with `burdockroad status`."
+                "A host in state cut_off already refuses keyed calls; a host in state outage_for_all \
+                 continues with its version. Check again with `burdockroad status`."
                     .to_owned(),
             );
         }
--- a/crates/burdockroad-cli/src/commands/config.rs
+++ b/crates/burdockroad-cli/src/commands/config.rs
@@ -1,4 +1,4 @@
-//! `burdockroad config`.
+//! Commands of `burdockroad config`.
 
 use std::{fs, path::Path};
 
@@ -55,7 +55,8 @@
 
 pub(super) async fn apply(options: &Options, file: &Path) -> Result<Report, CliError> {
     if options.expect_version.is_none() {
-        let reason = "say which version the file was made from, by `--expect-version N` (0 for the first)";
+        let reason =
+            "use `--expect-version N`; N is the version that the file is based on (0 for the first document)";
         return Err(CliError::Usage(reason.to_owned()));
     }
     let text = read(file)?;
--- a/crates/burdockroad-cli/src/commands/endpoint.rs
+++ b/crates/burdockroad-cli/src/commands/endpoint.rs
@@ -1,4 +1,4 @@
-//! `burdockroad endpoint` and `burdockroad site`.
+//! Commands of `burdockroad endpoint` and `burdockroad site`.
 
 use serde_json::json;
 
@@ -44,14 +44,14 @@
         .collect();
     fields.extend(endpoint.slots.map(|slots| ("slots", slots.into())));
     if fields.is_empty() {
-        let reason = "say what to set, by `--address`, `--host-id`, `--failure-domain` or `--slots`";
+        let reason = "nothing to set; use `--address`, `--host-id`, `--failure-domain` or `--slots`";
         return Err(CliError::Usage(reason.to_owned()));
     }
     change::edit(options, |editor, _| {
         let set = editor.entity("endpoint_sets", &endpoint.set)?;
-        if let Some(known) = set.entity("endpoints", &endpoint.id) {
+        if let Some(existing) = set.entity("endpoints", &endpoint.id) {
             for (name, value) in fields {
-                known.set(name, value);
+                existing.set(name, value);
             }
         } else {
             fields.insert(0, ("id", (&endpoint.id).into()));
--- a/crates/burdockroad-cli/src/commands/host.rs
+++ b/crates/burdockroad-cli/src/commands/host.rs
@@ -1,4 +1,4 @@
-//! `burdockroad host` and `burdockroad status`.
+//! Commands of `burdockroad host`, and `burdockroad status`.
 
 use burdockroad_daemon::admin::Status;
 use hyper::{Method, StatusCode};
@@ -6,27 +6,27 @@
 
 use crate::{
     args::Options,
-    commands::need_hosts,
+    commands::require_hosts,
     error::{CliError, Exit},
     hosts::Hosts,
     report::Report,
 };
 
-/// One host and what it answered.
-struct Asked {
+/// Admin address of a host with its status, or the error of the request for it.
+struct HostStatus {
     address: String,
     status: Result<Status, CliError>,
 }
 
 pub(super) async fn list(options: &Options) -> Result<Report, CliError> {
-    let asked = ask_all(&need_hosts(options).await?).await;
-    Ok(report(&asked, asked.iter().map(host_line).collect()))
+    let statuses = fetch_statuses(&require_hosts(options).await?).await;
+    Ok(report(&statuses, statuses.iter().map(host_line).collect()))
 }
 
 pub(super) async fn status(options: &Options) -> Result<Report, CliError> {
-    let asked = ask_all(&need_hosts(options).await?).await;
-    let mut lines: Vec<String> = asked.iter().map(host_line).collect();
-    for status in asked.iter().filter_map(|asked| asked.status.as_ref().ok()) {
+    let statuses = fetch_statuses(&require_hosts(options).await?).await;
+    let mut lines: Vec<String> = statuses.iter().map(host_line).collect();
+    for status in statuses.iter().filter_map(|host| host.status.as_ref().ok()) {
         lines.extend(status.endpoints.iter().map(|endpoint| {
             format!(
                 "endpoint {} pool={} busy={}/{} state={} owner={}",
@@ -50,51 +50,53 @@
             )
         }));
     }
-    Ok(report(&asked, lines))
+    Ok(report(&statuses, lines))
 }
 
 pub(super) async fn drain(options: &Options, address: &str) -> Result<Report, CliError> {
-    let hosts = match need_hosts(options).await {
+    let hosts = match require_hosts(options).await {
         Ok(hosts) => hosts,
         Err(CliError::Usage(_)) => Hosts::new(vec![address.to_owned()]),
         Err(error) => return Err(error),
     };
-    let answer = hosts.ask(address, Method::POST, "/drain").await?;
-    if answer.status != StatusCode::ACCEPTED {
-        return Err(CliError::Failed(format!("{address}: {}", answer.status)));
+    let response = hosts.request(address, Method::POST, "/drain").await?;
+    if response.status != StatusCode::ACCEPTED {
+        return Err(CliError::Failed(format!("{address}: {}", response.status)));
     }
-    let line = format!("{address} hands its work over; `burdockroad status` shows when it owns nothing more");
+    let line = format!(
+        "{address} is handing over its work; `burdockroad status` shows when it owns no partitions or programs"
+    );
     Ok(Report::new(
         [line],
         json!({ "address": address, "draining": true }),
     ))
 }
 
-async fn ask_all(hosts: &Hosts) -> Vec<Asked> {
-    let asked = hosts.addresses().iter().map(|address| async move {
-        Asked {
+async fn fetch_statuses(hosts: &Hosts) -> Vec<HostStatus> {
+    let statuses = hosts.addresses().iter().map(|address| async move {
+        HostStatus {
             address: address.clone(),
             status: hosts.status(address).await,
         }
     });
-    futures_util::future::join_all(asked).await
+    futures_util::future::join_all(statuses).await
 }
 
-fn report(asked: &[Asked], lines: Vec<String>) -> Report {
-    let hosts: Vec<Value> = asked.iter().map(host_json).collect();
+fn report(statuses: &[HostStatus], lines: Vec<String>) -> Report {
+    let hosts: Vec<Value> = statuses.iter().map(host_json).collect();
     let mut report = Report::new(lines, json!({ "hosts": hosts }));
-    if asked.iter().any(|asked| asked.status.is_err()) {
+    if statuses.iter().any(|host| host.status.is_err()) {
         report.exit = Exit::Failed;
     }
     report
 }
 
-fn host_line(asked: &Asked) -> String {
-    match &asked.status {
+fn host_line(host_status: &HostStatus) -> String {
+    match &host_status.status {
         Ok(status) => format!(
             "host {} admin={} document={} freshness={} ownership={} partitions={} open_programs={} peers_heard={} draining={}",
             status.host_id,
-            asked.address,
+            host_status.address,
             status.document.version,
             status.document.freshness,
             status.ownership.version,
@@ -103,13 +105,17 @@
             status.ownership.peers_heard.len(),
             status.draining
         ),
-        Err(error) => format!("host ? admin={} error={:?}", asked.address, error.to_string()),
+        Err(error) => format!(
+            "host ? admin={} error={:?}",
+            host_status.address,
+            error.to_string()
+        ),
     }
 }
 
-fn host_json(asked: &Asked) -> Value {
-    match &asked.status {
-        Ok(status) => json!({ "address": asked.address, "status": status }),
-        Err(error) => json!({ "address": asked.address, "error": error.to_string() }),
+fn host_json(host_status: &HostStatus) -> Value {
+    match &host_status.status {
+        Ok(status) => json!({ "address": host_status.address, "status": status }),
+        Err(error) => json!({ "address": host_status.address, "error": error.to_string() }),
     }
 }
--- a/crates/burdockroad-cli/src/commands/key.rs
+++ b/crates/burdockroad-cli/src/commands/key.rs
@@ -1,4 +1,4 @@
-//! `burdockroad key`.
+//! Commands of `burdockroad key`.
 
 use burdockroad::config;
 use serde_json::json;
@@ -22,15 +22,17 @@
         editor.entity("accounts", account)?.add("keys", fields);
         Ok(())
     });
-    let mut report = result.await.map_err(|error| name_key(error, &issued.entry.id))?;
+    let mut report = result
+        .await
+        .map_err(|error| with_key_id(error, &issued.entry.id))?;
     if options.dry_run {
         return Ok(report);
     }
-    // Standard output carries the key alone, so that it can be piped to where it is kept.
+    // Standard output contains only the key, so that it can be piped into a secret store.
     report.notes.insert(
         0,
         format!(
-            "key {} of account {account}; it is shown this once and cannot be shown again",
+            "key {} of account {account}; it is shown only once and cannot be retrieved later",
             issued.entry.id
         ),
     );
@@ -42,12 +44,13 @@
     Ok(report)
 }
 
-/// Names the key whose fate is unknown, so that it can be withdrawn: nobody has seen its secret.
-fn name_key(error: CliError, key_id: &str) -> CliError {
+/// Adds the id of the new key to an error with unknown outcome. The operator can then withdraw the key,
+/// whose secret was never printed.
+fn with_key_id(error: CliError, key_id: &str) -> CliError {
     match error {
         CliError::Unknown { version, reason } => CliError::Unknown {
             version,
-            reason: format!("{reason}; if it is stored, withdraw the new key by `key revoke {key_id}`"),
+            reason: format!("{reason}; if it is stored, withdraw the new key with `key revoke {key_id}`"),
         },
         other => other,
     }
--- a/crates/burdockroad-cli/src/commands/program.rs
+++ b/crates/burdockroad-cli/src/commands/program.rs
@@ -1,4 +1,5 @@
-//! `burdockroad program`: each program is known to the host that owns it.
+//! Commands of `burdockroad program`. Only the owner of a program has its state, so the commands send
+//! requests to all hosts.
 
 use burdockroad_daemon::admin::ProgramSummary;
 use hyper::{Method, StatusCode};
@@ -6,43 +7,43 @@
 
 use crate::{
     args::Options,
-    commands::need_hosts,
+    commands::require_hosts,
     error::{CliError, Exit},
-    hosts::{Answer, Hosts},
+    hosts::{HostResponse, Hosts},
     report::Report,
 };
 
 pub(super) async fn list(options: &Options, account: Option<&str>) -> Result<Report, CliError> {
-    let hosts = need_hosts(options).await?;
+    let hosts = require_hosts(options).await?;
     let target = match account {
         Some(account) => format!("/programs?account={account}"),
         None => "/programs".to_owned(),
     };
     let mut programs: Vec<ProgramSummary> = Vec::new();
-    let mut silent = Vec::new();
+    let mut failures = Vec::new();
     for address in hosts.addresses() {
-        match hosts.ask(address, Method::GET, &target).await {
-            Ok(answer) => programs.extend(decode::<Vec<ProgramSummary>>(address, &answer)?),
-            Err(error) => silent.push(error.to_string()),
+        match hosts.request(address, Method::GET, &target).await {
+            Ok(response) => programs.extend(decode::<Vec<ProgramSummary>>(address, &response)?),
+            Err(error) => failures.push(error.to_string()),
         }
     }
     programs.sort_by(|a, b| a.program_id.cmp(&b.program_id));
     let mut report = Report::new(programs.iter().map(line), json!(programs));
-    if !silent.is_empty() {
+    if !failures.is_empty() {
         report.exit = Exit::Failed;
-        report.notes = silent;
+        report.notes = failures;
         report
             .notes
-            .push("The list is not whole: these hosts did not answer.".to_owned());
+            .push("The list is incomplete: these hosts did not respond.".to_owned());
     }
     Ok(report)
 }
 
 pub(super) async fn show(options: &Options, id: &str) -> Result<Report, CliError> {
-    let hosts = need_hosts(options).await?;
+    let hosts = require_hosts(options).await?;
     let target = format!("/programs/{id}");
-    let (address, answer) = ask_owner(&hosts, Method::GET, &target, id).await?;
-    let program: ProgramSummary = decode(&address, &answer)?;
+    let (address, response) = request_owner(&hosts, Method::GET, &target, id).await?;
+    let program: ProgramSummary = decode(&address, &response)?;
     let line = format!("{} owner={address}", line(&program));
     Ok(Report::new(
         [line],
@@ -51,40 +52,40 @@
 }
 
 pub(super) async fn end(options: &Options, id: &str) -> Result<Report, CliError> {
-    let hosts = need_hosts(options).await?;
+    let hosts = require_hosts(options).await?;
     let target = format!("/programs/{id}/end");
-    let (address, _) = ask_owner(&hosts, Method::POST, &target, id).await?;
+    let (address, _) = request_owner(&hosts, Method::POST, &target, id).await?;
     let line = format!("{id} was ended by {address}");
     Ok(Report::new([line], json!({ "program_id": id, "owner": address })))
 }
 
-/// Asks the hosts until the one answers that owns the program.
-async fn ask_owner(
+/// Sends a request to one host after another until the owner of the program responds with success.
+async fn request_owner(
     hosts: &Hosts,
     method: Method,
     target: &str,
     id: &str,
-) -> Result<(String, Answer), CliError> {
-    let mut silent = Vec::new();
+) -> Result<(String, HostResponse), CliError> {
+    let mut failures = Vec::new();
     for address in hosts.addresses() {
-        match hosts.ask(address, method.clone(), target).await {
-            Ok(answer) if answer.status == StatusCode::OK => return Ok((address.clone(), answer)),
-            Ok(answer) if answer.status == StatusCode::NOT_FOUND => {}
-            Ok(answer) => silent.push(format!("{address}: {}", answer.status)),
-            Err(error) => silent.push(error.to_string()),
+        match hosts.request(address, method.clone(), target).await {
+            Ok(response) if response.status == StatusCode::OK => return Ok((address.clone(), response)),
+            Ok(response) if response.status == StatusCode::NOT_FOUND => {}
+            Ok(response) => failures.push(format!("{address}: {}", response.status)),
+            Err(error) => failures.push(error.to_string()),
         }
     }
-    if silent.is_empty() {
+    if failures.is_empty() {
         return Err(CliError::Missing(format!("no host owns a program `{id}`")));
     }
-    let silent = silent.join("\n");
+    let failures = failures.join("\n");
     Err(CliError::Failed(format!(
-        "{silent}\nNo other host owns `{id}`; its owner may be one of these."
+        "{failures}\nNone of the other hosts owns `{id}`; its owner may be one of these."
     )))
 }
 
-fn decode<T: serde::de::DeserializeOwned>(address: &str, answer: &Answer) -> Result<T, CliError> {
-    serde_json::from_slice(&answer.body).map_err(|error| CliError::Failed(format!("{address}: {error}")))
+fn decode<T: serde::de::DeserializeOwned>(address: &str, response: &HostResponse) -> Result<T, CliError> {
+    serde_json::from_slice(&response.body).map_err(|error| CliError::Failed(format!("{address}: {error}")))
 }
 
 fn line(program: &ProgramSummary) -> String {
--- a/crates/burdockroad-cli/src/commands/route.rs
+++ b/crates/burdockroad-cli/src/commands/route.rs
@@ -1,4 +1,4 @@
-//! `burdockroad route`.
+//! Commands of `burdockroad route`.
 
 use burdockroad::config::{Access, RouteKind};
 use serde_json::json;
--- a/crates/burdockroad-cli/src/completions.rs
+++ b/crates/burdockroad-cli/src/completions.rs
@@ -1,10 +1,10 @@
-//! Completions of the command line for shells.
+//! Shell completion scripts.
 
 use std::str::FromStr;
 
 use crate::help;
 
-/// A shell.
+/// Shell with a completion script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shell {
     /// GNU Bash.
@@ -23,13 +23,15 @@
             "bash" => Ok(Self::Bash),
             "zsh" => Ok(Self::Zsh),
             "fish" => Ok(Self::Fish),
-            _ => Err(format!("there is no shell `{text}`; allowed: bash, zsh, fish")),
+            _ => Err(format!(
+                "shell `{text}` is not supported; allowed: bash, zsh, fish"
+            )),
         }
     }
 }
 
 impl Shell {
-    /// Returns a script that completes groups and commands.
+    /// Returns the script that completes the first and the second word of a command.
     pub fn script(self) -> String {
         match self {
             Self::Bash => bash(),
--- a/crates/burdockroad-cli/src/edit.rs
+++ b/crates/burdockroad-cli/src/edit.rs
@@ -1,6 +1,6 @@
-//! Changes the text of a document and keeps its comments.
+//! Edits the text of a document and preserves its comments.
 //!
-//! A comment that stands inside of something that is removed goes with it.
+//! Removing an entity also removes the comments inside it.
 
 use jsonc_parser::{
     ParseOptions,
@@ -9,7 +9,7 @@
 
 use crate::error::CliError;
 
-/// A document's text under change.
+/// Editor of a document's text.
 ///
 /// # Example
 ///
@@ -26,13 +26,13 @@
     root: CstRootNode,
 }
 
-/// One entity of a document's text.
+/// Entity in a document's text.
 #[derive(Clone, Debug)]
 pub struct Entity {
     object: CstObject,
 }
 
-/// A value to be written.
+/// Value of a field.
 #[derive(Clone, Debug)]
 pub struct Value(CstInputValue);
 
@@ -40,33 +40,33 @@
 pub type Fields = Vec<(&'static str, Value)>;
 
 impl Editor {
-    /// Takes the text of a valid document.
+    /// Parses the text of a document.
     ///
     /// # Errors
     ///
-    /// Fails when the text is not JSON with comments.
+    /// Fails if the text is not JSON with comments.
     pub fn new(text: &str) -> Result<Self, CliError> {
         let root = CstRootNode::parse(text, &ParseOptions::default())
             .map_err(|error| CliError::Failed(error.to_string()))?;
         Ok(Self { root })
     }
 
-    /// Returns the changed text.
+    /// Returns the edited text.
     pub fn into_text(self) -> String {
         self.root.to_string()
     }
 
-    /// Finds an entity of one of the document's lists.
+    /// Returns the entity with this id from one of the document's lists.
     ///
     /// # Errors
     ///
-    /// [`CliError::Missing`] when there is none of that name.
+    /// Returns [`CliError::Missing`] if the list has no such entity.
     pub fn entity(&self, list: &str, id: &str) -> Result<Entity, CliError> {
         let root = self.root.object_value_or_set();
         find(&root.array_value_or_set(list), id).ok_or_else(|| missing(list, id))
     }
 
-    /// Adds an entity at the end of one of the document's lists.
+    /// Appends an entity to one of the document's lists.
     pub fn add(&self, list: &str, fields: Fields) {
         let root = self.root.object_value_or_set();
         append(&root.array_value_or_set(list), fields);
@@ -80,7 +80,7 @@
 }
 
 impl Entity {
-    /// Sets a field, in place of its earlier value.
+    /// Sets a field and replaces its previous value.
     pub fn set(&self, field: &str, value: impl Into<Value>) {
         let value = value.into().0;
         match self.object.get(field) {
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Finds an entity of one of this entity's lists; none when there is none of that name.
+    /// Returns the entity with this id from one of this entity's lists, or none if there is no such entity.
     pub fn entity(&self, list: &str, id: &str) -> Option<Self> {
         find(&self.object.array_value(list)?, id)
     }
 
-    /// Adds an entity at the end of one of this entity's lists.
+    /// Appends an entity to one of this entity's lists.
     pub fn add(&self, list: &str, fields: Fields) {
         append(&self.object.array_value_or_set(list), fields);
     }
--- a/crates/burdockroad-cli/src/error.rs
+++ b/crates/burdockroad-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that tells so.
+//! Errors of commands and their exit codes.
 
 use std::fmt;
 
@@ -12,64 +12,64 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
-    /// Failed for another reason than those below.
+    /// The command failed for a reason without an exit code of its own.
     Failed = 1,
     /// The command line is not valid; nothing was done.
     Usage = 2,
     /// The document is not valid; nothing was changed.
     Invalid = 3,
-    /// The change is stored, but not in force on every host within the time.
+    /// The change is stored, but was not in force on every host before the timeout.
     NotInForce = 4,
-    /// Somebody else changed the document meanwhile; nothing was changed.
+    /// The document was changed concurrently; this command changed nothing.
     Superseded = 5,
     /// The store cannot be reached; nothing was changed.
     Unavailable = 6,
-    /// It could not be found out whether the change is stored.
+    /// It is not known whether the change is stored.
     Unknown = 7,
-    /// What the command names does not exist; nothing was changed.
+    /// The object that the command names does not exist; nothing was changed.
     Missing = 8,
 }
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Clone, Debug)]
 pub enum CliError {
     /// The command line is not valid.
     Usage(String),
     /// The document is not valid.
     Invalid {
-        /// What the text comes from.
+        /// Source of the text, such as a file name.
         origin: String,
-        /// Everything that is wrong with it.
+        /// All errors in the text.
         findings: Vec<Finding>,
     },
-    /// Somebody else changed the document.
+    /// The document was changed concurrently.
     Superseded {
-        /// Version that the operator started from.
+        /// Version that the change was based on.
         expected: DocumentVersion,
         /// Version that is stored now.
         found: DocumentVersion,
-        /// What the other change did, when both versions are known.
+        /// Differences between the two versions; empty if the expected version is not available.
         changes: Vec<Change>,
     },
     /// The store cannot be reached.
     Unavailable(String),
-    /// It could not be found out whether the change is stored.
+    /// It is not known whether the change is stored.
     Unknown {
-        /// Version that the change would have.
+        /// Version of the change, if it is stored.
         version: DocumentVersion,
-        /// What happened.
+        /// Error of the last attempt to write it.
         reason: String,
     },
-    /// What the command names does not exist.
+    /// The object that the command names does not exist.
     Missing(String),
-    /// Another failure.
+    /// Failure of another kind.
     Failed(String),
 }
 
 impl CliError {
-    /// Returns the exit code that tells this failure.
+    /// Returns the exit code of this error.
     pub fn exit(&self) -> Exit {
         match self {
             Self::Usage(_) => Exit::Usage,
@@ -98,7 +98,7 @@
                 }
                 write!(
                     f,
-                    "{} faults; nothing was changed. Mend them and try again.",
+                    "errors found: {}; nothing was changed. Correct them and retry.",
                     findings.len()
                 )
             }
@@ -109,26 +109,26 @@
             } => {
                 writeln!(
                     f,
-                    "The document is now at version {found}, but you started from {expected}; nothing was changed."
+                    "The document is now at version {found}, but your change started from {expected}; nothing was changed."
                 )?;
                 for change in changes {
                     writeln!(f, "{change}")?;
                 }
                 write!(
                     f,
-                    "Look at it with `burdockroad config show`, make your change in it, and apply that."
+                    "Print the new version with `burdockroad config show`, repeat your change in it, and apply the result."
                 )
             }
             Self::Unavailable(reason) => {
                 write!(
                     f,
-                    "{reason}\nNothing was changed; try again when the store answers."
+                    "{reason}\nNothing was changed; retry when the store is available."
                 )
             }
             Self::Unknown { version, reason } => write!(
                 f,
-                "Version {version} may be stored or not: {reason}\n\
-                 Find out with `burdockroad config show --at {version}` before you try again."
+                "It is not known whether version {version} is stored: {reason}\n\
+                 Check with `burdockroad config show --at {version}` before you retry."
             ),
             Self::Missing(what) => write!(f, "{what}; nothing was changed."),
             Self::Failed(reason) => f.write_str(reason),
@@ -139,7 +139,7 @@
 impl std::error::Error for CliError {}
 
 impl From<StoreError> for CliError {
-    /// For reads, which have no effect.
+    /// Converts the error of a read. A read changes nothing, so its outcome is never unknown.
     fn from(error: StoreError) -> Self {
         Self::Unavailable(error.to_string())
     }
--- a/crates/burdockroad-cli/src/help.rs
+++ b/crates/burdockroad-cli/src/help.rs
@@ -1,30 +1,34 @@
-//! What `--help` prints.
+//! Help texts.
 
-/// One command: its words, its arguments, and what it does.
+/// Help of one command: its words, its arguments and its description.
 struct Entry {
     words: &'static str,
     arguments: &'static str,
-    purpose: &'static str,
+    description: &'static str,
 }
 
 const ENTRIES: [Entry; 26] = [
     entry(
         "config validate",
         "FILE",
-        "Check a document and print everything that is wrong with it. Needs no store.",
+        "Validate a document and print all errors in it. Does not need a store.",
     ),
     entry("config diff", "FILE", "Show what applying FILE would change."),
     entry(
         "config apply",
         "FILE --expect-version N",
-        "Store FILE as the next version. N is the version that FILE was made from, as `config show` told; 0 for the first document.",
+        "Store FILE as the next version. N is the version that FILE is based on, as printed by `config show`; 0 for the first document.",
     ),
     entry(
         "config show",
         "[--at VERSION]",
-        "Print the stored document, or an earlier version, with its comments; its version goes to standard error.",
+        "Print the stored document or an earlier version, including comments. The version is printed on standard error.",
+    ),
+    entry(
+        "config history",
+        "",
+        "List the earlier versions in the history and the stored one.",
     ),
-    entry("config history", "", "List the versions that are kept."),
     entry(
         "account list",
         "",
@@ -43,19 +47,23 @@
     entry(
         "account remove",
         "ACCOUNT",
-        "Remove a client account and all its keys.",
+        "Remove a client account and all of its keys.",
     ),
     entry(
         "key issue",
         "ACCOUNT",
-        "Make a key and print it on standard output. It is shown this once; only its hash is kept.",
+        "Issue a key and print it on standard output. It is shown only once; the store contains only its hash.",
     ),
     entry(
         "key revoke",
         "KEY_ID",
-        "Withdraw a key. It stops working within seconds, also for connected callers.",
+        "Withdraw a key. It stops working within seconds, including for connected callers.",
+    ),
+    entry(
+        "key list",
+        "[--account ACCOUNT]",
+        "List the ids of keys, their accounts, and whether they are valid.",
     ),
-    entry("key list", "[--account ACCOUNT]", "List keys by their ids."),
     entry("route list", "", "List the routes."),
     entry(
         "route add",
@@ -67,17 +75,17 @@
     entry(
         "endpoint set",
         "ENDPOINT_SET ENDPOINT [--address IP:PORT] [--host-id HOST] [--failure-domain NAME] [--slots CALLS]",
-        "Add an endpoint, for which all options are needed, or change one.",
+        "Add an endpoint, which requires all options, or change an existing one.",
     ),
     entry(
         "endpoint drain",
         "ENDPOINT [--undo]",
-        "Give an endpoint no new work, or give it work again.",
+        "Send no new calls to an endpoint, or return it to service with --undo.",
     ),
     entry(
         "site shift",
         "SITE=WEIGHT...",
-        "Set the shares of new programs that the sites get; 0 gives a site none.",
+        "Set the weights by which new programs are distributed over the sites; a site with weight 0 receives none.",
     ),
     entry(
         "program list",
@@ -90,71 +98,75 @@
     entry(
         "host drain",
         "ADMIN_ADDRESS",
-        "Let a host hand all its work over and take no more.",
+        "Make a host hand over all of its work and accept no new work.",
     ),
     entry(
         "status",
         "",
-        "Tell which version is in force where, who owns what, and which accounts are served worst.",
+        "Print the document version in force on each host, the endpoints that each host owns, and the worst-served accounts.",
+    ),
+    entry(
+        "completions",
+        "bash|zsh|fish",
+        "Print the completion script of a shell.",
     ),
-    entry("completions", "bash|zsh|fish", "Print completions of a shell."),
 ];
 
 const OPTIONS: &str = "\
 Options of all commands:
-  --store http://IP:PORT    The key-value service; repeat it for further addresses.
-                            Default: BURDOCKROAD_STORE, with commas between addresses.
-  --data-folder FOLDER      The embedded store of a single host that is not running.
+  --store http://IP:PORT    Address of the key-value service; repeat it for more addresses.
+                            Default: BURDOCKROAD_STORE, addresses separated by commas.
+  --data-folder FOLDER      Data folder of the embedded store of a single host that is not running.
   --host IP:PORT            Admin address of a host; repeat it for each host.
-                            Default: BURDOCKROAD_HOSTS, with commas between addresses.
-  --host-list URL           Take the hosts from the platform's host list instead.
+                            Default: BURDOCKROAD_HOSTS, addresses separated by commas.
+  --host-list URL           Read the hosts from the platform's host list instead.
   --admin-port PORT         Admin port of hosts from the host list. Default: 8082.
-  --output text|json        Form of what is printed. Default: text.
-  --expect-version N        Change nothing unless the stored version is N.
-  --dry-run                 Show the change and store nothing.
-  --wait SECONDS            How long to wait until a change is in force on every host. Default: 10.
-  --no-wait                 Do not wait.
+  --output text|json        Output format. Default: text.
+  --expect-version N        Refuse the change unless the stored version is N.
+  --dry-run                 Print the change without storing it.
+  --wait SECONDS            Maximum time to wait until a change is in force on every host. Default: 10.
+  --no-wait                 Return without waiting until the change is in force.
   --help, --version
 ";
 
 const EXIT_CODES: &str = "\
 Exit codes:
-  0  done
-  1  failed
+  0  the command succeeded
+  1  the command failed for another reason
   2  the command line is not valid; nothing was done
   3  the document is not valid; nothing was changed
-  4  the change is stored, but not in force on every host within the time
-  5  somebody else changed the document meanwhile; nothing was changed
+  4  the change is stored, but was not in force on every host before the timeout
+  5  the document was changed concurrently; this command changed nothing
   6  the store cannot be reached; nothing was changed
-  7  it could not be found out whether the change is stored
-  8  what the command names does not exist; nothing was changed
+  7  it is not known whether the change is stored
+  8  the object that the command names does not exist; nothing was changed
 ";
 
 impl Entry {
     fn lines(&self) -> String {
         let usage = format!("  {} {}", self.words, self.arguments);
-        format!("{}\n      {}", usage.trim_end(), self.purpose)
+        format!("{}\n      {}", usage.trim_end(), self.description)
     }
 }
 
-const fn entry(words: &'static str, arguments: &'static str, purpose: &'static str) -> Entry {
+const fn entry(words: &'static str, arguments: &'static str, description: &'static str) -> Entry {
     Entry {
         words,
         arguments,
-        purpose,
+        description,
     }
 }
 
-/// Returns the help of the commands that begin with some words, or of all.
+/// Returns the help of the commands whose first words match, or of all commands if none match.
 pub fn text(words: &[&str]) -> String {
-    let wanted = |entry: &&Entry| {
+    let matches_words = |entry: &&Entry| {
         let mut entry_words = entry.words.split(' ');
         words
             .iter()
             .take(2)
-            .all(|word| entry_words.next().is_none_or(|own| own == *word))
+            .all(|word| entry_words.next().is_none_or(|entry_word| entry_word == *word))
     };
-    let entries: Vec<&Entry> = ENTRIES.iter().filter(wanted).collect();
+    let entries: Vec<&Entry> = ENTRIES.iter().filter(matches_words).collect();
     let entries = if entries.is_empty() {
         ENTRIES.iter().collect()
     } else {
--- a/crates/burdockroad-cli/src/hosts.rs
+++ b/crates/burdockroad-cli/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Asks the hosts at their admin addresses.
+//! Client for the admin addresses of the hosts.
 
 use std::time::Duration;
 
@@ -16,43 +16,43 @@
 
 use crate::error::CliError;
 
-/// Time in which a host must have answered.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a request to a host.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer that is read, in bytes.
-const ANSWER_MAX_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum size of a response body, in bytes.
+const RESPONSE_MAX_BYTES: usize = 64 * 1024 * 1024;
 
-/// Pause between two rounds of asking.
+/// Interval between two status requests to a host.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The hosts, by their admin addresses.
+/// Hosts, identified by their admin addresses.
 #[derive(Clone, Debug)]
 pub struct Hosts {
     addresses: Vec<String>,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// What one host answered.
+/// Response of a host.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// HTTP status.
+pub struct HostResponse {
+    /// Status of the HTTP response.
     pub status: StatusCode,
-    /// Body.
+    /// Body of the HTTP response.
     pub body: Bytes,
 }
 
-/// A host on which a version is not in force.
+/// Host on which a version is not in force yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
-pub struct Behind {
+pub struct LaggingHost {
     /// Admin address of the host.
     pub address: String,
-    /// Why, for people.
+    /// Reason as readable text.
     pub reason: String,
 }
 
 impl Hosts {
-    /// Makes clients of hosts at these admin addresses, as `IP:PORT`.
+    /// Creates a client for hosts with these admin addresses, each of the form `IP:PORT`.
     pub fn new(addresses: Vec<String>) -> Self {
         Self {
             addresses,
@@ -65,12 +65,17 @@
         &self.addresses
     }
 
-    /// Asks one host.
+    /// Sends a request without a body to one host and returns its response.
     ///
     /// # Errors
     ///
-    /// Fails when the host does not answer in time.
-    pub async fn ask(&self, address: &str, method: Method, target: &str) -> Result<Answer, CliError> {
+    /// Fails if the host does not respond before the timeout.
+    pub async fn request(
+        &self,
+        address: &str,
+        method: Method,
+        target: &str,
+    ) -> Result<HostResponse, CliError> {
         self.send(address, method, target, Bytes::new()).await
     }
 
@@ -80,52 +85,53 @@
         method: Method,
         target: &str,
         body: Bytes,
-    ) -> Result<Answer, CliError> {
+    ) -> Result<HostResponse, CliError> {
         let failed = |reason: String| CliError::Failed(format!("{address}: {reason}"));
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{target}"))
             .body(Full::new(body))
             .map_err(|error| failed(error.to_string()))?;
-        let answer = async {
-            let answer = self.client.request(request).await;
-            let answer = answer.map_err(|error| failed(with_causes(&error)))?;
-            let status = answer.status();
-            let body = Limited::new(answer.into_body(), ANSWER_MAX_BYTES);
+        let response = async {
+            let response = self.client.request(request).await;
+            let response = response.map_err(|error| failed(with_causes(&error)))?;
+            let status = response.status();
+            let body = Limited::new(response.into_body(), RESPONSE_MAX_BYTES);
             let body = body.collect().await.map_err(|error| failed(error.to_string()))?;
-            Ok(Answer {
+            Ok(HostResponse {
                 status,
                 body: body.to_bytes(),
             })
         };
-        match timeout(ANSWER_TIMEOUT, answer).await {
-            Ok(answer) => answer,
-            Err(_) => Err(failed("no answer in time".to_owned())),
+        match timeout(RESPONSE_TIMEOUT, response).await {
+            Ok(response) => response,
+            Err(_) => Err(failed("timed out waiting for a response".to_owned())),
         }
     }
 
-    /// Asks one host how it is.
+    /// Fetches the status of one host.
     ///
     /// # Errors
     ///
-    /// Fails when the host does not answer in time, or not with a status.
+    /// Fails if the host does not respond before the timeout, or if the response is not a status.
     pub async fn status(&self, address: &str) -> Result<Status, CliError> {
-        let answer = self.ask(address, Method::GET, "/status").await?;
-        serde_json::from_slice(&answer.body).map_err(|error| CliError::Failed(format!("{address}: {error}")))
+        let response = self.request(address, Method::GET, "/status").await?;
+        serde_json::from_slice(&response.body)
+            .map_err(|error| CliError::Failed(format!("{address}: {error}")))
     }
 
-    /// Waits until a stored version, or a higher one, is in force on every host; returns those where it
-    /// is not.
+    /// Waits until a stored version, or a higher one, is in force on every host. Returns the hosts on
+    /// which it is not in force when the wait ends.
     ///
-    /// Hosts that are behind are handed the document; those that can confirm theirs do not take it and
-    /// learn of it from the store or a peer. Each host is asked by itself, so that a silent one does not
-    /// hide what the others answer.
-    pub async fn wait_in_force(&self, stored: &VersionedDocument, wait: Duration) -> Vec<Behind> {
+    /// The document is sent to hosts that have an older version. A host that can confirm its own document
+    /// ignores the sent one and receives the new version from the store or a peer. Each host is polled
+    /// independently, so that an unresponsive host does not delay the results of the others.
+    pub async fn wait_in_force(&self, stored: &VersionedDocument, wait: Duration) -> Vec<LaggingHost> {
         let deadline = Instant::now() + wait;
         let addresses = self.addresses.iter();
         let waiting = addresses.map(|address| self.wait_for_host(address, stored, deadline));
-        let behind = futures_util::future::join_all(waiting).await;
-        behind.into_iter().flatten().collect()
+        let lagging_hosts = futures_util::future::join_all(waiting).await;
+        lagging_hosts.into_iter().flatten().collect()
     }
 
     async fn wait_for_host(
@@ -133,25 +139,25 @@
         address: &str,
         stored: &VersionedDocument,
         deadline: Instant,
-    ) -> Option<Behind> {
+    ) -> Option<LaggingHost> {
         loop {
-            let behind = self.behind(address, stored.version).await?;
+            let lagging_host = self.lagging_host(address, stored.version).await?;
             if Instant::now() >= deadline {
-                return Some(behind);
+                return Some(lagging_host);
             }
             sleep(POLL_INTERVAL).await;
             self.offer(address, stored).await;
         }
     }
 
-    /// Hands the document to a host; what came of it shows when the host is asked again.
+    /// Sends the document to a host. The next status request shows whether the host put it in force.
     async fn offer(&self, address: &str, stored: &VersionedDocument) -> Option<DocumentResponse> {
         let body = Bytes::from(stored.to_bytes());
-        let answer = self.send(address, Method::POST, "/document", body).await.ok()?;
-        serde_json::from_slice(&answer.body).ok()
+        let response = self.send(address, Method::POST, "/document", body).await.ok()?;
+        serde_json::from_slice(&response.body).ok()
     }
 
-    async fn behind(&self, address: &str, version: DocumentVersion) -> Option<Behind> {
+    async fn lagging_host(&self, address: &str, version: DocumentVersion) -> Option<LaggingHost> {
         let reason = match self.status(address).await {
             Ok(status) if status.document.version >= version => return None,
             Ok(status) => format!(
@@ -160,7 +166,7 @@
             ),
             Err(error) => error.to_string(),
         };
-        Some(Behind {
+        Some(LaggingHost {
             address: address.to_owned(),
             reason,
         })
--- a/crates/burdockroad-cli/src/lib.rs
+++ b/crates/burdockroad-cli/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' command-line tool, `burdockroad`.
 //!
-//! Every change is an edit of the one configuration document: [`edit`] changes its text and keeps the
-//! comments, [`apply`] writes it by compare-and-swap, and [`hosts`] waits until it is in force.
+//! Each change edits the configuration document. [`edit`] changes its text and preserves the comments,
+//! [`apply`] writes it with compare-and-swap, and [`hosts`] waits until it is in force on the hosts.
 
 pub mod apply;
 mod args;
@@ -20,11 +20,11 @@
     report::{Outcome, Report},
 };
 
-/// Runs one command, given by its arguments without the program's name.
+/// Runs one command. The arguments do not include the name of the executable.
 pub async fn run(arguments: Vec<OsString>) -> Outcome {
     let (output, result) = match args::parse(arguments) {
-        Ok(args::Request::Help(text)) => return Outcome::text(text),
-        Ok(args::Request::Run(options, command)) => {
+        Ok(args::Invocation::Help(text)) => return Outcome::text(text),
+        Ok(args::Invocation::Run(options, command)) => {
             let output = options.output;
             (output, commands::run(&options, command).await)
         }
--- a/crates/burdockroad-cli/src/main.rs
+++ b/crates/burdockroad-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `burdockroad`, the operators' command-line tool.
+//! Entry point of `burdockroad`, the operators' command-line tool.
 
 use std::{env, io::Write, process::ExitCode};
 
--- a/crates/burdockroad-cli/src/report.rs
+++ b/crates/burdockroad-cli/src/report.rs
@@ -1,45 +1,45 @@
-//! What a command prints.
+//! Output of a command.
 
 use serde_json::{Value, json};
 
 use crate::error::{CliError, Exit};
 
-/// Form in which results are printed.
+/// Output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Output {
-    /// For people.
+    /// Readable text.
     #[default]
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// Result of a command that did what it was asked for.
+/// Result of a command that did not return an error.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// For people; ends with a line break unless it is empty.
+    /// Result as readable text; ends with a line break unless it is empty.
     pub text: String,
-    /// For programs.
+    /// Result as JSON.
     pub json: Value,
-    /// What people have to know besides, on standard error.
+    /// Additional lines for the operator, printed on standard error.
     pub notes: Vec<String>,
-    /// Whether anything is left to be done.
+    /// Exit code; not [`Exit::Done`] if the result is incomplete.
     pub exit: Exit,
 }
 
-/// What the process prints, and its exit code.
+/// Output and exit code of the process.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// For standard output.
+    /// Text for standard output.
     pub stdout: String,
-    /// For standard error.
+    /// Text for standard error.
     pub stderr: String,
-    /// Exit code.
+    /// Exit code of the process.
     pub exit: Exit,
 }
 
 impl Report {
-    /// Makes the report of a command that is done.
+    /// Creates the report of a command that succeeded.
     pub fn new(lines: impl IntoIterator<Item = String>, json: Value) -> Self {
         let text = lines.into_iter().map(|line| line + "\n").collect();
         Self {
@@ -52,7 +52,7 @@
 }
 
 impl Outcome {
-    /// Makes the outcome of a command that only prints a text.
+    /// Creates the outcome of a command that only prints a text.
     pub fn text(text: impl Into<String>) -> Self {
         Self {
             stdout: text.into(),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Turns the result of a command into what is printed.
+/// Renders the result of a command in an output format.
 pub(crate) fn render(output: Output, result: Result<Report, CliError>) -> Outcome {
     match result {
         Ok(report) => Outcome {
--- a/crates/burdockroad-cli/tests/apply.rs
+++ b/crates/burdockroad-cli/tests/apply.rs
@@ -1,4 +1,4 @@
-//! Changes of the document by operators who race, over a store that loses requests and replies.
+//! Tests of concurrent document changes, with a store that loses requests and responses.
 
 use burdockroad_cli::{
     CliError, Exit,
@@ -6,7 +6,7 @@
 };
 use burdockroad_daemon::platform::{Fault, MemoryKeyValue};
 
-fn text(burst: u32) -> String {
+fn document_text(burst: u32) -> String {
     format!(
         r#"{{ "sites": [], "routes": [], "endpoint_sets": [],
             "accounts": [{{ "id": "a", "rate_per_s": 1, "burst": {burst} }}] }}"#
@@ -14,17 +14,18 @@
 }
 
 async fn stored_burst(store: &MemoryKeyValue) -> (u64, u32) {
-    let stored = Base::read(store).await.expect("the store answers").versioned;
+    let stored = Base::read(store).await.expect("the store is available").versioned;
     let account = stored.document.accounts.first();
     (stored.version, account.map_or(0, |account| account.burst))
 }
 
 async fn apply(store: &MemoryKeyValue, base: &Base, burst: u32) -> Result<u64, CliError> {
-    let applied = base.apply(store, text(burst), "test").await;
+    let applied = base.apply(store, document_text(burst), "test").await;
     applied.map(|applied| applied.version)
 }
 
-/// What the store does to the writes of one change: first that of the history, then the change itself.
+/// Faults of the store for the writes of one change, and the expected result. The first write is that of
+/// the history; the change itself follows.
 struct Case {
     faults: &'static [Fault],
     exit: Exit,
@@ -60,7 +61,7 @@
             exit: Exit::Unavailable,
             stored: (1, 1),
         },
-        // After a loss even a refusal leaves it open whether the first write took effect.
+        // After a lost response, a refused write does not show whether the first write took effect.
         Case {
             faults: &[None, ReplyLost, Refused, Refused],
             exit: Exit::Done,
@@ -77,10 +78,10 @@
     ];
     for case in cases {
         let store = MemoryKeyValue::new();
-        let base = Base::read(&store).await.expect("the store answers");
+        let base = Base::read(&store).await.expect("the store is available");
         apply(&store, &base, 1).await.expect("the store has no faults");
         let client = store.client();
-        let base = Base::read(&client).await.expect("the store answers");
+        let base = Base::read(&client).await.expect("the store is available");
         client.script(case.faults.iter().copied());
         let result = apply(&client, &base, 2).await;
         let exit = result.as_ref().map_or_else(CliError::exit, |_| Exit::Done);
@@ -93,11 +94,15 @@
 async fn apply_two_operators() {
     let store = MemoryKeyValue::new();
     let (first, second) = (store.client(), store.client());
-    let base = Base::read(&first).await.expect("the store answers");
+    let base = Base::read(&first).await.expect("the store is available");
     let (one, two) = tokio::join!(apply(&first, &base, 1), apply(&second, &base, 2));
-    let wins = [one.is_ok(), two.is_ok()];
-    assert_eq!(wins.iter().filter(|&&wins| wins).count(), 1, "{one:?} {two:?}");
-    let loser = one.err().or(two.err()).expect("one of them lost");
+    let succeeded = [one.is_ok(), two.is_ok()];
+    assert_eq!(
+        succeeded.iter().filter(|&&succeeded| succeeded).count(),
+        1,
+        "{one:?} {two:?}"
+    );
+    let loser = one.err().or(two.err()).expect("one of the changes is refused");
     let CliError::Superseded {
         expected: 0,
         found: 1,
@@ -109,20 +114,21 @@
     assert_eq!(changes[0].path, "accounts.a");
 }
 
-/// The reply to the first operator's write is lost, and a second operator goes on from it at once.
+/// The response to the first operator's write is lost, and a second operator replaces the written version
+/// before the first one retries. The first operator must still report success.
 #[tokio::test(start_paused = true)]
 async fn apply_lost_reply_then_replaced() {
     let store = MemoryKeyValue::new();
-    let base = Base::read(&store).await.expect("the store answers");
+    let base = Base::read(&store).await.expect("the store is available");
     apply(&store, &base, 1).await.expect("the store has no faults");
     let first = store.client();
-    let base = Base::read(&first).await.expect("the store answers");
+    let base = Base::read(&first).await.expect("the store is available");
     first.script([Fault::None, Fault::ReplyLost]);
     let second = async {
         while stored_burst(&store).await.0 < 2 {
             tokio::task::yield_now().await;
         }
-        let base = Base::read(&store).await.expect("the store answers");
+        let base = Base::read(&store).await.expect("the store is available");
         apply(&store, &base, 3).await
     };
     let (first, second) = tokio::join!(apply(&first, &base, 2), second);
@@ -131,18 +137,23 @@
 }
 
 #[tokio::test]
-async fn apply_keeps_history() {
+async fn apply_retains_history() {
     let store = MemoryKeyValue::new();
     for burst in 1..=70 {
-        let base = Base::read(&store).await.expect("the store answers");
+        let base = Base::read(&store).await.expect("the store is available");
         apply(&store, &base, burst)
             .await
             .expect("the store has no faults");
     }
-    let versions = history_versions(&store).await.expect("the store answers");
+    let versions = history_versions(&store).await.expect("the store is available");
     assert_eq!(versions, (6..=69).collect::<Vec<_>>());
-    let kept = history(&store, 69).await.expect("the store answers");
-    let kept = kept.expect("the version is kept").document;
-    assert_eq!(kept.accounts[0].burst, 69);
-    assert!(history(&store, 5).await.expect("the store answers").is_none());
+    let archived = history(&store, 69).await.expect("the store is available");
+    let archived = archived.expect("the history contains the version").document;
+    assert_eq!(archived.accounts[0].burst, 69);
+    assert!(
+        history(&store, 5)
+            .await
+            .expect("the store is available")
+            .is_none()
+    );
 }
--- a/crates/burdockroad-cli/tests/commands.rs
+++ b/crates/burdockroad-cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Commands from their arguments to what they print, over an embedded store and small hosts.
+//! Tests of commands from their arguments to their output, with an embedded store and simulated hosts.
 
 use std::{ffi::OsString, path::Path, sync::Arc};
 
@@ -19,7 +19,7 @@
 
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/trust/document.jsonc");
 
-/// A host that has one version in force, and owns one program.
+/// Simulated host that has one version in force and owns one program.
 #[derive(Debug)]
 struct Host {
     version: u64,
@@ -55,7 +55,7 @@
 #[async_trait]
 impl OperatorActions for Host {
     async fn programs(&self, account_id: Option<AccountId>) -> Vec<ProgramSummary> {
-        let own = ProgramSummary {
+        let summary = ProgramSummary {
             program_id: self.program_id.to_owned(),
             account_id: "a".to_owned(),
             parent_id: None,
@@ -64,13 +64,13 @@
             spent_tokens: 2,
             age_s: 3,
         };
-        let wanted = account_id.is_none_or(|account_id| account_id == own.account_id);
-        wanted.then_some(own).into_iter().collect()
+        let matches_account = account_id.is_none_or(|account_id| account_id == summary.account_id);
+        matches_account.then_some(summary).into_iter().collect()
     }
 
     async fn program(&self, program_id: ProgramId) -> Option<ProgramSummary> {
-        let own = self.programs(None).await.pop();
-        own.filter(|own| own.program_id == program_id)
+        let summary = self.programs(None).await.pop();
+        summary.filter(|summary| summary.program_id == program_id)
     }
 
     async fn end_program(&self, program_id: ProgramId) -> bool {
@@ -86,7 +86,7 @@
     }
 }
 
-async fn start(version: u64, program_id: &'static str) -> String {
+async fn start_host(version: u64, program_id: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address");
     let host = Arc::new(Host { version, program_id });
@@ -99,20 +99,21 @@
     address.to_string()
 }
 
-/// Runs a command whose words are separated by blanks.
+/// Runs a command line whose words are separated by spaces.
 async fn command(line: &str) -> Outcome {
     run(line.split_whitespace().map(OsString::from).collect()).await
 }
 
-async fn at(folder: &Path, line: &str) -> Outcome {
+/// Runs a command line with the embedded store in a folder.
+async fn run_in_folder(folder: &Path, line: &str) -> Outcome {
     command(&format!("{line} --data-folder {}", folder.display())).await
 }
 
 #[tokio::test]
-async fn run_changes_keep_comments() {
-    let folder = tempfile::tempdir().expect("a scratch folder can be made");
+async fn run_changes_preserve_comments() {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let folder = folder.path();
-    let applied = at(folder, &format!("config apply {EXAMPLE} --expect-version 0")).await;
+    let applied = run_in_folder(folder, &format!("config apply {EXAMPLE} --expect-version 0")).await;
     assert_eq!(applied.exit, Exit::Done, "{}", applied.stderr);
     let changes = [
         ("account add newcomer --rate 2.5 --burst 7", "newcomer"),
@@ -145,37 +146,39 @@
         ("account remove trials", "- accounts.trials"),
     ];
     for (line, expected) in changes {
-        let outcome = at(folder, line).await;
+        let outcome = run_in_folder(folder, line).await;
         assert_eq!(outcome.exit, Exit::Done, "{line}: {}", outcome.stderr);
         assert!(outcome.stdout.contains(expected), "{line}: {}", outcome.stdout);
     }
-    let shown = at(folder, "config show").await;
+    let shown = run_in_folder(folder, "config show").await;
     assert!(shown.stderr.contains("version 11"), "{}", shown.stderr);
     assert!(shown.stdout.contains("// Raise this weight"), "{}", shown.stdout);
-    let original = std::fs::read_to_string(EXAMPLE).expect("the example is there");
-    let earlier = at(folder, "config show --at 1").await;
+    let original = std::fs::read_to_string(EXAMPLE).expect("the example can be read");
+    let earlier = run_in_folder(folder, "config show --at 1").await;
     assert_eq!(earlier.stdout, original);
 }
 
 #[tokio::test]
-async fn run_key_issue_shows_once() {
-    let folder = tempfile::tempdir().expect("a scratch folder can be made");
+async fn run_key_issue_prints_once() {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let folder = folder.path();
-    at(folder, &format!("config apply {EXAMPLE} --expect-version 0")).await;
-    let issued = at(folder, "key issue duty-planners").await;
+    run_in_folder(folder, &format!("config apply {EXAMPLE} --expect-version 0")).await;
+    let issued = run_in_folder(folder, "key issue duty-planners").await;
     let key = issued.stdout.trim();
-    let key_id = key.split('_').nth(1).expect("the key carries its id");
-    let document = at(folder, "config show").await.stdout;
+    let key_id = key.split('_').nth(1).expect("the key contains its id");
+    let document = run_in_folder(folder, "config show").await.stdout;
     assert!(!document.contains(key));
     let table = KeyTable::new(&config::parse(&document).expect("the document is valid"));
     let found = table.lookup(key).expect("the key is valid");
     assert_eq!(found.account_id, "duty-planners");
-    let revoked = at(folder, &format!("key revoke {key_id}")).await;
+    let revoked = run_in_folder(folder, &format!("key revoke {key_id}")).await;
     assert_eq!(revoked.exit, Exit::Done, "{}", revoked.stderr);
-    let document = at(folder, "config show").await.stdout;
+    let document = run_in_folder(folder, "config show").await.stdout;
     let table = KeyTable::new(&config::parse(&document).expect("the document is valid"));
     assert_eq!(table.lookup(key), None);
-    let listed = at(folder, "key list --account duty-planners").await.stdout;
+    let listed = run_in_folder(folder, "key list --account duty-planners")
+        .await
+        .stdout;
     assert!(
         listed.contains(&format!("{key_id} account=duty-planners withdrawn")),
         "{listed}"
@@ -184,10 +187,10 @@
 }
 
 #[tokio::test]
-async fn run_refuses() {
-    let folder = tempfile::tempdir().expect("a scratch folder can be made");
+async fn run_rejects_invalid_commands() {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let folder = folder.path();
-    at(folder, &format!("config apply {EXAMPLE} --expect-version 0")).await;
+    run_in_folder(folder, &format!("config apply {EXAMPLE} --expect-version 0")).await;
     let cases = [
         ("config apply FILE", Exit::Usage, "--expect-version"),
         (
@@ -229,18 +232,18 @@
         ("status", Exit::Usage, "--host"),
     ];
     for (line, exit, expected) in cases {
-        let outcome = at(folder, &line.replace("FILE", EXAMPLE)).await;
+        let outcome = run_in_folder(folder, &line.replace("FILE", EXAMPLE)).await;
         assert_eq!(outcome.exit, exit, "{line}: {}", outcome.stderr);
         assert!(outcome.stderr.contains(expected), "{line}: {}", outcome.stderr);
     }
-    let shown = at(folder, "config show").await;
+    let shown = run_in_folder(folder, "config show").await;
     assert!(shown.stderr.contains("version 1"), "{}", shown.stderr);
 }
 
 #[tokio::test]
-async fn run_store_away() {
-    let nobody = "--store http://127.0.0.1:1 --no-wait";
-    let outcome = command(&format!("account list {nobody}")).await;
+async fn run_store_unavailable() {
+    let unreachable_store = "--store http://127.0.0.1:1 --no-wait";
+    let outcome = command(&format!("account list {unreachable_store}")).await;
     assert_eq!(outcome.exit, Exit::Unavailable, "{}", outcome.stderr);
     let outcome = command("account list --store 127.0.0.1:1").await;
     assert_eq!(outcome.exit, Exit::Failed, "{}", outcome.stderr);
@@ -255,7 +258,7 @@
 
 #[tokio::test]
 async fn run_programs_and_hosts() {
-    let hosts = [start(5, "p-1").await, start(6, "p-2").await];
+    let hosts = [start_host(5, "p-1").await, start_host(6, "p-2").await];
     let hosts = format!("--host {} --host {}", hosts[0], hosts[1]);
     let listed = command(&format!("program list {hosts}")).await;
     assert_eq!(listed.stdout.lines().count(), 2, "{}", listed.stdout);
@@ -271,9 +274,9 @@
     assert_eq!(ended.exit, Exit::Done, "{}", ended.stderr);
     let missing = command(&format!("program end p-3 {hosts}")).await;
     assert_eq!(missing.exit, Exit::Missing, "{}", missing.stderr);
-    // With a host that does not answer nobody can say that the program does not exist.
-    let unsure = command(&format!("program end p-3 {hosts} --host 127.0.0.1:1")).await;
-    assert_eq!(unsure.exit, Exit::Failed, "{}", unsure.stderr);
+    // If a host does not respond, it may own the program, so the program is not reported as missing.
+    let inconclusive = command(&format!("program end p-3 {hosts} --host 127.0.0.1:1")).await;
+    assert_eq!(inconclusive.exit, Exit::Failed, "{}", inconclusive.stderr);
     let status = command(&format!("status {hosts} --host 127.0.0.1:1")).await;
     assert_eq!(status.exit, Exit::Failed);
     assert!(status.stdout.contains("host host-p-2 ") && status.stdout.contains("document=6"));
@@ -285,9 +288,9 @@
 }
 
 #[tokio::test]
-async fn run_prints_without_store() {
+async fn run_without_store() {
     let help = command("key issue --help").await;
-    assert!(help.stdout.contains("shown this once"), "{}", help.stdout);
+    assert!(help.stdout.contains("shown only once"), "{}", help.stdout);
     assert!(!help.stdout.contains("route add"), "{}", help.stdout);
     assert!(command("").await.stdout.contains("Exit codes:"));
     for shell in ["bash", "zsh", "fish"] {
--- a/crates/burdockroad-cli/tests/fleet.rs
+++ b/crates/burdockroad-cli/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The tool against the etcd interface, with hosts of which one is cut off from the store by a proxy.
+//! Tests of commands with the etcd interface and with hosts that a proxy can partition from the store.
 
 use std::{ffi::OsString, sync::Arc, time::Duration};
 
@@ -25,29 +25,29 @@
 
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/trust/document.jsonc");
 
-/// Time that a condition is waited for; the test fails only after it.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout after which a condition that does not hold fails the test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A cut in both directions, while connections stay open.
-const CUT: ProxyFaults = ProxyFaults {
+/// Partition in both directions, in which connections stay open.
+const PARTITION: ProxyFaults = ProxyFaults {
     forward: Forward::Drop,
     backward: Backward::Drop,
     delay_ms: 0,
     cut_open: false,
 };
 
-/// One host: its watch of the document over a proxy, and its admin address.
+/// Simulated host: a watch of the document through a proxy, and an admin address.
 struct Host {
     proxy: ProxyStandin,
     watch: ConfigWatch,
     admin_address: String,
 }
 
-/// Tells what the watch has in force.
+/// Status source that reports the document which a watch has in force.
 #[derive(Debug)]
-struct Watched(InForceReceiver);
+struct WatchStatus(InForceReceiver);
 
-impl StatusSource for Watched {
+impl StatusSource for WatchStatus {
     fn readiness(&self) -> Readiness {
         Readiness::Ready
     }
@@ -75,7 +75,7 @@
 }
 
 #[async_trait]
-impl OperatorActions for Watched {
+impl OperatorActions for WatchStatus {
     async fn programs(&self, _: Option<AccountId>) -> Vec<ProgramSummary> {
         Vec::new()
     }
@@ -98,14 +98,14 @@
         let address = format!("http://{}", proxy.address());
         let store = EtcdKeyValue::new(&[address]).expect("the address is valid");
         let watch = ConfigWatch::start(name.to_owned(), Arc::new(store), Arc::new(PeerClients::new()));
-        let listed = ["near", "cut"].map(listed_host);
+        let listed = ["connected", "partitioned"].map(listed_host);
         watch.gossip().observe_list(&listed);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let admin_address = listener.local_addr().expect("the listener has an address");
-        let watched = Arc::new(Watched(watch.in_force()));
+        let watch_status = Arc::new(WatchStatus(watch.in_force()));
         let handlers = AdminHandlers {
-            status: Arc::<Watched>::clone(&watched),
-            actions: watched,
+            status: Arc::<WatchStatus>::clone(&watch_status),
+            actions: watch_status,
             document: watch.offer(),
         };
         tokio::spawn(serve(listener, handlers, std::future::pending()));
@@ -137,53 +137,68 @@
     run(line.split_whitespace().map(OsString::from).collect()).await
 }
 
-async fn until(what: &str, holds: impl Fn() -> bool) {
+/// Polls until a condition holds.
+async fn wait_until(description: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "still not so: {what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "condition not met before the timeout: {description}"
+        );
         sleep(Duration::from_millis(50)).await;
     }
 }
 
 #[tokio::test]
-async fn apply_lost_replies_in_force_everywhere() {
+async fn apply_lost_responses_in_force_on_all_hosts() {
     let kv = KvStandin::start(KvOptions::default())
         .await
         .expect("the store starts");
-    let (near, other) = (Host::start("near", &kv).await, Host::start("cut", &kv).await);
-    let hosts = [&near, &other];
-    let first = command(
+    let (first, second) = (
+        Host::start("connected", &kv).await,
+        Host::start("partitioned", &kv).await,
+    );
+    let hosts = [&first, &second];
+    let applied = command(
         &kv,
         &hosts,
         &format!("config apply {EXAMPLE} --expect-version 0 --wait 30"),
     )
     .await;
-    assert_eq!(first.exit, Exit::Done, "{}", first.stderr);
-    assert!(first.stdout.contains("in force on 2 hosts"), "{}", first.stdout);
+    assert_eq!(applied.exit, Exit::Done, "{}", applied.stderr);
+    assert!(
+        applied.stdout.contains("in force on 2 hosts"),
+        "{}",
+        applied.stdout
+    );
     for lost_reply in [LostReply::Error, LostReply::Hang] {
-        // The reply about the history, and the one about the change itself.
+        // The response to the write of the history, and the response to the change itself.
         kv.set_faults(KvFaults {
             lose_replies: LoseReplies::Next(2),
             lost_reply,
             ..KvFaults::default()
         });
-        let version = near.in_force().version;
+        let version = first.in_force().version;
         let changed = command(&kv, &hosts, "site shift westmere=1 --wait 30").await;
         assert_eq!(changed.exit, Exit::Done, "{}", changed.stderr);
-        assert_eq!(near.in_force().version, version + 1);
+        assert_eq!(first.in_force().version, version + 1);
         let changed = command(&kv, &hosts, "site shift westmere=0 --wait 30").await;
         assert_eq!(changed.exit, Exit::Done, "{}", changed.stderr);
     }
 }
 
-/// The tool alone reaches the store: without it both hosts would go on, as in an outage for all.
+/// All hosts are partitioned from the store, and only the tool reaches it. Without the document that the
+/// tool sends, both hosts would treat this as an outage for all hosts and keep accepting the key.
 #[tokio::test]
-async fn key_revoke_store_cut_from_all_hosts() {
+async fn key_revoke_all_hosts_partitioned_from_store() {
     let kv = KvStandin::start(KvOptions::default())
         .await
         .expect("the store starts");
-    let (near, cut) = (Host::start("near", &kv).await, Host::start("cut", &kv).await);
-    let hosts = [&near, &cut];
+    let (first, second) = (
+        Host::start("connected", &kv).await,
+        Host::start("partitioned", &kv).await,
+    );
+    let hosts = [&first, &second];
     command(
         &kv,
         &hosts,
@@ -192,9 +207,9 @@
     .await;
     let issued = command(&kv, &hosts, "key issue trials --wait 30").await;
     let key = issued.stdout.trim().to_owned();
-    let key_id = key.split('_').nth(1).expect("the key carries its id");
+    let key_id = key.split('_').nth(1).expect("the key contains its id");
     for host in hosts {
-        host.proxy.set_faults(CUT);
+        host.proxy.set_faults(PARTITION);
     }
     let revoked = command(&kv, &hosts, &format!("key revoke {key_id} --wait 30")).await;
     assert_eq!(revoked.exit, Exit::Done, "{}", revoked.stderr);
@@ -204,15 +219,18 @@
 }
 
 #[tokio::test]
-async fn key_revoke_one_host_cut_off() {
+async fn key_revoke_one_host_partitioned() {
     let kv = KvStandin::start(KvOptions::default())
         .await
         .expect("the store starts");
-    let (near, mut cut) = (Host::start("near", &kv).await, Host::start("cut", &kv).await);
-    let admin = ProxyOptions::new(cut.admin_address.parse().expect("it is an address"));
+    let (connected, mut partitioned) = (
+        Host::start("connected", &kv).await,
+        Host::start("partitioned", &kv).await,
+    );
+    let admin = ProxyOptions::new(partitioned.admin_address.parse().expect("it is an address"));
     let admin = ProxyStandin::start(admin).await.expect("the proxy starts");
-    cut.admin_address = admin.address().to_string();
-    let hosts = [&near, &cut];
+    partitioned.admin_address = admin.address().to_string();
+    let hosts = [&connected, &partitioned];
     command(
         &kv,
         &hosts,
@@ -222,26 +240,33 @@
     let issued = command(&kv, &hosts, "key issue trials --wait 30").await;
     assert_eq!(issued.exit, Exit::Done, "{}", issued.stderr);
     let key = issued.stdout.trim().to_owned();
-    let key_id = key.split('_').nth(1).expect("the key carries its id");
-    until("the cut host accepts the key", || {
-        cut.in_force().accepts_keys() && cut.in_force().keys.lookup(&key).is_some()
+    let key_id = key.split('_').nth(1).expect("the key contains its id");
+    wait_until("the partitioned host accepts the key", || {
+        partitioned.in_force().accepts_keys() && partitioned.in_force().keys.lookup(&key).is_some()
     })
     .await;
-    cut.proxy.set_faults(CUT);
-    admin.set_faults(CUT);
+    partitioned.proxy.set_faults(PARTITION);
+    admin.set_faults(PARTITION);
     let revoked = command(&kv, &hosts, &format!("key revoke {key_id} --wait 2")).await;
     assert_eq!(revoked.exit, Exit::NotInForce, "{}", revoked.stderr);
-    assert!(revoked.stderr.contains(&cut.admin_address), "{}", revoked.stderr);
     assert!(
-        !revoked.stderr.contains(&near.admin_address),
+        revoked.stderr.contains(&partitioned.admin_address),
         "{}",
         revoked.stderr
     );
-    assert!(near.in_force().keys.lookup(&key).is_none());
-    until("the cut host refuses all keys", || !cut.in_force().accepts_keys()).await;
-    cut.proxy.set_faults(ProxyFaults::default());
-    until("the key is withdrawn there too", || {
-        cut.in_force().accepts_keys() && cut.in_force().keys.lookup(&key).is_none()
+    assert!(
+        !revoked.stderr.contains(&connected.admin_address),
+        "{}",
+        revoked.stderr
+    );
+    assert!(connected.in_force().keys.lookup(&key).is_none());
+    wait_until("the partitioned host refuses all keys", || {
+        !partitioned.in_force().accepts_keys()
+    })
+    .await;
+    partitioned.proxy.set_faults(ProxyFaults::default());
+    wait_until("the key is withdrawn on the partitioned host", || {
+        partitioned.in_force().accepts_keys() && partitioned.in_force().keys.lookup(&key).is_none()
     })
     .await;
 }
