--- a/crates/burdockroad-cli/src/commands/host.rs
+++ b/crates/burdockroad-cli/src/commands/host.rs
@@ -63,9 +63,7 @@
     if response.status != StatusCode::ACCEPTED {
         return Err(CliError::Failed(format!("{address}: {}", response.status)));
     }
-    let line = format!(
-        "{address} is handing over its work; `burdockroad status` shows when it owns no partitions or programs"
-    );
+    let line = format!("{address} hands its work over; `burdockroad status` shows when it owns nothing more");
     Ok(Report::new(
         [line],
         json!({ "address": address, "draining": true }),
--- a/crates/burdockroad-cli/tests/fleet.rs
+++ b/crates/burdockroad-cli/tests/fleet.rs
@@ -154,23 +154,19 @@
     let kv = KvStandin::start(KvOptions::default())
         .await
         .expect("the store starts");
-    let (first, second) = (
+    let (host_a, host_b) = (
         Host::start("connected", &kv).await,
         Host::start("partitioned", &kv).await,
     );
-    let hosts = [&first, &second];
-    let applied = command(
+    let hosts = [&host_a, &host_b];
+    let first = command(
         &kv,
         &hosts,
         &format!("config apply {EXAMPLE} --expect-version 0 --wait 30"),
     )
     .await;
-    assert_eq!(applied.exit, Exit::Done, "{}", applied.stderr);
-    assert!(
-        applied.stdout.contains("in force on 2 hosts"),
-        "{}",
-        applied.stdout
-    );
+    assert_eq!(first.exit, Exit::Done, "{}", first.stderr);
+    assert!(first.stdout.contains("in force on 2 hosts"), "{}", first.stdout);
     for lost_reply in [LostReply::Error, LostReply::Hang] {
         // The response to the write of the history, and the response to the change itself.
         kv.set_faults(KvFaults {
@@ -178,10 +174,10 @@
             lost_reply,
             ..KvFaults::default()
         });
-        let version = first.in_force().version;
+        let version = host_a.in_force().version;
         let changed = command(&kv, &hosts, "site shift westmere=1 --wait 30").await;
         assert_eq!(changed.exit, Exit::Done, "{}", changed.stderr);
-        assert_eq!(first.in_force().version, version + 1);
+        assert_eq!(host_a.in_force().version, version + 1);
         let changed = command(&kv, &hosts, "site shift westmere=0 --wait 30").await;
         assert_eq!(changed.exit, Exit::Done, "{}", changed.stderr);
     }
@@ -194,11 +190,11 @@
     let kv = KvStandin::start(KvOptions::default())
         .await
         .expect("the store starts");
-    let (first, second) = (
+    let (host_a, host_b) = (
         Host::start("connected", &kv).await,
         Host::start("partitioned", &kv).await,
     );
-    let hosts = [&first, &second];
+    let hosts = [&host_a, &host_b];
     command(
         &kv,
         &hosts,
