--- a/crates/burdockroad-site/src/bin/measure/cost.rs
+++ b/crates/burdockroad-site/src/bin/measure/cost.rs
@@ -11,8 +11,8 @@
 };
 
 /// Programs with a waiting call, in the smaller and the larger run.
-const FEW: usize = 1_000;
-const MANY: usize = 1_000_000;
+const SMALL_PROGRAM_COUNT: usize = 1_000;
+const LARGE_PROGRAM_COUNT: usize = 1_000_000;
 
 /// Decisions of which the mean is taken, and runs of which the best mean is taken.
 const DECISIONS: usize = 50_000;
@@ -24,13 +24,13 @@
 
 /// Growth of the cost of serving one call while the waiting programs grow a thousandfold.
 pub(crate) fn decision_cost(seed: u64) -> Figure {
-    let few = cost_ns(FEW, seed);
-    let many = cost_ns(MANY, seed);
+    let small_cost_ns = cost_ns(SMALL_PROGRAM_COUNT, seed);
+    let large_cost_ns = cost_ns(LARGE_PROGRAM_COUNT, seed);
     Figure {
         case: "decision_cost",
         name: "growth_of_ns_per_call",
-        baseline: few,
-        value: many / few,
+        baseline: small_cost_ns,
+        value: large_cost_ns / small_cost_ns,
         bound: Bound::AtMost(2.0),
     }
 }
@@ -69,7 +69,7 @@
         first_token: Some(Duration::from_millis(400)),
         ..Report::default()
     };
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     for call in calls {
         if let Some(slot_id) = slots.pop() {
             pool.complete(slot_id, &report, now);
@@ -77,7 +77,7 @@
         pool.submit(call, now);
         slots.extend(pool.tick(now).assignments.iter().map(|a| a.slot_id));
     }
-    began_at.elapsed().as_secs_f64() * 1e9 / float(DECISIONS as u64)
+    started_at.elapsed().as_secs_f64() * 1e9 / float(DECISIONS as u64)
 }
 
 fn call(program: usize, generator: &mut Generator, now: Instant) -> Call {
--- a/crates/burdockroad-site/src/bin/measure/driver.rs
+++ b/crates/burdockroad-site/src/bin/measure/driver.rs
@@ -12,21 +12,21 @@
 use burdockroad::dispatch::{LoadReport, Report};
 
 use crate::{
-    load::{Generator, PROMPT_TOKENS_PER_S, Program, float, serve_s},
-    policies::{Asked, Decided, Policy, Started, Turned},
+    load::{Generator, PROMPT_TOKENS_PER_S, Program, float, slot_time_s},
+    policies::{CallRequest, Decisions, Policy, RefusedCall, StartedCall},
 };
 
 /// Time that a call may wait for a slot.
-const PATIENCE: Duration = Duration::from_secs(10);
+const SLOT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Refused calls of a program, in a row, after which its caller gives up.
-const TRIES_MAX: u32 = 4;
+const REFUSALS_MAX: u32 = 4;
 
 /// Time between two load reports, and their age.
-const REPORT_S: f64 = 0.5;
+const REPORT_INTERVAL_S: f64 = 0.5;
 
 /// Part of the evictions that are reported.
-const REPORTED_EVICTIONS: f64 = 0.9;
+const REPORTED_EVICTION_SHARE: f64 = 0.9;
 
 /// Engines of one pool.
 #[derive(Clone, Copy, Debug)]
@@ -39,7 +39,7 @@
 
 /// A program that came to its end.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ended {
+pub(crate) struct EndedProgram {
     pub(crate) account: usize,
     pub(crate) arrival_s: f64,
     pub(crate) at_s: f64,
@@ -51,7 +51,7 @@
 /// What a run came to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
-    pub(crate) ended: Vec<Ended>,
+    pub(crate) ended: Vec<EndedProgram>,
     /// Prompt tokens that were computed again.
     pub(crate) recomputed_tokens: u64,
 }
@@ -64,22 +64,22 @@
     Wake,
 }
 
-struct ProgramRow {
+struct ProgramState {
     program: Program,
     turn: usize,
     context_tokens: u64,
     attained_tokens: u64,
     last_endpoint: Option<usize>,
-    tries: u32,
+    refusals: u32,
 }
 
 #[derive(Default)]
 struct Engine {
     max_tokens: u64,
     tokens: u64,
-    held: HashMap<usize, (u64, u64)>,
-    by_use: BTreeMap<u64, usize>,
-    uses: u64,
+    cached: HashMap<usize, (u64, u64)>,
+    least_recently_used: BTreeMap<u64, usize>,
+    use_count: u64,
     running: u32,
     evicted: Vec<usize>,
 }
@@ -91,13 +91,13 @@
     now_s: f64,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     sequence: u64,
-    programs: Vec<ProgramRow>,
+    programs: Vec<ProgramState>,
     engines: Vec<Engine>,
-    slots: HashMap<usize, (Started, Report)>,
+    slots: HashMap<usize, (StartedCall, Report)>,
     generator: Generator,
-    left: usize,
+    unfinished_programs: usize,
     /// Whether an ended program is followed by a new one at once.
-    closed: Option<usize>,
+    closed_loop_programs: Option<usize>,
     outcome: Outcome,
 }
 
@@ -123,100 +123,100 @@
             engines: (0..fleet.endpoints).map(|_| engine()).collect(),
             slots: HashMap::new(),
             generator: Generator::new(seed),
-            left: 0,
-            closed: None,
+            unfinished_programs: 0,
+            closed_loop_programs: None,
             outcome: Outcome::default(),
         };
-        driver.at(0.0, Event::Report);
+        driver.schedule(0.0, Event::Report);
         for program in programs {
-            driver.add(program);
+            driver.add_program(program);
         }
         driver
     }
 
     /// Follows each program that ends by a new one, until this many have been started.
-    pub(crate) fn closed_until(mut self, programs: usize) -> Self {
-        self.closed = Some(programs);
+    pub(crate) fn closed_loop(mut self, programs: usize) -> Self {
+        self.closed_loop_programs = Some(programs);
         self
     }
 
     /// Runs until all programs have ended.
     pub(crate) fn run(mut self) -> Outcome {
-        while self.left > 0
+        while self.unfinished_programs > 0
             && let Some(Reverse((at, _, event))) = self.events.pop()
         {
             self.now_s = at.as_secs_f64();
             match event {
-                Event::Call(program) => self.call(program),
-                Event::Served(program) => self.served(program),
+                Event::Call(program) => self.submit_call(program),
+                Event::Served(program) => self.finish_call(program),
                 Event::Report => self.report(),
                 Event::Wake => {}
             }
-            let decided = self.policy.decide(self.now());
-            self.carry_out(decided);
+            let decisions = self.policy.decide(self.now());
+            self.apply_decisions(decisions);
             if let Some(wake_at) = self.policy.wake_at() {
                 let wake_s = wake_at.saturating_duration_since(self.start).as_secs_f64();
-                if wake_s < self.now_s + REPORT_S {
-                    self.at(wake_s.max(self.now_s + 0.001), Event::Wake);
+                if wake_s < self.now_s + REPORT_INTERVAL_S {
+                    self.schedule(wake_s.max(self.now_s + 0.001), Event::Wake);
                 }
             }
         }
         self.outcome
     }
 
-    fn add(&mut self, program: Program) {
+    fn add_program(&mut self, program: Program) {
         let index = self.programs.len();
-        self.at(program.arrival_s, Event::Call(index));
-        self.left += 1;
-        self.programs.push(ProgramRow {
+        self.schedule(program.arrival_s, Event::Call(index));
+        self.unfinished_programs += 1;
+        self.programs.push(ProgramState {
             program,
             turn: 0,
             context_tokens: 0,
             attained_tokens: 0,
             last_endpoint: None,
-            tries: 0,
+            refusals: 0,
         });
     }
 
-    fn call(&mut self, program: usize) {
+    fn submit_call(&mut self, program: usize) {
         let now = self.now();
-        let row = &self.programs[program];
-        let asked = Asked {
+        let state = &self.programs[program];
+        let request = CallRequest {
             program,
-            account: row.program.account,
-            turn: row.turn,
-            prompt_tokens: row.context_tokens + row.program.turns[row.turn].added_tokens,
-            attained_tokens: row.attained_tokens,
-            last_endpoint: row.last_endpoint,
-            slot_deadline: now + PATIENCE,
+            account: state.program.account,
+            turn: state.turn,
+            prompt_tokens: state.context_tokens + state.program.turns[state.turn].added_tokens,
+            attained_tokens: state.attained_tokens,
+            last_endpoint: state.last_endpoint,
+            slot_deadline: now + SLOT_TIMEOUT,
         };
-        let decided = self.policy.submit(asked, now);
-        self.carry_out(decided);
+        let decisions = self.policy.submit(request, now);
+        self.apply_decisions(decisions);
     }
 
-    fn carry_out(&mut self, decided: Decided) {
-        for started in decided.started {
+    fn apply_decisions(&mut self, decisions: Decisions) {
+        for started in decisions.started {
             self.start_call(started);
         }
-        for refused in decided.refused {
-            self.refused(refused);
+        for refused in decisions.refused {
+            self.on_refusal(refused);
         }
     }
 
-    fn start_call(&mut self, started: Started) {
-        let row = &mut self.programs[started.program];
-        let turn = row.program.turns[row.turn];
-        let prompt_tokens = row.context_tokens + turn.added_tokens;
+    fn start_call(&mut self, started: StartedCall) {
+        let state = &mut self.programs[started.program];
+        let turn = state.program.turns[state.turn];
+        let prompt_tokens = state.context_tokens + turn.added_tokens;
         let engine = &mut self.engines[started.endpoint];
         let cached_tokens = engine
-            .held
+            .cached
             .get(&started.program)
-            .map_or(0, |held| held.0.min(prompt_tokens));
-        self.outcome.recomputed_tokens += row.context_tokens.saturating_sub(cached_tokens);
-        row.tries = 0;
-        row.last_endpoint = Some(started.endpoint);
+            .map_or(0, |cached| cached.0.min(prompt_tokens));
+        self.outcome.recomputed_tokens += state.context_tokens.saturating_sub(cached_tokens);
+        state.refusals = 0;
+        state.last_endpoint = Some(started.endpoint);
         engine.running += 1;
-        engine.hold(started.program, prompt_tokens + turn.output_tokens);
+        engine.cache_prefix(started.program, prompt_tokens + turn.output_tokens);
         let computed = prompt_tokens - cached_tokens;
         let report = Report {
             prompt_tokens,
@@ -226,61 +226,64 @@
             failed: false,
         };
         self.slots.insert(started.program, (started, report));
-        self.at(
-            self.now_s + serve_s(computed, turn.output_tokens),
+        self.schedule(
+            self.now_s + slot_time_s(computed, turn.output_tokens),
             Event::Served(started.program),
         );
     }
 
-    fn served(&mut self, program: usize) {
+    fn finish_call(&mut self, program: usize) {
         let Some((started, report)) = self.slots.remove(&program) else {
             return;
         };
         let engine = &mut self.engines[started.endpoint];
         engine.running -= 1;
-        engine.hold(program, report.prompt_tokens + report.output_tokens);
+        engine.cache_prefix(program, report.prompt_tokens + report.output_tokens);
         self.policy.complete(started, &report, self.now());
-        let row = &mut self.programs[program];
-        let turn = row.program.turns[row.turn];
-        row.context_tokens = report.prompt_tokens + report.output_tokens;
-        row.attained_tokens += report.output_tokens;
-        row.turn += 1;
-        if row.turn == row.program.turns.len() {
-            self.end(program, true);
+        let state = &mut self.programs[program];
+        let turn = state.program.turns[state.turn];
+        state.context_tokens = report.prompt_tokens + report.output_tokens;
+        state.attained_tokens += report.output_tokens;
+        state.turn += 1;
+        if state.turn == state.program.turns.len() {
+            self.end_program(program, true);
         } else {
-            self.at(self.now_s + turn.pause_s, Event::Call(program));
+            self.schedule(self.now_s + turn.pause_s, Event::Call(program));
         }
     }
 
-    fn refused(&mut self, refused: Turned) {
-        let row = &mut self.programs[refused.program];
-        row.tries += 1;
-        if row.tries >= TRIES_MAX {
-            self.end(refused.program, false);
+    fn on_refusal(&mut self, refused: RefusedCall) {
+        let state = &mut self.programs[refused.program];
+        state.refusals += 1;
+        if state.refusals >= REFUSALS_MAX {
+            self.end_program(refused.program, false);
             return;
         }
         let jitter_s = self.generator.exponential(0.1);
         let retry_s = self.now_s + refused.retry_after.as_secs_f64() + jitter_s;
-        self.at(retry_s, Event::Call(refused.program));
+        self.schedule(retry_s, Event::Call(refused.program));
     }
 
-    fn end(&mut self, program: usize, finished: bool) {
-        let row = &self.programs[program];
-        self.outcome.ended.push(Ended {
-            account: row.program.account,
-            arrival_s: row.program.arrival_s,
+    fn end_program(&mut self, program: usize, finished: bool) {
+        let state = &self.programs[program];
+        self.outcome.ended.push(EndedProgram {
+            account: state.program.account,
+            arrival_s: state.program.arrival_s,
             at_s: self.now_s,
             finished,
-            output_tokens: row.attained_tokens,
+            output_tokens: state.attained_tokens,
         });
-        self.left -= 1;
+        self.unfinished_programs -= 1;
         self.policy.ended(program);
         for engine in &mut self.engines {
-            engine.free(program);
+            engine.remove_prefix(program);
         }
-        if self.closed.is_some_and(|until| self.programs.len() < until) {
+        if self
+            .closed_loop_programs
+            .is_some_and(|until| self.programs.len() < until)
+        {
             let next = self.generator.program(0, self.now_s);
-            self.add(next);
+            self.add_program(next);
         }
     }
 
@@ -289,7 +292,7 @@
             let engine = &mut self.engines[endpoint];
             let evicted: Vec<usize> = std::mem::take(&mut engine.evicted)
                 .into_iter()
-                .filter(|_| self.generator.chance(REPORTED_EVICTIONS))
+                .filter(|_| self.generator.chance(REPORTED_EVICTION_SHARE))
                 .collect();
             let load = LoadReport {
                 running: engine.running,
@@ -299,10 +302,10 @@
             };
             self.policy.observe(endpoint, load, &evicted, self.now());
         }
-        self.at(self.now_s + REPORT_S, Event::Report);
+        self.schedule(self.now_s + REPORT_INTERVAL_S, Event::Report);
     }
 
-    fn at(&mut self, at_s: f64, event: Event) {
+    fn schedule(&mut self, at_s: f64, event: Event) {
         self.sequence += 1;
         self.events
             .push(Reverse((Duration::from_secs_f64(at_s), self.sequence, event)));
@@ -314,25 +317,25 @@
 }
 
 impl Engine {
-    fn hold(&mut self, program: usize, tokens: u64) {
-        self.free(program);
-        self.uses += 1;
-        self.held.insert(program, (tokens, self.uses));
-        self.by_use.insert(self.uses, program);
+    fn cache_prefix(&mut self, program: usize, tokens: u64) {
+        self.remove_prefix(program);
+        self.use_count += 1;
+        self.cached.insert(program, (tokens, self.use_count));
+        self.least_recently_used.insert(self.use_count, program);
         self.tokens += tokens;
         while self.tokens > self.max_tokens
-            && let Some((_, oldest)) = self.by_use.pop_first()
+            && let Some((_, oldest)) = self.least_recently_used.pop_first()
         {
-            if let Some((tokens, _)) = self.held.remove(&oldest) {
+            if let Some((tokens, _)) = self.cached.remove(&oldest) {
                 self.tokens -= tokens;
                 self.evicted.push(oldest);
             }
         }
     }
 
-    fn free(&mut self, program: usize) {
-        if let Some((tokens, used)) = self.held.remove(&program) {
-            self.by_use.remove(&used);
+    fn remove_prefix(&mut self, program: usize) {
+        if let Some((tokens, used)) = self.cached.remove(&program) {
+            self.least_recently_used.remove(&used);
             self.tokens -= tokens;
         }
     }
--- a/crates/burdockroad-site/src/bin/measure/load.rs
+++ b/crates/burdockroad-site/src/bin/measure/load.rs
@@ -10,10 +10,10 @@
 pub(crate) const OUTPUT_TOKENS_PER_S: f64 = 50.0;
 
 /// Mean pause for a tool between two calls, in seconds.
-const PAUSE_S: f64 = 1.5;
+const MEAN_TOOL_PAUSE_S: f64 = 1.5;
 
 /// Programs from which the mean need of a program is estimated.
-const SAMPLE: usize = 4_000;
+const SAMPLE_PROGRAMS: usize = 4_000;
 
 /// A chain of calls, each of which has the whole history as its prompt.
 #[derive(Clone, Debug)]
@@ -92,35 +92,37 @@
         Turn {
             added_tokens,
             output_tokens: self.rng.random_range(40..=400),
-            pause_s: self.exponential(PAUSE_S),
+            pause_s: self.exponential(MEAN_TOOL_PAUSE_S),
         }
     }
 }
 
 impl Program {
     /// Seconds of slots that the program needs when nothing is cached.
-    pub(crate) fn need_s(&self) -> f64 {
+    pub(crate) fn total_slot_time_s(&self) -> f64 {
         let mut context = 0;
-        let mut need_s = 0.0;
+        let mut total_slot_time_s = 0.0;
         for turn in &self.turns {
             context += turn.added_tokens;
-            need_s += serve_s(context, turn.output_tokens);
+            total_slot_time_s += slot_time_s(context, turn.output_tokens);
             context += turn.output_tokens;
         }
-        need_s
+        total_slot_time_s
     }
 }
 
 /// Seconds that a slot is held to compute and to generate tokens.
-pub(crate) fn serve_s(computed_tokens: u64, output_tokens: u64) -> f64 {
+pub(crate) fn slot_time_s(computed_tokens: u64, output_tokens: u64) -> f64 {
     float(computed_tokens) / PROMPT_TOKENS_PER_S + float(output_tokens) / OUTPUT_TOKENS_PER_S
 }
 
 /// Mean need of a program when nothing is cached, in seconds of slots.
-pub(crate) fn mean_need_s(seed: u64) -> f64 {
+pub(crate) fn mean_slot_time_s(seed: u64) -> f64 {
     let mut generator = Generator::new(seed);
-    let total: f64 = (0..SAMPLE).map(|_| generator.program(0, 0.0).need_s()).sum();
-    total / float(SAMPLE as u64)
+    let total: f64 = (0..SAMPLE_PROGRAMS)
+        .map(|_| generator.program(0, 0.0).total_slot_time_s())
+        .sum();
+    total / float(SAMPLE_PROGRAMS as u64)
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^52")]
--- a/crates/burdockroad-site/src/bin/measure/policies.rs
+++ b/crates/burdockroad-site/src/bin/measure/policies.rs
@@ -11,7 +11,7 @@
 
 /// A call of a program, as a policy sees it.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct CallRequest {
     pub(crate) program: usize,
     pub(crate) account: usize,
     pub(crate) turn: usize,
@@ -23,7 +23,7 @@
 
 /// A call that was given a slot.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Started {
+pub(crate) struct StartedCall {
     pub(crate) program: usize,
     pub(crate) endpoint: usize,
     pub(crate) slot_id: SlotId,
@@ -31,23 +31,23 @@
 
 /// A call that was refused.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Turned {
+pub(crate) struct RefusedCall {
     pub(crate) program: usize,
     pub(crate) retry_after: Duration,
 }
 
 /// What a policy decided.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Decided {
-    pub(crate) started: Vec<Started>,
-    pub(crate) refused: Vec<Turned>,
+pub(crate) struct Decisions {
+    pub(crate) started: Vec<StartedCall>,
+    pub(crate) refused: Vec<RefusedCall>,
 }
 
 /// Decides which call goes next, and where.
 pub(crate) trait Policy {
-    fn submit(&mut self, asked: Asked, now: Instant) -> Decided;
-    fn decide(&mut self, now: Instant) -> Decided;
-    fn complete(&mut self, started: Started, report: &Report, now: Instant);
+    fn submit(&mut self, request: CallRequest, now: Instant) -> Decisions;
+    fn decide(&mut self, now: Instant) -> Decisions;
+    fn complete(&mut self, started: StartedCall, report: &Report, now: Instant);
     fn wake_at(&self) -> Option<Instant> {
         None
     }
@@ -57,12 +57,12 @@
 
 /// The pool that is measured.
 #[derive(Debug)]
-pub(crate) struct Pooled {
+pub(crate) struct PoolPolicy {
     pool: Pool,
     programs: HashMap<CallId, usize>,
 }
 
-impl Pooled {
+impl PoolPolicy {
     pub(crate) fn new(endpoints: usize, slots: u32, weights: &[f64], now: Instant) -> Self {
         let mut pool = Pool::new(now);
         let infos = (0..endpoints).map(|endpoint| EndpointInfo::new(endpoint_id(endpoint), slots));
@@ -77,55 +77,55 @@
     }
 }
 
-impl Policy for Pooled {
-    fn submit(&mut self, asked: Asked, now: Instant) -> Decided {
+impl Policy for PoolPolicy {
+    fn submit(&mut self, request: CallRequest, now: Instant) -> Decisions {
         let call = Call {
-            account_id: account_id(asked.account),
-            program_id: Some(program_id(asked.program)),
-            first: asked.turn == 0,
-            prompt_tokens: asked.prompt_tokens,
+            account_id: account_id(request.account),
+            program_id: Some(program_id(request.program)),
+            first: request.turn == 0,
+            prompt_tokens: request.prompt_tokens,
             max_output_tokens: 1_024,
-            attained_tokens: asked.attained_tokens,
-            prefix_endpoint_id: asked.last_endpoint.map(endpoint_id),
+            attained_tokens: request.attained_tokens,
+            prefix_endpoint_id: request.last_endpoint.map(endpoint_id),
             excluded: Vec::new(),
-            slot_deadline: asked.slot_deadline,
+            slot_deadline: request.slot_deadline,
         };
-        let mut decided = Decided::default();
+        let mut decisions = Decisions::default();
         match self.pool.submit(call, now) {
             Submitted::Waiting(call_id) => {
-                self.programs.insert(call_id, asked.program);
+                self.programs.insert(call_id, request.program);
             }
-            Submitted::Refused { retry_after, .. } => decided.refused.push(Turned {
-                program: asked.program,
+            Submitted::Refused { retry_after, .. } => decisions.refused.push(RefusedCall {
+                program: request.program,
                 retry_after,
             }),
         }
-        decided
+        decisions
     }
 
-    fn decide(&mut self, now: Instant) -> Decided {
-        let ticked = self.pool.tick(now);
-        let started = ticked.assignments.into_iter().filter_map(|assignment| {
-            Some(Started {
+    fn decide(&mut self, now: Instant) -> Decisions {
+        let tick = self.pool.tick(now);
+        let started = tick.assignments.into_iter().filter_map(|assignment| {
+            Some(StartedCall {
                 program: self.programs.remove(&assignment.call_id)?,
                 endpoint: assignment.endpoint_id.trim_start_matches('e').parse().ok()?,
                 slot_id: assignment.slot_id,
             })
         });
         let started = started.collect();
-        let refused = ticked.refused.into_iter().filter_map(|refused| {
-            Some(Turned {
+        let refused = tick.refused.into_iter().filter_map(|refused| {
+            Some(RefusedCall {
                 program: self.programs.remove(&refused.call_id)?,
                 retry_after: refused.retry_after,
             })
         });
-        Decided {
+        Decisions {
             started,
             refused: refused.collect(),
         }
     }
 
-    fn complete(&mut self, started: Started, report: &Report, now: Instant) {
+    fn complete(&mut self, started: StartedCall, report: &Report, now: Instant) {
         self.pool.complete(started.slot_id, report, now);
     }
 
@@ -167,26 +167,26 @@
 }
 
 impl Policy for RoundRobin {
-    fn submit(&mut self, asked: Asked, _now: Instant) -> Decided {
-        self.queues[self.next].push_back(asked.program);
+    fn submit(&mut self, request: CallRequest, _now: Instant) -> Decisions {
+        self.queues[self.next].push_back(request.program);
         self.next = (self.next + 1) % self.queues.len();
-        Decided::default()
+        Decisions::default()
     }
 
-    fn decide(&mut self, _now: Instant) -> Decided {
-        let mut decided = Decided::default();
+    fn decide(&mut self, _now: Instant) -> Decisions {
+        let mut decisions = Decisions::default();
         for endpoint in 0..self.queues.len() {
             while self.free[endpoint] > 0
                 && let Some(program) = self.queues[endpoint].pop_front()
             {
                 self.free[endpoint] -= 1;
-                decided.started.push(started(program, endpoint));
+                decisions.started.push(started(program, endpoint));
             }
         }
-        decided
+        decisions
     }
 
-    fn complete(&mut self, started: Started, _report: &Report, _now: Instant) {
+    fn complete(&mut self, started: StartedCall, _report: &Report, _now: Instant) {
         self.free[started.endpoint] += 1;
     }
 }
@@ -208,30 +208,30 @@
 }
 
 impl Policy for LeastLoaded {
-    fn submit(&mut self, asked: Asked, _now: Instant) -> Decided {
-        self.queue.push_back(asked.program);
-        Decided::default()
+    fn submit(&mut self, request: CallRequest, _now: Instant) -> Decisions {
+        self.queue.push_back(request.program);
+        Decisions::default()
     }
 
-    fn decide(&mut self, _now: Instant) -> Decided {
-        let mut decided = Decided::default();
+    fn decide(&mut self, _now: Instant) -> Decisions {
+        let mut decisions = Decisions::default();
         while let Some((endpoint, free)) = self.free.iter_mut().enumerate().max_by_key(|(_, free)| **free)
             && *free > 0
             && let Some(program) = self.queue.pop_front()
         {
             *free -= 1;
-            decided.started.push(started(program, endpoint));
+            decisions.started.push(started(program, endpoint));
         }
-        decided
+        decisions
     }
 
-    fn complete(&mut self, started: Started, _report: &Report, _now: Instant) {
+    fn complete(&mut self, started: StartedCall, _report: &Report, _now: Instant) {
         self.free[started.endpoint] += 1;
     }
 }
 
-fn started(program: usize, endpoint: usize) -> Started {
-    Started {
+fn started(program: usize, endpoint: usize) -> StartedCall {
+    StartedCall {
         program,
         endpoint,
         slot_id: 0,
--- a/crates/burdockroad-site/src/bin/measure/pool_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/pool_cases.rs
@@ -4,9 +4,9 @@
 
 use crate::{
     Bound, Figure,
-    driver::{Driver, Ended, Fleet, Outcome},
-    load::{Generator, Program, float, mean_need_s},
-    policies::{LeastLoaded, Policy, Pooled, RoundRobin},
+    driver::{Driver, EndedProgram, Fleet, Outcome},
+    load::{Generator, Program, float, mean_slot_time_s},
+    policies::{LeastLoaded, Policy, PoolPolicy, RoundRobin},
 };
 
 /// Endpoints of the larger pool of either user, and the slots of each.
@@ -20,29 +20,29 @@
 const SHARES: [f64; 8] = [0.3, 0.2, 0.1, 0.1, 0.1, 0.1, 0.05, 0.05];
 
 /// Part of the capacity that is offered; capacity counts every prompt as computed whole.
-const LOAD: f64 = 0.9;
+const OFFERED_LOAD: f64 = 0.9;
 
 /// Account that sends more than its rate, and how many times.
-const FLOODING: usize = 1;
-const FLOOD: f64 = 5.0;
+const FLOODING_ACCOUNT: usize = 1;
+const FLOOD_FACTOR: f64 = 5.0;
 
 /// Length of a run, and of its beginning that is not counted, in seconds.
 const DURATION_S: f64 = 1_800.0;
 const WARM_UP_S: f64 = 300.0;
 
 /// Programs that run at once where the cache is measured, and how many are run.
-const CONCURRENT: usize = 160;
+const CONCURRENT_PROGRAMS: usize = 160;
 const CLOSED_PROGRAMS: usize = 3_000;
 
 /// Tokens of a running program's history, on average over its life.
 const MEAN_CONTEXT_TOKENS: u64 = 14_000;
 
 /// Loads of the overload case, relative to the load that saturates the pool.
-const OVERLOADS: [f64; 5] = [1.0, 1.5, 2.0, 3.0, 4.0];
+const OVERLOAD_FACTORS: [f64; 5] = [1.0, 1.5, 2.0, 3.0, 4.0];
 
 /// Program latency at 90% of capacity against first-come-first-served with round robin.
 pub(crate) fn trust_mixed(seed: u64) -> Figure {
-    let programs = arrivals(seed, &rates(seed, LOAD));
+    let programs = arrivals(seed, &rates(seed, OFFERED_LOAD));
     let mut baseline = RoundRobin::new(ENDPOINTS, SLOTS);
     let baseline = run(&mut baseline, fleet(), programs.clone(), seed);
     let value = run_pooled(fleet(), &SHARES, programs, seed);
@@ -59,13 +59,13 @@
 
 /// Latency of the account that fares worst beside a flooding one, against its own run on its share.
 pub(crate) fn flooding_account(seed: u64) -> Figure {
-    let mut rates = rates(seed, LOAD);
-    rates[FLOODING] *= FLOOD;
+    let mut rates = rates(seed, OFFERED_LOAD);
+    rates[FLOODING_ACCOUNT] *= FLOOD_FACTOR;
     let programs = arrivals(seed, &rates);
     let mixed = run_pooled(fleet(), &SHARES, programs.clone(), seed);
     let mut worst = (0.0, 0.0);
     for (account, share) in SHARES.iter().enumerate() {
-        if account == FLOODING {
+        if account == FLOODING_ACCOUNT {
             continue;
         }
         let own = programs.iter().filter(|program| program.account == account);
@@ -87,21 +87,23 @@
 
 /// Prompt tokens computed again, with caches for half of what running programs hold.
 pub(crate) fn tool_pauses(seed: u64) -> Figure {
-    let working_set = CONCURRENT as u64 * MEAN_CONTEXT_TOKENS;
+    let working_set = CONCURRENT_PROGRAMS as u64 * MEAN_CONTEXT_TOKENS;
     let fleet = Fleet {
         cache_tokens: working_set / 2 / ENDPOINTS as u64,
         ..fleet()
     };
     let mut generator = Generator::new(seed);
-    let first: Vec<Program> = (0..CONCURRENT).map(|_| generator.program(0, 0.0)).collect();
+    let first: Vec<Program> = (0..CONCURRENT_PROGRAMS)
+        .map(|_| generator.program(0, 0.0))
+        .collect();
     let run = |policy: &mut dyn Policy, start| {
         Driver::new(policy, fleet, first.clone(), start, seed)
-            .closed_until(CLOSED_PROGRAMS)
+            .closed_loop(CLOSED_PROGRAMS)
             .run()
     };
     let start = Instant::now();
     let baseline = run(&mut LeastLoaded::new(ENDPOINTS, SLOTS), start).recomputed_tokens;
-    let value = run(&mut Pooled::new(ENDPOINTS, SLOTS, &SHARES, start), start).recomputed_tokens;
+    let value = run(&mut PoolPolicy::new(ENDPOINTS, SLOTS, &SHARES, start), start).recomputed_tokens;
     Figure {
         case: "tool_pauses",
         name: "recomputed_tokens_ratio",
@@ -113,19 +115,19 @@
 
 /// Tokens a second of programs that finish, past saturation against the best load.
 pub(crate) fn overload(seed: u64) -> Figure {
-    let saturated = goodput_per_s(seed, &rates(seed, 2.0));
+    let saturated_tokens_per_s = goodput_per_s(seed, &rates(seed, 2.0));
     let mean_tokens = mean_output_tokens(seed);
-    let goodputs = OVERLOADS.map(|load| {
-        let rates = SHARES.map(|share| saturated / mean_tokens * share * load);
+    let goodputs = OVERLOAD_FACTORS.map(|load| {
+        let rates = SHARES.map(|share| saturated_tokens_per_s / mean_tokens * share * load);
         goodput_per_s(seed, &rates)
     });
     let peak = goodputs.iter().copied().fold(0.0, f64::max);
-    let least = goodputs.iter().copied().fold(f64::INFINITY, f64::min);
+    let lowest = goodputs.iter().copied().fold(f64::INFINITY, f64::min);
     Figure {
         case: "overload",
         name: "least_goodput_to_peak",
         baseline: peak,
-        value: least / peak,
+        value: lowest / peak,
         bound: Bound::AtLeast(0.95),
     }
 }
@@ -162,7 +164,7 @@
 /// Programs a second of each account at a part of the capacity.
 fn rates(seed: u64, load: f64) -> [f64; 8] {
     let slots = float(ENDPOINTS as u64) * f64::from(SLOTS);
-    let per_s = load * slots / mean_need_s(seed);
+    let per_s = load * slots / mean_slot_time_s(seed);
     SHARES.map(|share| share * per_s)
 }
 
@@ -176,13 +178,13 @@
 
 fn run_pooled(fleet: Fleet, weights: &[f64], programs: Vec<Program>, seed: u64) -> Outcome {
     let start = Instant::now();
-    let mut pooled = Pooled::new(fleet.endpoints, fleet.slots, weights, start);
-    Driver::new(&mut pooled, fleet, programs, start, seed).run()
+    let mut policy = PoolPolicy::new(fleet.endpoints, fleet.slots, weights, start);
+    Driver::new(&mut policy, fleet, programs, start, seed).run()
 }
 
 /// Program latency in seconds; a program that did not finish counts as endless.
 fn percentile_95(outcome: &Outcome, account: Option<usize>) -> f64 {
-    let counted = |ended: &&Ended| {
+    let counted = |ended: &&EndedProgram| {
         ended.arrival_s >= WARM_UP_S && account.is_none_or(|account| account == ended.account)
     };
     let mut latencies: Vec<f64> = outcome
@@ -204,7 +206,7 @@
 /// Generated tokens a second of programs that finish between the warm-up and the end of the load.
 fn goodput_per_s(seed: u64, rates_per_s: &[f64]) -> f64 {
     let outcome = run_pooled(fleet(), &SHARES, arrivals(seed, rates_per_s), seed);
-    let counted = |ended: &&Ended| ended.finished && (WARM_UP_S..DURATION_S).contains(&ended.at_s);
+    let counted = |ended: &&EndedProgram| ended.finished && (WARM_UP_S..DURATION_S).contains(&ended.at_s);
     let tokens: u64 = outcome
         .ended
         .iter()
--- a/crates/burdockroad-site/src/bin/measure/quota_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_cases.rs
@@ -7,17 +7,17 @@
 use crate::{
     Bound, Figure,
     load::Generator,
-    quota_fleet::{Fault, PATIENCE, QuotaFleet, Takeover},
+    quota_fleet::{ADMISSION_TIMEOUT, Fault, QuotaFleet, Takeover},
 };
 
 /// Entry hosts.
 const HOSTS: usize = 7;
 
 /// Calls at the favoured host against each other one.
-const SKEW: usize = 5;
+const FAVOURED_HOST_WEIGHT: usize = 5;
 
 /// Time after which the balancer favours another host.
-const SKEW_TIME_S: f64 = 20.0;
+const FAVOURED_HOST_PERIOD_S: f64 = 20.0;
 
 /// Rates a second and bursts of the accounts.
 const ACCOUNTS: [(f64, u32); 8] = [
@@ -35,11 +35,11 @@
 const DURATION_S: f64 = 300.0;
 
 /// Calls that are offered against the rate, inside it and over it.
-const INSIDE: f64 = 0.95;
-const OVER: f64 = 3.0;
+const LOAD_INSIDE_RATE: f64 = 0.95;
+const LOAD_OVER_RATE: f64 = 3.0;
 
 /// Excess that is a rounding error, in calls.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_ERROR: f64 = 1e-6;
 
 /// Refusals of calls inside the rate, against a fixed share of rate and burst at each host.
 pub(crate) fn skewed_balancer(seed: u64) -> Figure {
@@ -80,7 +80,7 @@
 }
 
 fn worst_excess(takeover: Takeover, seed: u64) -> f64 {
-    let owner_faults = [Fault::OwnerKilled, Fault::OwnerPaused, Fault::OwnerCut];
+    let owner_faults = [Fault::OwnerKilled, Fault::OwnerPaused, Fault::OwnerPartitioned];
     let mut worst = 0.0_f64;
     for (index, (rate_per_s, burst)) in ACCOUNTS.iter().enumerate() {
         let limits = Limits {
@@ -90,7 +90,7 @@
         for first in owner_faults {
             let mut fleet = QuotaFleet::new(HOSTS, limits, takeover, seed + index as u64);
             let mut generator = Generator::new(seed + index as u64);
-            for (at, host) in random_calls(&mut generator, rate_per_s * OVER, 0.0) {
+            for (at, host) in random_calls(&mut generator, rate_per_s * LOAD_OVER_RATE, 0.0) {
                 fleet.call(at, host);
             }
             let mut at_s = 10.0;
@@ -105,18 +105,18 @@
             worst = worst.max(excess(&fleet.admitted, limits));
         }
     }
-    if worst < ROUNDING { 0.0 } else { worst }
+    if worst < ROUNDING_ERROR { 0.0 } else { worst }
 }
 
 /// Calls of an account that never passes its own rate and burst, at the hosts that a skewed balancer
 /// sends them to.
 fn inside_rate(limits: Limits, seed: u64) -> Vec<(Duration, usize)> {
     let burst = f64::from(limits.burst);
-    let begin_s = burst / limits.rate_per_s + 2.0;
+    let start_s = burst / limits.rate_per_s + 2.0;
     let mut generator = Generator::new(seed);
     let mut level = burst;
-    let mut previous_s = begin_s;
-    let mut calls = random_calls(&mut generator, limits.rate_per_s * INSIDE, begin_s);
+    let mut previous_s = start_s;
+    let mut calls = random_calls(&mut generator, limits.rate_per_s * LOAD_INSIDE_RATE, start_s);
     calls.retain(|(at, _)| {
         level = (level + (at.as_secs_f64() - previous_s) * limits.rate_per_s).min(burst);
         previous_s = at.as_secs_f64();
@@ -129,9 +129,9 @@
     calls
 }
 
-fn random_calls(generator: &mut Generator, per_s: f64, begin_s: f64) -> Vec<(Duration, usize)> {
+fn random_calls(generator: &mut Generator, per_s: f64, start_s: f64) -> Vec<(Duration, usize)> {
     let mut calls = Vec::new();
-    let mut at_s = begin_s;
+    let mut at_s = start_s;
     while at_s < DURATION_S {
         at_s += generator.exponential(1.0 / per_s);
         calls.push((Duration::from_secs_f64(at_s), skewed_host(generator, at_s)));
@@ -145,9 +145,9 @@
     reason = "a small positive quotient"
 )]
 fn skewed_host(generator: &mut Generator, at_s: f64) -> usize {
-    let favoured = (at_s / SKEW_TIME_S) as usize % HOSTS;
-    let drawn = generator.below(HOSTS - 1 + SKEW);
-    if drawn < HOSTS { drawn } else { favoured }
+    let favoured = (at_s / FAVOURED_HOST_PERIOD_S) as usize % HOSTS;
+    let drawn_host = generator.below(HOSTS - 1 + FAVOURED_HOST_WEIGHT);
+    if drawn_host < HOSTS { drawn_host } else { favoured }
 }
 
 /// Refusals when each host has a fixed share of rate and burst, and calls may wait as long.
@@ -163,7 +163,7 @@
         *level = (*level + (at_s - *previous_s) * rate_per_s).min(burst);
         *previous_s = at_s;
         // A call may take what comes within its patience; the level is then below zero.
-        if *level + rate_per_s * PATIENCE.as_secs_f64() >= 1.0 {
+        if *level + rate_per_s * ADMISSION_TIMEOUT.as_secs_f64() >= 1.0 {
             *level -= 1.0;
         } else {
             refused += 1;
--- a/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
@@ -11,19 +11,19 @@
 use crate::load::Generator;
 
 /// Time of a message between two hosts.
-const LATENCY: Duration = Duration::from_millis(1);
+const MESSAGE_LATENCY: Duration = Duration::from_millis(1);
 
 /// Time from an owner's failure until another host is the owner.
-const TAKEOVER: Duration = Duration::from_secs(3);
+const TAKEOVER_DELAY: Duration = Duration::from_secs(3);
 
 /// Time that an owner which hears no other hosts still acts as one.
-const LEASE: Duration = Duration::from_secs(1);
+const LEASE_REMAINDER: Duration = Duration::from_secs(1);
 
 /// How long a paused process stands still, and a cut lasts.
-const FAULT_TIME: Duration = Duration::from_secs(6);
+const FAULT_DURATION: Duration = Duration::from_secs(6);
 
 /// Time that a call may wait for admission.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(1);
+pub(crate) const ADMISSION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What fails, from one moment on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,7 +33,7 @@
     /// The owner's process stands still, then goes on with what it was sent meanwhile.
     OwnerPaused,
     /// The owner reaches only hosts with odd numbers, and loses its lease.
-    OwnerCut,
+    OwnerPartitioned,
     /// One host stands still, with the tokens that it holds.
     HostPaused(usize),
 }
@@ -57,26 +57,26 @@
         owner: usize,
         token_request: usize,
     },
-    Answer {
+    Response {
         host: usize,
-        answer: usize,
+        response: usize,
     },
     Tick {
         host: usize,
     },
     Fault(Fault),
     Takeover,
-    Learn {
+    OwnerAnnounced {
         host: usize,
         owner: usize,
     },
 }
 
-struct OwnerRow {
+struct OwnerState {
     bucket: Bucket,
     lease_until: Option<Instant>,
     killed: bool,
-    cut_until: Option<Instant>,
+    partitioned_until: Option<Instant>,
 }
 
 /// All hosts, for one account.
@@ -86,16 +86,16 @@
     limits: Limits,
     takeover: Takeover,
     holders: Vec<Holder>,
-    known_owner: Vec<usize>,
+    owner_by_host: Vec<usize>,
     paused_until: Vec<Instant>,
     tick_at: Vec<Option<Instant>>,
-    owners: Vec<OwnerRow>,
+    owners: Vec<OwnerState>,
     /// Host on which each owner runs is left out: an owner is paused by itself.
     owner_paused_until: Vec<Instant>,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
     sequence: u64,
-    asks: Vec<TokenRequest>,
-    answers: Vec<(u64, Option<Grant>)>,
+    token_requests: Vec<TokenRequest>,
+    responses: Vec<(u64, Option<Grant>)>,
     generator: Generator,
     next_waiter_id: u64,
     /// Calls admitted, in time after the start.
@@ -113,15 +113,15 @@
             limits,
             takeover,
             holders: vec![Holder::new(); hosts],
-            known_owner: vec![0; hosts],
+            owner_by_host: vec![0; hosts],
             paused_until: vec![start; hosts],
             tick_at: vec![None; hosts],
             owners: Vec::new(),
             owner_paused_until: Vec::new(),
             events: BinaryHeap::new(),
             sequence: 0,
-            asks: Vec::new(),
-            answers: Vec::new(),
+            token_requests: Vec::new(),
+            responses: Vec::new(),
             generator: Generator::new(seed),
             next_waiter_id: 1,
             admitted: Vec::new(),
@@ -132,11 +132,11 @@
     }
 
     pub(crate) fn call(&mut self, at: Duration, host: usize) {
-        self.at(self.start + at, Event::Call { host });
+        self.schedule(self.start + at, Event::Call { host });
     }
 
     pub(crate) fn fault(&mut self, at: Duration, fault: Fault) {
-        self.at(self.start + at, Event::Fault(fault));
+        self.schedule(self.start + at, Event::Fault(fault));
     }
 
     /// Runs until nothing more happens.
@@ -145,7 +145,7 @@
             self.now = at;
             match self.delayed_until(event) {
                 Some(until) => self.events.push(Reverse((until, sequence, event))),
-                None => self.happen(event),
+                None => self.handle(event),
             }
         }
     }
@@ -154,37 +154,37 @@
     fn delayed_until(&self, event: Event) -> Option<Instant> {
         let until = match event {
             Event::Call { host }
-            | Event::Answer { host, .. }
+            | Event::Response { host, .. }
             | Event::Tick { host }
-            | Event::Learn { host, .. } => self.paused_until[host],
+            | Event::OwnerAnnounced { host, .. } => self.paused_until[host],
             Event::TokenRequest { owner, .. } => self.owner_paused_until[owner],
             Event::Fault(_) | Event::Takeover => return None,
         };
         (until > self.now).then_some(until)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Call { host } => self.admit(host),
             Event::TokenRequest {
                 host,
                 owner,
                 token_request,
-            } => self.asked(host, owner, token_request),
-            Event::Answer { host, answer } => self.answered(host, answer),
+            } => self.on_token_request(host, owner, token_request),
+            Event::Response { host, response } => self.on_response(host, response),
             Event::Tick { host } => self.tick(host),
-            Event::Fault(fault) => self.fail(fault),
+            Event::Fault(fault) => self.inject_fault(fault),
             Event::Takeover => self.take_over(),
-            Event::Learn { host, owner } => self.known_owner[host] = owner,
+            Event::OwnerAnnounced { host, owner } => self.owner_by_host[host] = owner,
         }
     }
 
     fn admit(&mut self, host: usize) {
         let waiter_id = self.next_waiter_id;
         self.next_waiter_id += 1;
-        let admission = self.holders[host].admit(waiter_id, self.now + PATIENCE, self.now);
-        self.count(admission);
-        self.serve(host);
+        let admission = self.holders[host].admit(waiter_id, self.now + ADMISSION_TIMEOUT, self.now);
+        self.record_admission(admission);
+        self.poll_holder(host);
     }
 
     fn tick(&mut self, host: usize) {
@@ -193,18 +193,18 @@
             return;
         }
         self.tick_at[host] = None;
-        self.serve(host);
+        self.poll_holder(host);
     }
 
-    fn serve(&mut self, host: usize) {
+    fn poll_holder(&mut self, host: usize) {
         let settled = self.holders[host].tick(self.now);
-        self.count_all(&settled);
+        self.record_settled(&settled);
         if let Some(token_request) = self.holders[host].token_request(self.now) {
-            let owner = self.known_owner[host];
-            self.asks.push(token_request);
-            let token_request = self.asks.len() - 1;
-            self.at(
-                self.now + LATENCY,
+            let owner = self.owner_by_host[host];
+            self.token_requests.push(token_request);
+            let token_request = self.token_requests.len() - 1;
+            self.schedule(
+                self.now + MESSAGE_LATENCY,
                 Event::TokenRequest {
                     host,
                     owner,
@@ -216,41 +216,44 @@
             let wake_at = wake_at.max(self.now + Duration::from_millis(1));
             if self.tick_at[host].is_none_or(|tick_at| wake_at < tick_at) {
                 self.tick_at[host] = Some(wake_at);
-                self.at(wake_at, Event::Tick { host });
+                self.schedule(wake_at, Event::Tick { host });
             }
         }
     }
 
-    fn asked(&mut self, host: usize, owner: usize, token_request: usize) {
-        let row = &mut self.owners[owner];
-        let cut = row.cut_until.is_some_and(|until| self.now < until) && host.is_multiple_of(2);
-        if row.killed || cut {
+    fn on_token_request(&mut self, host: usize, owner: usize, token_request: usize) {
+        let state = &mut self.owners[owner];
+        let partitioned =
+            state.partitioned_until.is_some_and(|until| self.now < until) && host.is_multiple_of(2);
+        if state.killed || partitioned {
             return;
         }
-        let holds = row.lease_until.is_none_or(|until| self.now < until);
-        let grant = holds.then(|| {
-            row.bucket
-                .grant(&host.to_string(), &self.asks[token_request], self.now)
+        let lease_valid = state.lease_until.is_none_or(|until| self.now < until);
+        let grant = lease_valid.then(|| {
+            state
+                .bucket
+                .grant(&host.to_string(), &self.token_requests[token_request], self.now)
         });
-        self.answers.push((self.asks[token_request].sequence, grant));
-        let answer = self.answers.len() - 1;
-        self.at(self.now + LATENCY, Event::Answer { host, answer });
+        self.responses
+            .push((self.token_requests[token_request].sequence, grant));
+        let response = self.responses.len() - 1;
+        self.schedule(self.now + MESSAGE_LATENCY, Event::Response { host, response });
     }
 
-    fn answered(&mut self, host: usize, answer: usize) {
-        let (sequence, grant) = self.answers[answer];
+    fn on_response(&mut self, host: usize, response: usize) {
+        let (sequence, grant) = self.responses[response];
         match grant {
             Some(grant) => {
                 let settled = self.holders[host].answered(sequence, grant, self.now);
-                self.count_all(&settled);
+                self.record_settled(&settled);
             }
             None => self.holders[host].failed(sequence, self.now),
         }
-        self.serve(host);
+        self.poll_holder(host);
     }
 
-    fn fail(&mut self, fault: Fault) {
-        let until = self.now + FAULT_TIME;
+    fn inject_fault(&mut self, fault: Fault) {
+        let until = self.now + FAULT_DURATION;
         let owner = self.owners.len() - 1;
         match fault {
             Fault::HostPaused(host) => {
@@ -259,10 +262,10 @@
             }
             Fault::OwnerKilled => self.owners[owner].killed = true,
             Fault::OwnerPaused => self.owner_paused_until[owner] = until,
-            Fault::OwnerCut => self.owners[owner].cut_until = Some(until),
+            Fault::OwnerPartitioned => self.owners[owner].partitioned_until = Some(until),
         }
-        self.owners[owner].lease_until = Some(self.now + LEASE);
-        self.at(self.now + TAKEOVER, Event::Takeover);
+        self.owners[owner].lease_until = Some(self.now + LEASE_REMAINDER);
+        self.schedule(self.now + TAKEOVER_DELAY, Event::Takeover);
     }
 
     fn take_over(&mut self) {
@@ -274,27 +277,27 @@
         let owner = self.owners.len() - 1;
         for host in 0..self.holders.len() {
             let delay = Duration::from_secs_f64(self.generator.exponential(0.2));
-            self.at(self.now + delay, Event::Learn { host, owner });
+            self.schedule(self.now + delay, Event::OwnerAnnounced { host, owner });
         }
     }
 
     fn add_owner(&mut self, ready_at: Instant) {
-        self.owners.push(OwnerRow {
+        self.owners.push(OwnerState {
             bucket: Bucket::new(self.limits, ready_at),
             lease_until: None,
             killed: false,
-            cut_until: None,
+            partitioned_until: None,
         });
         self.owner_paused_until.push(self.start);
     }
 
-    fn count_all(&mut self, settled: &[Settled]) {
+    fn record_settled(&mut self, settled: &[Settled]) {
         for call in settled {
-            self.count(call.admission);
+            self.record_admission(call.admission);
         }
     }
 
-    fn count(&mut self, admission: Admission) {
+    fn record_admission(&mut self, admission: Admission) {
         match admission {
             Admission::Admitted => self.admitted.push(self.now - self.start),
             Admission::Refused { .. } => self.refused += 1,
@@ -302,7 +305,7 @@
         }
     }
 
-    fn at(&mut self, at: Instant, event: Event) {
+    fn schedule(&mut self, at: Instant, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence, event)));
     }
--- a/crates/burdockroad-site/src/bin/measure/site_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/site_cases.rs
@@ -22,21 +22,21 @@
 const PROGRAMS: usize = 56;
 
 /// Longest time from the kill of a host until the last of its programs moves on, in seconds.
-const MOVE_ON_MAX_S: f64 = 5.0;
+const RECOVERY_MAX_S: f64 = 5.0;
 
 /// Longest added latency of a host at the median, in milliseconds.
-const ADDED_MAX_MS: f64 = 1.0;
+const ADDED_LATENCY_MAX_MS: f64 = 1.0;
 
 /// Writes and reads a second that the key-value service may see at peak load.
-const STORE_CALLS_MAX: (f64, f64) = (150.0, 300.0);
+const STORE_RATES_MAX_PER_S: (f64, f64) = (150.0, 300.0);
 
 /// How long a call may keep failing before its program counts as lost.
-const PROGRAM_PATIENCE: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What happened to the programs of a run.
 #[derive(Debug, Default)]
-struct Tally {
-    answered: AtomicU64,
+struct Counters {
+    completed: AtomicU64,
     lost: AtomicU64,
     /// Longest time that any call took to be answered, in milliseconds.
     longest_ms: AtomicU64,
@@ -55,41 +55,41 @@
 
 /// Time until the last program of a killed host moves on.
 pub fn host_killed(_seed: u64) -> Figure {
-    let (tally, _) = block_on(run_programs(Duration::from_secs(25), Fault::KillOne));
-    let seconds = ms(&tally.longest_ms) / 1_000.0;
+    let (counters, _) = block_on(run_programs(Duration::from_secs(25), Fault::KillOne));
+    let seconds = load_f64(&counters.longest_ms) / 1_000.0;
     at_most(
         "host_killed",
         "last_program_moved_on_s",
         0.0,
         seconds,
-        MOVE_ON_MAX_S,
+        RECOVERY_MAX_S,
     )
 }
 
 /// Programs that are lost with a killed host.
 pub fn host_killed_lost(_seed: u64) -> Figure {
-    let (tally, _) = block_on(run_programs(Duration::from_secs(25), Fault::KillOne));
-    let answered = ms(&tally.answered);
+    let (counters, _) = block_on(run_programs(Duration::from_secs(25), Fault::KillOne));
+    let completed = load_f64(&counters.completed);
     at_most(
         "host_killed_lost",
         "programs_lost_of_calls_answered",
-        answered,
-        ms(&tally.lost),
+        completed,
+        load_f64(&counters.lost),
         0.0,
     )
 }
 
 /// Idempotent programs that fail while the key-value service is down for a minute.
 pub fn store_down(_seed: u64) -> Figure {
-    let (tally, _) = block_on(run_programs(
+    let (counters, _) = block_on(run_programs(
         Duration::from_secs(75),
         Fault::StoreDown(Duration::from_mins(1)),
     ));
     at_most(
         "store_down",
         "programs_failed_of_calls_answered",
-        ms(&tally.answered),
-        ms(&tally.lost),
+        load_f64(&counters.completed),
+        load_f64(&counters.lost),
         0.0,
     )
 }
@@ -102,7 +102,7 @@
         "peak_writes_per_s",
         0.0,
         peak(&counts, "writes"),
-        STORE_CALLS_MAX.0,
+        STORE_RATES_MAX_PER_S.0,
     )
 }
 
@@ -114,7 +114,7 @@
         "peak_reads_per_s",
         0.0,
         peak(&counts, "reads"),
-        STORE_CALLS_MAX.1,
+        STORE_RATES_MAX_PER_S.1,
     )
 }
 
@@ -136,7 +136,7 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts of a short run")]
-fn ms(count: &AtomicU64) -> f64 {
+fn load_f64(count: &AtomicU64) -> f64 {
     count.load(Ordering::Relaxed) as f64
 }
 
@@ -168,61 +168,69 @@
 }
 
 /// Runs programs on all hosts for a while, with a fault in between.
-async fn run_programs(lasts: Duration, fault: Fault) -> (Tally, Value) {
+async fn run_programs(duration: Duration, fault: Fault) -> (Counters, Value) {
     let mut site = Site::start(options(HOSTS, 10)).await;
-    let tally = Arc::new(Tally::default());
-    let site_ref = &mut site;
+    let counters = Arc::new(Counters::default());
+    let running_site = &mut site;
     let counts = {
-        let victim = site_ref.daemons.pop().expect("a daemon");
-        let programs = (0..PROGRAMS).map(|number| run_program(site_ref, number, Arc::clone(&tally)));
+        let victim = running_site.daemons.pop().expect("a daemon");
+        let programs = (0..PROGRAMS).map(|number| run_program(running_site, number, Arc::clone(&counters)));
         let programs = futures_util::future::join_all(programs);
-        let (counts, _) = tokio::join!(cause(site_ref, victim, lasts, fault, &tally), programs);
+        let (counts, _) = tokio::join!(
+            run_fault(running_site, victim, duration, fault, &counters),
+            programs
+        );
         counts
     };
     drop(site);
-    (Arc::into_inner(tally).expect("all programs have ended"), counts)
+    (
+        Arc::into_inner(counters).expect("all programs have ended"),
+        counts,
+    )
 }
 
 /// Lets the load run, causes the fault, and stops the load.
-async fn cause(
+async fn run_fault(
     site: &Site,
     mut victim: burdockroad_standins::processes::Process,
-    lasts: Duration,
+    duration: Duration,
     fault: Fault,
-    tally: &Tally,
+    counters: &Counters,
 ) -> Value {
-    let warm = Duration::from_secs(5);
-    tokio::time::sleep(warm).await;
-    tally.longest_ms.store(0, Ordering::Relaxed);
+    let warm_up = Duration::from_secs(5);
+    tokio::time::sleep(warm_up).await;
+    counters.longest_ms.store(0, Ordering::Relaxed);
     match fault {
         Fault::None => {}
         Fault::KillOne => victim.kill().await.expect("killed"),
         Fault::StoreDown(outage) => {
-            site.control(&site.kv, "/faults", &json!({ "down": true })).await;
+            site.post_control(&site.kv, "/faults", &json!({ "down": true }))
+                .await;
             tokio::time::sleep(outage).await;
-            site.control(&site.kv, "/faults", &json!({ "down": false })).await;
+            site.post_control(&site.kv, "/faults", &json!({ "down": false }))
+                .await;
         }
     }
-    tokio::time::sleep(lasts.saturating_sub(warm)).await;
-    tally.stop.store(true, Ordering::Relaxed);
-    let counts = site.ask(&site.kv, "/counts").await;
+    tokio::time::sleep(duration.saturating_sub(warm_up)).await;
+    counters.stop.store(true, Ordering::Relaxed);
+    let counts = site.get_control(&site.kv, "/counts").await;
     drop(victim);
     counts
 }
 
 /// One program after another, each of several calls through changing hosts.
-async fn run_program(site: &Site, number: usize, tally: Arc<Tally>) {
+async fn run_program(site: &Site, number: usize, counters: Arc<Counters>) {
     let caller = site.caller("masters");
     let mut round = number;
-    while !tally.stop.load(Ordering::Relaxed) {
-        let Some(program) = create(&caller, round).await else {
-            tally.lost.fetch_add(1, Ordering::Relaxed);
+    while !counters.stop.load(Ordering::Relaxed) {
+        let Some(program) = create_program(&caller, round).await else {
+            counters.lost.fetch_add(1, Ordering::Relaxed);
             continue;
         };
         for call in 1..=10 {
             round += 1;
-            if !answer(&caller, round, &program, call, &tally).await {
-                tally.lost.fetch_add(1, Ordering::Relaxed);
+            if !complete_call(&caller, round, &program, call, &counters).await {
+                counters.lost.fetch_add(1, Ordering::Relaxed);
                 break;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -230,17 +238,17 @@
     }
 }
 
-async fn create(caller: &Caller<'_>, round: usize) -> Option<String> {
-    let since = Instant::now();
+async fn create_program(caller: &Caller<'_>, round: usize) -> Option<String> {
+    let started_at = Instant::now();
     let mut host = round;
-    while since.elapsed() < PROGRAM_PATIENCE {
+    while started_at.elapsed() < CALL_TIMEOUT {
         let sent = caller
             .try_send(host % HOSTS, Method::POST, "/v1/programs", None, &json!({}))
             .await;
-        if let Ok(answer) = sent
-            && answer.status == 201
+        if let Ok(response) = sent
+            && response.status == 201
         {
-            return answer.json::<Value>().ok()?["id"].as_str().map(str::to_owned);
+            return response.json::<Value>().ok()?["id"].as_str().map(str::to_owned);
         }
         host += 1;
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -249,19 +257,25 @@
 }
 
 /// Asks until the call is answered, through another host each time as a balancer would.
-async fn answer(caller: &Caller<'_>, round: usize, program: &str, call: u32, tally: &Tally) -> bool {
-    let since = Instant::now();
+async fn complete_call(
+    caller: &Caller<'_>,
+    round: usize,
+    program: &str,
+    call: u32,
+    counters: &Counters,
+) -> bool {
+    let started_at = Instant::now();
     let body = completion(&format!("question {call}"), 16);
     let mut host = round;
-    while since.elapsed() < PROGRAM_PATIENCE {
+    while started_at.elapsed() < CALL_TIMEOUT {
         let path = "/v1/chat/completions";
         let sent = caller
             .try_send(host % HOSTS, Method::POST, path, Some((program, call)), &body)
             .await;
-        if sent.is_ok_and(|answer| answer.status == 200) {
-            let took = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
-            tally.longest_ms.fetch_max(took, Ordering::Relaxed);
-            tally.answered.fetch_add(1, Ordering::Relaxed);
+        if sent.is_ok_and(|response| response.status == 200) {
+            let latency_ms = u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+            counters.longest_ms.fetch_max(latency_ms, Ordering::Relaxed);
+            counters.completed.fetch_add(1, Ordering::Relaxed);
             return true;
         }
         host += 1;
@@ -286,8 +300,8 @@
             } else {
                 None
             };
-            direct.push(time(direct_call(&site, &body)).await);
-            through.push(time(through_call(&caller, &body, host.as_ref())).await);
+            direct.push(timed(direct_call(&site, &body)).await);
+            through.push(timed(through_call(&caller, &body, host.as_ref())).await);
         }
         (median_ms(direct), median_ms(through))
     });
@@ -296,34 +310,34 @@
         "median_added_ms",
         direct_ms,
         through_ms - direct_ms,
-        ADDED_MAX_MS,
+        ADDED_LATENCY_MAX_MS,
     )
 }
 
 /// A host and a program that another host owns.
 async fn forwarding_host(site: &Site, caller: &Caller<'_>) -> Option<(usize, String)> {
     // A program is owned by the host that created it, as long as no partition moves.
-    let program = caller.program(0, &json!({})).await;
+    let program = caller.create_program(0, &json!({})).await;
     Some((1 % site.daemons.len(), program))
 }
 
-async fn time(call: impl Future<Output = ()>) -> Duration {
-    let since = Instant::now();
+async fn timed(call: impl Future<Output = ()>) -> Duration {
+    let started_at = Instant::now();
     call.await;
-    since.elapsed()
+    started_at.elapsed()
 }
 
 async fn direct_call(site: &Site, body: &Value) {
     let address = site.engines[0].address().expect("an address");
     let request = Request::post(format!("http://{address}/v1/chat/completions"));
     let request = request.body(Full::from(body.to_string())).expect("a request");
-    let answer = site.http.send(request).await.expect("the engine answers");
-    assert!(answer.status.is_success(), "{}", answer.text());
+    let response = site.http.send(request).await.expect("the engine answers");
+    assert!(response.status.is_success(), "{}", response.text());
 }
 
 async fn through_call(caller: &Caller<'_>, body: &Value, host: Option<&(usize, String)>) {
     let path = "/v1/chat/completions";
-    let answer = match host {
+    let response = match host {
         None => caller.send(0, Method::POST, path, None, body).await,
         Some((host, program)) => {
             caller
@@ -331,7 +345,7 @@
                 .await
         }
     };
-    assert!(answer.status.is_success(), "{}", answer.text());
+    assert!(response.status.is_success(), "{}", response.text());
 }
 
 fn median_ms(mut times: Vec<Duration>) -> f64 {
--- a/crates/burdockroad-site/src/bin/slopes.rs
+++ b/crates/burdockroad-site/src/bin/slopes.rs
@@ -20,10 +20,10 @@
 const PROGRAMS: usize = 1_000;
 
 /// Requests under way at a time.
-const AT_ONCE: usize = 16;
+const CONCURRENT_REQUESTS: usize = 16;
 
 /// Time over which an idle daemon is watched.
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_DURATION: Duration = Duration::from_secs(20);
 
 /// Processor ticks a second, as Linux counts them for processes.
 const TICKS_PER_S: f64 = 100.0;
@@ -53,41 +53,41 @@
         ..SiteOptions::default()
     };
     let site = Site::start(options).await;
-    idle(&site).await?;
-    calls(&site).await?;
-    programs(&site).await?;
-    heartbeats();
+    measure_idle(&site).await?;
+    measure_calls(&site).await?;
+    measure_programs(&site).await?;
+    measure_heartbeats();
     Ok(())
 }
 
-fn print(slope: &str, value: f64, unit: &str) {
+fn print_slope(slope: &str, value: f64, unit: &str) {
     println!("slope={slope} value={value:.3} unit={unit}");
 }
 
 /// What daemons spend without any caller: heartbeats, polls of endpoints, reads of the store.
-async fn idle(site: &Site) -> Result<()> {
-    let counts = site.ask(&site.kv, "/counts").await;
-    let before = processor_s(&site.daemons)?;
-    tokio::time::sleep(IDLE).await;
-    let spent = processor_s(&site.daemons)? - before;
-    let after = site.ask(&site.kv, "/counts").await;
+async fn measure_idle(site: &Site) -> Result<()> {
+    let counts = site.get_control(&site.kv, "/counts").await;
+    let before = cpu_s(&site.daemons)?;
+    tokio::time::sleep(IDLE_DURATION).await;
+    let cpu_spent_s = cpu_s(&site.daemons)? - before;
+    let after = site.get_control(&site.kv, "/counts").await;
     let hosts = count(site.daemons.len());
-    let seconds = IDLE.as_secs_f64();
-    print(
+    let seconds = IDLE_DURATION.as_secs_f64();
+    print_slope(
         "idle_processor",
-        100.0 * spent / hosts / seconds,
+        100.0 * cpu_spent_s / hosts / seconds,
         "percent_of_a_core_per_host",
     );
-    print(
+    print_slope(
         "idle_memory",
         memory_bytes(&site.daemons)? / hosts / 1e6,
         "MB_per_host",
     );
-    for which in ["reads", "writes"] {
-        let made = after[which].as_f64().unwrap_or(0.0) - counts[which].as_f64().unwrap_or(0.0);
-        print(
-            &format!("idle_store_{which}"),
-            made / hosts / seconds,
+    for kind in ["reads", "writes"] {
+        let requests = after[kind].as_f64().unwrap_or(0.0) - counts[kind].as_f64().unwrap_or(0.0);
+        print_slope(
+            &format!("idle_store_{kind}"),
+            requests / hosts / seconds,
             "per_s_per_host",
         );
     }
@@ -95,21 +95,22 @@
 }
 
 /// What a call of a program costs, the forward to its owner included.
-async fn calls(site: &Site) -> Result<()> {
+async fn measure_calls(site: &Site) -> Result<()> {
     let caller = site.caller("masters");
-    let before = processor_s(&site.daemons)?;
-    let counts = site.ask(&site.kv, "/counts").await;
-    let workers = (0..AT_ONCE).map(|worker| call_program(caller.clone(), worker, CALLS / AT_ONCE));
+    let before = cpu_s(&site.daemons)?;
+    let counts = site.get_control(&site.kv, "/counts").await;
+    let workers = (0..CONCURRENT_REQUESTS)
+        .map(|worker| call_program(caller.clone(), worker, CALLS / CONCURRENT_REQUESTS));
     futures_util::future::join_all(workers).await;
-    let spent = processor_s(&site.daemons)? - before;
-    let after = site.ask(&site.kv, "/counts").await;
+    let cpu_spent_s = cpu_s(&site.daemons)? - before;
+    let after = site.get_control(&site.kv, "/counts").await;
     let writes = after["writes"].as_f64().unwrap_or(0.0) - counts["writes"].as_f64().unwrap_or(0.0);
-    print(
+    print_slope(
         "call_processor",
-        1e6 * spent / count(CALLS),
+        1e6 * cpu_spent_s / count(CALLS),
         "us_per_call_of_all_hosts",
     );
-    print(
+    print_slope(
         "call_store_writes",
         writes / count(CALLS),
         "per_call_of_all_hosts",
@@ -123,50 +124,50 @@
     let mut program = String::new();
     for call in 0..calls {
         if call % 10 == 0 {
-            program = caller.program(worker % 3, &json!({})).await;
+            program = caller.create_program(worker % 3, &json!({})).await;
         }
         let number = u32::try_from(call % 10 + 1).unwrap_or(1);
         let position = Some((program.as_str(), number));
         let host = (worker + call) % 3;
-        let answer = caller
+        let response = caller
             .send(host, Method::POST, "/v1/chat/completions", position, &body)
             .await;
-        assert!(answer.status.is_success(), "{}", answer.text());
+        assert!(response.status.is_success(), "{}", response.text());
     }
 }
 
 /// What a program that waits for its tools costs in memory.
-async fn programs(site: &Site) -> Result<()> {
+async fn measure_programs(site: &Site) -> Result<()> {
     let before = memory_bytes(&site.daemons)?;
     let caller = site.caller("masters");
     let text = "x".repeat(40_000);
-    let workers = (0..AT_ONCE).map(|worker| {
+    let workers = (0..CONCURRENT_REQUESTS).map(|worker| {
         let caller = caller.clone();
         let body = completion(&text, 1);
         async move {
-            for _ in 0..PROGRAMS / AT_ONCE {
-                let program = caller.program(worker % 3, &json!({})).await;
+            for _ in 0..PROGRAMS / CONCURRENT_REQUESTS {
+                let program = caller.create_program(worker % 3, &json!({})).await;
                 let position = Some((program.as_str(), 1));
-                let answer = caller
+                let response = caller
                     .send(worker % 3, Method::POST, "/v1/chat/completions", position, &body)
                     .await;
-                assert!(answer.status.is_success(), "{}", answer.text());
+                assert!(response.status.is_success(), "{}", response.text());
             }
         }
     });
     futures_util::future::join_all(workers).await;
-    let grown = memory_bytes(&site.daemons)? - before;
-    print(
+    let growth_bytes = memory_bytes(&site.daemons)? - before;
+    print_slope(
         "program_memory",
-        grown / count(PROGRAMS),
+        growth_bytes / count(PROGRAMS),
         "bytes_per_program_with_40000_bytes_of_history",
     );
     Ok(())
 }
 
 /// Bytes of a heartbeat, by the number of hosts that its sender hears.
-fn heartbeats() {
-    let heartbeat = |heard: usize| {
+fn measure_heartbeats() {
+    let heartbeat = |live_hosts: usize| {
         let host = |number: usize| HostRef {
             host_id: format!("host-{number:04}"),
             incarnation: u64::MAX,
@@ -175,7 +176,7 @@
             from: Some(host(0)),
             peer_address: "10.100.100.100:7200".to_owned(),
             failure_domain: "sohar-a".to_owned(),
-            heard: (0..heard).map(host).collect(),
+            heard: (0..live_hosts).map(host).collect(),
             ownership_version: 1_000_000,
             document: Some(DocumentFreshness {
                 version: 1_000_000,
@@ -185,15 +186,15 @@
         };
         count(message.encoded_len())
     };
-    print("heartbeat_base", heartbeat(0), "bytes");
-    print(
+    print_slope("heartbeat_base", heartbeat(0), "bytes");
+    print_slope(
         "heartbeat_per_heard_host",
         (heartbeat(100) - heartbeat(0)) / 100.0,
         "bytes",
     );
 }
 
-fn processor_s(processes: &[Process]) -> Result<f64> {
+fn cpu_s(processes: &[Process]) -> Result<f64> {
     let mut ticks = 0.0;
     for process in processes {
         let stat = read(process, "stat")?;
--- a/crates/burdockroad-site/src/caller.rs
+++ b/crates/burdockroad-site/src/caller.rs
@@ -19,19 +19,19 @@
 
 impl Caller<'_> {
     /// Creates a program at a daemon, and returns its id.
-    pub async fn program(&self, daemon: usize, body: &Value) -> String {
-        let answer = self.send(daemon, Method::POST, "/v1/programs", None, body).await;
-        assert_eq!(answer.status, 201, "{}", answer.text());
-        let program: Value = answer.json().expect("a program");
+    pub async fn create_program(&self, daemon: usize, body: &Value) -> String {
+        let response = self.send(daemon, Method::POST, "/v1/programs", None, body).await;
+        assert_eq!(response.status, 201, "{}", response.text());
+        let program: Value = response.json().expect("a program");
         program["id"].as_str().expect("an id").to_owned()
     }
 
     /// A program as its caller sees it.
-    pub async fn show(&self, daemon: usize, program: &str) -> Value {
+    pub async fn show_program(&self, daemon: usize, program: &str) -> Value {
         let path = format!("/v1/programs/{program}");
-        let answer = self.send(daemon, Method::GET, &path, None, &Value::Null).await;
-        assert_eq!(answer.status, 200, "{}", answer.text());
-        answer.json().expect("a program")
+        let response = self.send(daemon, Method::GET, &path, None, &Value::Null).await;
+        assert_eq!(response.status, 200, "{}", response.text());
+        response.json().expect("a program")
     }
 
     /// Sends a completion as a call of a program.
@@ -66,10 +66,10 @@
         daemon: usize,
         method: Method,
         path: &str,
-        position: Option<(&str, u32)>,
+        program_call: Option<(&str, u32)>,
         body: &Value,
     ) -> HttpAnswer {
-        self.try_send(daemon, method, path, position, body)
+        self.try_send(daemon, method, path, program_call, body)
             .await
             .expect("the daemon answers")
     }
@@ -84,12 +84,12 @@
         daemon: usize,
         method: Method,
         path: &str,
-        position: Option<(&str, u32)>,
+        program_call: Option<(&str, u32)>,
         body: &Value,
     ) -> burdockroad_standins::Result<HttpAnswer> {
         self.site
             .http
-            .send(self.request(daemon, method, path, position, body))
+            .send(self.request(daemon, method, path, program_call, body))
             .await
     }
 
@@ -103,10 +103,15 @@
     }
 
     /// Opens a streamed completion.
-    pub async fn stream(&self, daemon: usize, position: Option<(&str, u32)>, max_tokens: u64) -> HttpStream {
+    pub async fn stream(
+        &self,
+        daemon: usize,
+        program_call: Option<(&str, u32)>,
+        max_tokens: u64,
+    ) -> HttpStream {
         let mut body = completion("stream", max_tokens);
         body["stream"] = true.into();
-        let request = self.request(daemon, Method::POST, "/v1/chat/completions", position, &body);
+        let request = self.request(daemon, Method::POST, "/v1/chat/completions", program_call, &body);
         self.site.http.open(request).await.expect("the daemon answers")
     }
 
@@ -115,7 +120,7 @@
         daemon: usize,
         method: Method,
         path: &str,
-        position: Option<(&str, u32)>,
+        program_call: Option<(&str, u32)>,
         body: &Value,
     ) -> Request<Full<Bytes>> {
         let text = if body.is_null() {
@@ -127,7 +132,7 @@
             .method(method)
             .uri(format!("{}{path}", self.site.url(daemon)))
             .header("authorization", format!("Bearer {}", self.key));
-        if let Some((program, number)) = position {
+        if let Some((program, number)) = program_call {
             request = request
                 .header("program-id", program)
                 .header("call-number", number);
@@ -146,16 +151,16 @@
 }
 
 /// The problem that an answer tells of: its type, and whether the request ran.
-pub fn problem(answer: &HttpAnswer) -> (String, String) {
-    let problem: Value = answer.json().expect("a problem");
-    let kind = problem["type"]
+pub fn problem(response: &HttpAnswer) -> (String, String) {
+    let problem: Value = response.json().expect("a problem");
+    let problem_type = problem["type"]
         .as_str()
         .expect("a type")
         .rsplit(':')
         .next()
         .expect("a last part");
     (
-        kind.to_owned(),
+        problem_type.to_owned(),
         problem["ran"].as_str().expect("whether it ran").to_owned(),
     )
 }
--- a/crates/burdockroad-site/src/lib.rs
+++ b/crates/burdockroad-site/src/lib.rs
@@ -14,5 +14,5 @@
 
 pub use crate::{
     caller::{Caller, completion, problem},
-    site::{AccountOptions, Site, SiteOptions, until},
+    site::{AccountOptions, Site, SiteOptions, wait_until},
 };
--- a/crates/burdockroad-site/src/site.rs
+++ b/crates/burdockroad-site/src/site.rs
@@ -25,13 +25,13 @@
 use crate::caller::Caller;
 
 /// Longest wait for something that has to come.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Failure domains that hosts and endpoints are spread over.
-const DOMAINS: [&str; 3] = ["sohar-a", "sohar-b", "liwa"];
+const FAILURE_DOMAINS: [&str; 3] = ["sohar-a", "sohar-b", "liwa"];
 
 /// What a site is made of.
 #[derive(Clone, Debug)]
@@ -94,7 +94,7 @@
     /// The key-value service.
     pub kv: Process,
     /// The host list.
-    pub hosts: Process,
+    pub host_list: Process,
     /// The model engines.
     pub engines: Vec<Process>,
     /// The plain service.
@@ -102,7 +102,7 @@
     /// The daemons.
     pub daemons: Vec<Process>,
     /// Between each daemon and the key-value service.
-    pub store_links: Vec<Process>,
+    pub store_proxies: Vec<Process>,
     /// A client of the key-value service, beside the proxies.
     pub store: SharedKeyValue,
     /// A client for requests to the stand-ins.
@@ -127,10 +127,10 @@
         let kv = Process::spawn("burdockroad-standin", &["kv"])
             .await
             .expect("the key-value service");
-        let addresses = take_addresses(options.daemons);
-        let listed = listed_hosts(&addresses).to_string();
+        let addresses = allocate_addresses(options.daemons);
+        let listed = host_list_entries(&addresses).to_string();
         let arguments = ["host-list", "--hosts", &listed];
-        let hosts = Process::spawn("burdockroad-standin", &arguments)
+        let host_list = Process::spawn("burdockroad-standin", &arguments)
             .await
             .expect("the host list");
         let mut engines = Vec::new();
@@ -148,20 +148,20 @@
         let service = Process::spawn("burdockroad-standin", &arguments)
             .await
             .expect("the service");
-        let mut store_links = Vec::new();
+        let mut store_proxies = Vec::new();
         let target = kv.address().expect("an address").to_string();
         for _ in 0..options.daemons {
-            let link = Process::spawn("burdockroad-standin", &["proxy", "--target", &target]).await;
-            store_links.push(link.expect("a proxy"));
+            let proxy = Process::spawn("burdockroad-standin", &["proxy", "--target", &target]).await;
+            store_proxies.push(proxy.expect("a proxy"));
         }
         let store = connect(kv.address().expect("an address"));
         let mut site = Self {
             kv,
-            hosts,
+            host_list,
             engines,
             service,
             daemons: Vec::new(),
-            store_links,
+            store_proxies,
             store,
             http: HttpClient::with_timeout(Duration::from_mins(1)),
             options,
@@ -169,7 +169,7 @@
             keys: BTreeMap::new(),
             folder: TempDir::new().expect("a scratch folder"),
         };
-        let document = site.first_document();
+        let document = site.initial_document();
         site.apply(&document).await;
         for number in 0..site.options.daemons {
             let daemon = site.spawn_daemon(number).await;
@@ -178,7 +178,7 @@
         for number in 0..site.options.daemons {
             site.wait_until_ready(number).await;
         }
-        site.wait_until_owned().await;
+        site.wait_until_partitions_owned().await;
         site
     }
 
@@ -221,7 +221,7 @@
 
     /// The daemon that owns a program.
     pub async fn owner_of(&self, program_id: &str) -> usize {
-        let number = until("a daemon owns the program", || async {
+        let number = wait_until("a daemon owns the program", || async {
             for number in 0..self.daemons.len() {
                 let url = format!("{}/programs/{program_id}", self.admin_url(number));
                 let request = Request::get(url).body(Full::default()).expect("a request");
@@ -229,7 +229,7 @@
                     .http
                     .send(request)
                     .await
-                    .is_ok_and(|answer| answer.status.is_success())
+                    .is_ok_and(|response| response.status.is_success())
                 {
                     return Some(number);
                 }
@@ -240,27 +240,27 @@
     }
 
     /// Sends control orders to a stand-in.
-    pub async fn control(&self, standin: &Process, path: &str, order: &Value) {
-        self.order(Method::POST, standin, path, order).await;
+    pub async fn post_control(&self, standin: &Process, path: &str, body: &Value) {
+        self.send_control(Method::POST, standin, path, body).await;
     }
 
     /// Puts a value at a stand-in's control address.
     pub async fn put_control(&self, standin: &Process, path: &str, value: &Value) {
-        self.order(Method::PUT, standin, path, value).await;
+        self.send_control(Method::PUT, standin, path, value).await;
     }
 
-    async fn order(&self, method: Method, standin: &Process, path: &str, order: &Value) {
+    async fn send_control(&self, method: Method, standin: &Process, path: &str, body: &Value) {
         let address = standin.address_of("control").expect("a control address");
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"));
-        let request = request.body(Full::from(order.to_string())).expect("a request");
-        let answer = self.http.send(request).await.expect("the stand-in answers");
-        assert!(answer.status.is_success(), "{path} {order}: {}", answer.text());
+        let request = request.body(Full::from(body.to_string())).expect("a request");
+        let response = self.http.send(request).await.expect("the stand-in answers");
+        assert!(response.status.is_success(), "{path} {body}: {}", response.text());
     }
 
     /// Asks a stand-in at its control address.
-    pub async fn ask(&self, standin: &Process, path: &str) -> Value {
+    pub async fn get_control(&self, standin: &Process, path: &str) -> Value {
         let address = standin.address_of("control").expect("a control address");
         self.http
             .get_json(&format!("http://{address}{path}"))
@@ -270,13 +270,13 @@
 
     /// Applies a document as the next version, and returns that version.
     pub async fn apply(&self, document: &Value) -> u64 {
-        let known = self.store.get(DOCUMENT_KEY).await.expect("the store answers");
-        let earlier = known
+        let stored = self.store.get(DOCUMENT_KEY).await.expect("the store answers");
+        let earlier = stored
             .as_ref()
             .map(|entry| VersionedDocument::from_bytes(&entry.value).expect("a document"));
         let version = earlier.map_or(1, |earlier| earlier.version + 1);
         let next = VersionedDocument::new(version, document.to_string()).expect("a valid document");
-        let expected = known.map_or(Expected::Absent, |entry| Expected::Revision(entry.revision));
+        let expected = stored.map_or(Expected::Absent, |entry| Expected::Revision(entry.revision));
         let put = self
             .store
             .put(DOCUMENT_KEY, Bytes::from(next.to_bytes()), expected)
@@ -298,44 +298,44 @@
     }
 
     /// What all engines were sent so far, as one text.
-    pub async fn recorded(&self) -> String {
+    pub async fn recorded_requests(&self) -> String {
         let mut text = String::new();
         for endpoint in self.engines.iter().chain([&self.service]) {
-            text.push_str(&self.ask(endpoint, "/recorded").await.to_string());
+            text.push_str(&self.get_control(endpoint, "/recorded").await.to_string());
         }
         text
     }
 
     /// Programs that engines hold memory for.
-    pub async fn held(&self) -> Vec<String> {
-        let mut held = Vec::new();
+    pub async fn cached_programs(&self) -> Vec<String> {
+        let mut cached_programs = Vec::new();
         for engine in &self.engines {
             let url = format!("http://{}/cache", engine.address().expect("an address"));
             let listed: Vec<Value> = self.http.get_json(&url).await.expect("the engine answers");
-            held.extend(
+            cached_programs.extend(
                 listed
                     .iter()
                     .filter_map(|program| program["program_id"].as_str())
                     .map(str::to_owned),
             );
         }
-        held
+        cached_programs
     }
 
     /// Waits until a daemon may be given calls.
     pub async fn wait_until_ready(&self, number: usize) {
         let url = format!("{}/ready", self.admin_url(number));
-        until("the daemon is ready", || async {
+        wait_until("the daemon is ready", || async {
             let request = Request::get(&url).body(Full::default()).expect("a request");
-            let answer = self.http.send(request).await.ok()?;
-            answer.status.is_success().then_some(())
+            let response = self.http.send(request).await.ok()?;
+            response.status.is_success().then_some(())
         })
         .await;
     }
 
     /// Waits until each daemon owns some partitions and together they own all.
-    async fn wait_until_owned(&self) {
-        until("all partitions are spread over the daemons", || async {
+    async fn wait_until_partitions_owned(&self) {
+        wait_until("all partitions are spread over the daemons", || async {
             let mut sum = 0;
             for number in 0..self.daemons.len() {
                 let partitions = self.status(number).await?["ownership"]["partitions"].as_u64()?;
@@ -359,17 +359,17 @@
 
     fn write_settings(&self, number: usize) -> PathBuf {
         let addresses = self.addresses[number];
-        let hosts = self.hosts.address().expect("an address");
-        let store = self.store_links[number].address().expect("an address");
+        let host_list = self.host_list.address().expect("an address");
+        let store = self.store_proxies[number].address().expect("an address");
         let settings = json!({
             "host_id": format!("host-{number}"),
-            "failure_domain": DOMAINS[number % DOMAINS.len()],
+            "failure_domain": FAILURE_DOMAINS[number % FAILURE_DOMAINS.len()],
             "site": "batinah",
             "caller_address": addresses.caller.to_string(),
             "peer_address": addresses.peer.to_string(),
             "admin_address": addresses.admin.to_string(),
             "store": { "kind": "service", "addresses": [format!("http://{store}")] },
-            "host_list": { "kind": "service", "url": format!("http://{hosts}/hosts") },
+            "host_list": { "kind": "service", "url": format!("http://{host_list}/hosts") },
             "limits": self.options.limits,
         });
         let path = self.folder.path().join(format!("host-{number}.jsonc"));
@@ -377,7 +377,7 @@
         path
     }
 
-    fn first_document(&mut self) -> Value {
+    fn initial_document(&mut self) -> Value {
         let mut accounts = Vec::new();
         for account in &self.options.accounts {
             let key = new_key(&mut rand::rng());
@@ -415,7 +415,7 @@
         "id": id,
         "address": process.address().expect("an address").to_string(),
         "host_id": format!("host-of-{id}"),
-        "failure_domain": DOMAINS[number % DOMAINS.len()],
+        "failure_domain": FAILURE_DOMAINS[number % FAILURE_DOMAINS.len()],
         "slots": slots,
     })
 }
@@ -424,14 +424,14 @@
 ///
 /// Each site has a loopback address of its own: a port that was free a moment ago on a shared address
 /// may be taken by another test's outgoing connection.
-fn take_addresses(daemons: usize) -> Vec<Addresses> {
+fn allocate_addresses(daemons: usize) -> Vec<Addresses> {
     static SITES: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
     let site = SITES.fetch_add(1, Ordering::Relaxed);
     let ip = Ipv4Addr::new(127, 64 + high % 64, low, site);
     let at = |port: usize| SocketAddr::from((ip, u16::try_from(port).expect("a port")));
-    let numbered = 0..daemons;
-    numbered
+    let numbers = 0..daemons;
+    numbers
         .map(|number| Addresses {
             caller: at(7_100 + number),
             peer: at(7_200 + number),
@@ -440,11 +440,11 @@
         .collect()
 }
 
-fn listed_hosts(addresses: &[Addresses]) -> Value {
+fn host_list_entries(addresses: &[Addresses]) -> Value {
     let hosts = addresses.iter().enumerate().map(|(number, addresses)| {
         json!({
             "host_id": format!("host-{number}"),
-            "failure_domain": DOMAINS[number % DOMAINS.len()],
+            "failure_domain": FAILURE_DOMAINS[number % FAILURE_DOMAINS.len()],
             "peer_address": addresses.peer.to_string(),
             "state": "live",
         })
@@ -460,13 +460,13 @@
 }
 
 /// Waits until a look finds something.
-pub async fn until<T, F: Future<Output = Option<T>>>(what: &str, look: impl Fn() -> F) -> T {
-    let latest = Instant::now() + PATIENCE;
+pub async fn wait_until<T, F: Future<Output = Option<T>>>(description: &str, poll: impl Fn() -> F) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = poll().await {
             return found;
         }
-        assert!(Instant::now() < latest, "not in time: {what}");
-        sleep(PAUSE).await;
+        assert!(Instant::now() < deadline, "not in time: {description}");
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/burdockroad-site/tests/processes/endpoints.rs
+++ b/crates/burdockroad-site/tests/processes/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use burdockroad_site::{Site, SiteOptions, completion, problem, until};
+use burdockroad_site::{Site, SiteOptions, completion, problem, wait_until};
 use http::Method;
 use serde_json::{Value, json};
 
@@ -21,7 +21,7 @@
     let mut sum = 0;
     for engine in &site.engines {
         sum += site
-            .ask(engine, "/recorded")
+            .get_control(engine, "/recorded")
             .await
             .to_string()
             .matches("chat/completions")
@@ -30,8 +30,8 @@
     sum
 }
 
-fn content(answer: &burdockroad_standins::http_client::HttpAnswer) -> Value {
-    let body: Value = answer.json().expect("JSON");
+fn content(response: &burdockroad_standins::http_client::HttpAnswer) -> Value {
+    let body: Value = response.json().expect("JSON");
     body["choices"][0]["message"]["content"].clone()
 }
 
@@ -43,11 +43,11 @@
     let whole = caller.send(0, Method::POST, COMPLETIONS, None, &body).await;
     let cut = json!({ "cut_next": 1, "cut_after_tokens": 5 });
     for _ in 0..2 {
-        site.control(&site.engines[0], "/faults", &cut).await;
-        let answer = caller.send(1, Method::POST, COMPLETIONS, None, &body).await;
-        assert_eq!(answer.status, 200, "{}", answer.text());
+        site.post_control(&site.engines[0], "/faults", &cut).await;
+        let response = caller.send(1, Method::POST, COMPLETIONS, None, &body).await;
+        assert_eq!(response.status, 200, "{}", response.text());
         assert_eq!(
-            content(&answer),
+            content(&response),
             content(&whole),
             "the whole answer, with nothing twice or missing"
         );
@@ -60,7 +60,7 @@
     let caller = site.caller("masters");
     let mut texts = Vec::new();
     for faults in [json!({}), json!({ "cut_next": 1, "cut_after_tokens": 5 })] {
-        site.control(&site.engines[0], "/faults", &faults).await;
+        site.post_control(&site.engines[0], "/faults", &faults).await;
         let mut stream = caller.stream(1, None, 30).await;
         let mut text = String::new();
         while let Some(data) = stream.next().await.expect("the stream is not cut") {
@@ -120,18 +120,19 @@
 async fn failing_engine_is_tried_elsewhere() {
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
-    let program = caller.program(0, &json!({})).await;
+    let program = caller.create_program(0, &json!({})).await;
     for number in 1..=4 {
         for engine in &site.engines {
-            site.control(engine, "/faults", &json!({ "fail_next": 1 })).await;
+            site.post_control(engine, "/faults", &json!({ "fail_next": 1 }))
+                .await;
         }
-        let answer = caller.complete(1, &program, number, "question").await;
-        assert_eq!(answer.status, 200, "call {number}: {}", answer.text());
+        let response = caller.complete(1, &program, number, "question").await;
+        assert_eq!(response.status, 200, "call {number}: {}", response.text());
         for engine in &site.engines {
-            site.control(engine, "/faults", &json!({})).await;
+            site.post_control(engine, "/faults", &json!({})).await;
         }
     }
-    let shown = caller.show(2, &program).await;
+    let shown = caller.show_program(2, &program).await;
     assert_eq!(shown["calls"].as_array().map(Vec::len), Some(4));
 }
 
@@ -139,12 +140,12 @@
 async fn repeat_while_first_runs() {
     let site = Site::start(one_engine(vec!["--token-ms", "40"])).await;
     let caller = site.caller("masters");
-    let program = caller.program(0, &json!({})).await;
+    let program = caller.create_program(0, &json!({})).await;
     let tries = (0..6).map(|daemon| caller.complete(daemon % 3, &program, 1, "asked six times"));
-    let answers = futures_util::future::join_all(tries).await;
-    for answer in &answers {
-        assert_eq!(answer.status, 200, "{}", answer.text());
-        assert_eq!(answer.body, answers[0].body);
+    let responses = futures_util::future::join_all(tries).await;
+    for response in &responses {
+        assert_eq!(response.status, 200, "{}", response.text());
+        assert_eq!(response.body, responses[0].body);
     }
     assert_eq!(completions(&site).await, 1, "the call ran once");
 }
@@ -154,17 +155,17 @@
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
     let body = json!({ "order": "keyed-order" });
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     for daemon in 0..3 {
         let path = "/services/fuel-orders/orders";
-        answers.push(caller.send_keyed(daemon, path, "order-7", &body).await);
+        responses.push(caller.send_keyed(daemon, path, "order-7", &body).await);
     }
-    for answer in &answers {
-        assert_eq!(answer.status, 200, "{}", answer.text());
-        assert_eq!(answer.body, answers[0].body);
+    for response in &responses {
+        assert_eq!(response.status, 200, "{}", response.text());
+        assert_eq!(response.body, responses[0].body);
     }
     let ran = site
-        .ask(&site.service, "/recorded")
+        .get_control(&site.service, "/recorded")
         .await
         .to_string()
         .matches("keyed-order")
@@ -185,12 +186,12 @@
 async fn call_goes_on_when_its_caller_leaves() {
     let site = Site::start(one_engine(vec!["--token-ms", "30"])).await;
     let caller = site.caller("masters");
-    let program = caller.program(0, &json!({})).await;
+    let program = caller.create_program(0, &json!({})).await;
     let mut stream = caller.stream(1, Some((&program, 1)), 20).await;
     assert!(stream.next().await.expect("it streams").is_some());
     drop(stream);
-    until("the call is answered without its caller", || async {
-        let shown = caller.show(2, &program).await;
+    wait_until("the call is answered without its caller", || async {
+        let shown = caller.show_program(2, &program).await;
         (shown["calls"][0]["state"] == "answered").then_some(())
     })
     .await;
@@ -202,40 +203,40 @@
     let site = Site::start(one_engine(vec!["--token-ms", "1", "--answer-tokens", "16"])).await;
     let caller = site.caller("masters");
     let root = caller
-        .program(0, &json!({ "budget": { "max_tokens": 100, "max_calls": 50 } }))
+        .create_program(0, &json!({ "budget": { "max_tokens": 100, "max_calls": 50 } }))
         .await;
-    let child = caller.program(1, &json!({ "parent": root })).await;
+    let child = caller.create_program(1, &json!({ "parent": root })).await;
     let spend = |daemon: usize, program: String| {
         let caller = caller.clone();
         async move {
             let mut number = 1;
             loop {
-                let answer = caller.complete(daemon, &program, number, "spend").await;
-                if answer.status == 200 {
+                let response = caller.complete(daemon, &program, number, "spend").await;
+                if response.status == 200 {
                     number += 1;
                     continue;
                 }
                 assert_eq!(
-                    problem(&answer),
+                    problem(&response),
                     ("over-budget".to_owned(), "no".to_owned()),
                     "{}",
-                    answer.text()
+                    response.text()
                 );
-                if !answer.headers.contains_key("retry-after") {
+                if !response.headers.contains_key("retry-after") {
                     return;
                 }
             }
         }
     };
     tokio::join!(spend(1, root.clone()), spend(2, child.clone()));
-    let stats = site.ask(&site.engines[0], "/stats").await;
+    let stats = site.get_control(&site.engines[0], "/stats").await;
     let generated = stats["generated"].as_u64().expect("a count");
     assert!(
         generated <= 100,
         "the engine generated {generated} of 100 tokens: {stats}"
     );
     assert!(generated >= 84, "the budget can be used up: {stats}");
-    let left = caller.show(0, &root).await["budget"]["left"]["tokens"].as_u64();
+    let left = caller.show_program(0, &root).await["budget"]["left"]["tokens"].as_u64();
     assert_eq!(left, Some(100 - generated));
 }
 
@@ -247,8 +248,8 @@
     };
     let site = Site::start(options).await;
     let caller = site.caller("masters");
-    let program = caller.program(0, &json!({})).await;
-    site.control(&site.service, "/faults", &json!({ "hang_next": 1 }))
+    let program = caller.create_program(0, &json!({})).await;
+    site.post_control(&site.service, "/faults", &json!({ "hang_next": 1 }))
         .await;
     let hung = caller.order(1, &program, 1, "hung-order").await;
     assert!(hung.status == 504 || hung.status == 409, "{}", hung.text());
@@ -267,7 +268,7 @@
     let site = Site::start(one_engine(vec!["--token-ms", "20", "--answer-tokens", "400"])).await;
     let caller = site.caller("masters");
     let program = caller
-        .program(0, &json!({ "budget": { "max_duration_s": 2 } }))
+        .create_program(0, &json!({ "budget": { "max_duration_s": 2 } }))
         .await;
     let body = completion("runs past the limit", 400);
     let stopped = caller
@@ -281,8 +282,8 @@
     let late = caller.complete(2, &program, 1, "late").await;
     assert!(late.status == 409 || late.status == 402, "{}", late.text());
     assert_eq!(problem(&late).1, "no");
-    until("its memory is freed", || async {
-        site.held().await.is_empty().then_some(())
+    wait_until("its memory is freed", || async {
+        site.cached_programs().await.is_empty().then_some(())
     })
     .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/burdockroad-site/tests/processes/failures.rs
+++ b/crates/burdockroad-site/tests/processes/failures.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use burdockroad_site::{Caller, Site, SiteOptions, problem, until};
+use burdockroad_site::{Caller, Site, SiteOptions, problem, wait_until};
 
 /// A slow service: an order takes this long.
 const ORDER_MS: &str = "1500";
@@ -26,7 +26,7 @@
 
 /// Number of times that the service ran an order.
 async fn executions(site: &Site, order: &str) -> usize {
-    site.ask(&site.service, "/recorded")
+    site.get_control(&site.service, "/recorded")
         .await
         .to_string()
         .matches(order)
@@ -35,10 +35,10 @@
 
 /// Sends an order until the daemon says something final.
 async fn order_until_final(caller: &Caller<'_>, daemon: usize, program: &str, number: u32) -> HttpAnswer {
-    until("the order's outcome", || async {
-        let answer = caller.order(daemon, program, number, "order-one").await;
-        let moving = answer.status == 503;
-        (!moving).then_some(answer)
+    wait_until("the order's outcome", || async {
+        let response = caller.order(daemon, program, number, "order-one").await;
+        let moving = response.status == 503;
+        (!moving).then_some(response)
     })
     .await
 }
@@ -46,25 +46,25 @@
 #[tokio::test]
 async fn owner_killed_history_whole() {
     let mut site = Site::start(SiteOptions::default()).await;
-    let program = site.caller("masters").program(0, &json!({})).await;
+    let program = site.caller("masters").create_program(0, &json!({})).await;
     for number in 1..=3 {
         let text = format!("question {number}");
-        let answer = site.caller("masters").complete(1, &program, number, &text).await;
-        assert_eq!(answer.status, 200, "{}", answer.text());
+        let response = site.caller("masters").complete(1, &program, number, &text).await;
+        assert_eq!(response.status, 200, "{}", response.text());
     }
     let owner = site.owner_of(&program).await;
-    let before = site.caller("masters").show(owner, &program).await;
+    let before = site.caller("masters").show_program(owner, &program).await;
     site.daemons[owner].kill().await.expect("killed");
     let killed = Instant::now();
     let caller = site.caller("masters");
     let through = other_than(owner);
-    until("the program goes on", || async {
-        let answer = caller.complete(through, &program, 4, "question 4").await;
-        (answer.status == 200).then_some(())
+    wait_until("the program goes on", || async {
+        let response = caller.complete(through, &program, 4, "question 4").await;
+        (response.status == 200).then_some(())
     })
     .await;
     println!("event=program_went_on after_ms={}", killed.elapsed().as_millis());
-    let after = caller.show(through, &program).await;
+    let after = caller.show_program(through, &program).await;
     let kept = after["calls"].as_array().expect("calls");
     assert_eq!(
         before["calls"].as_array().expect("calls")[..],
@@ -83,7 +83,7 @@
     let mut site = Site::start(options).await;
     let program = site
         .caller("masters")
-        .program(0, &json!({ "budget": { "max_tokens": 40 } }))
+        .create_program(0, &json!({ "budget": { "max_tokens": 40 } }))
         .await;
     let owner = site.owner_of(&program).await;
     let through = other_than(owner);
@@ -98,28 +98,28 @@
     drop(first);
     site.daemons[owner].kill().await.expect("killed");
     let caller = site.caller("masters");
-    let answer = until("the call runs again", || async {
-        let answer = caller.complete(through, &program, 1, "slow question").await;
-        (answer.status == 200).then_some(answer)
+    let response = wait_until("the call runs again", || async {
+        let response = caller.complete(through, &program, 1, "slow question").await;
+        (response.status == 200).then_some(response)
     })
     .await;
-    let shown = caller.show(through, &program).await;
+    let shown = caller.show_program(through, &program).await;
     let calls = shown["calls"].as_array().expect("calls");
     assert_eq!(calls.len(), 1, "one call, however often it was tried: {shown}");
-    let content = answer.json::<Value>().expect("JSON")["choices"][0]["message"]["content"].clone();
+    let content = response.json::<Value>().expect("JSON")["choices"][0]["message"]["content"].clone();
     assert_eq!(calls[0]["answer"]["content"], content);
 }
 
 #[tokio::test]
 async fn owner_killed_during_order() {
     let mut site = Site::start(slow_orders()).await;
-    let program = site.caller("masters").program(0, &json!({})).await;
+    let program = site.caller("masters").create_program(0, &json!({})).await;
     let owner = site.owner_of(&program).await;
     let through = other_than(owner);
     let url = site.url(through);
     let key = site.key("masters").to_owned();
     let first = tokio::spawn(send_order(url, key, program.clone()));
-    until("the service runs the order", || async {
+    wait_until("the service runs the order", || async {
         (executions(&site, "order-one").await == 1).then_some(())
     })
     .await;
@@ -127,10 +127,10 @@
     let first = first.await.expect("the first try ends");
     assert!(first != "200", "the first try cannot have been answered: {first}");
     let caller = site.caller("masters");
-    let answer = order_until_final(&caller, through, &program, 1).await;
-    assert_eq!(answer.status, 409, "{}", answer.text());
+    let response = order_until_final(&caller, through, &program, 1).await;
+    assert_eq!(response.status, 409, "{}", response.text());
     assert_eq!(
-        problem(&answer),
+        problem(&response),
         ("outcome-unknown".to_owned(), "unknown".to_owned())
     );
     sleep(Duration::from_secs(2)).await;
@@ -156,7 +156,7 @@
         ))
         .expect("a request");
     match client.send(request).await {
-        Ok(answer) => answer.status.as_u16().to_string(),
+        Ok(response) => response.status.as_u16().to_string(),
         Err(error) => error.to_string(),
     }
 }
@@ -165,7 +165,7 @@
 async fn owner_paused_during_order() {
     let site = Site::start(slow_orders()).await;
     let caller = site.caller("masters");
-    let program = caller.program(0, &json!({})).await;
+    let program = caller.create_program(0, &json!({})).await;
     let owner = site.owner_of(&program).await;
     let through = other_than(owner);
     let first = tokio::spawn(send_order(
@@ -173,22 +173,22 @@
         site.key("masters").to_owned(),
         program.clone(),
     ));
-    until("the service runs the order", || async {
+    wait_until("the service runs the order", || async {
         (executions(&site, "order-one").await == 1).then_some(())
     })
     .await;
     site.daemons[owner].stop().expect("paused");
-    let answer = order_until_final(&caller, through, &program, 1).await;
-    assert_eq!(answer.status, 409, "{}", answer.text());
+    let response = order_until_final(&caller, through, &program, 1).await;
+    assert_eq!(response.status, 409, "{}", response.text());
     site.daemons[owner].resume().expect("resumed");
     drop(first.await);
-    let shown = caller.show(through, &program).await;
+    let shown = caller.show_program(through, &program).await;
     assert_eq!(
         shown["calls"][0]["state"], "outcome_unknown",
         "the paused host changed nothing: {shown}"
     );
     site.wait_until_ready(owner).await;
-    until("the resumed host serves again", || async {
+    wait_until("the resumed host serves again", || async {
         let next = caller.complete(owner, &program, 2, "go on").await;
         (next.status == 200).then_some(())
     })
@@ -200,19 +200,20 @@
 async fn store_down_programs_go_on() {
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
-    let program = caller.program(0, &json!({})).await;
-    site.control(&site.kv, "/faults", &json!({ "down": true })).await;
+    let program = caller.create_program(0, &json!({})).await;
+    site.post_control(&site.kv, "/faults", &json!({ "down": true }))
+        .await;
     sleep(Duration::from_secs(2)).await;
     for number in 1..=5 {
         let daemon = usize::try_from(number).expect("a small number") % 3;
-        let answer = caller
+        let response = caller
             .complete(daemon, &program, number, &format!("question {number}"))
             .await;
         assert_eq!(
-            answer.status,
+            response.status,
             200,
             "call {number} while the store is down: {}",
-            answer.text()
+            response.text()
         );
         sleep(Duration::from_millis(500)).await;
     }
@@ -226,43 +227,46 @@
         "refused at once, not at its deadline"
     );
     assert_eq!(executions(&site, "order-one").await, 0, "not run means not run");
-    site.control(&site.kv, "/faults", &json!({ "down": false })).await;
-    let order = until("the order runs once the store is back", || async {
+    site.post_control(&site.kv, "/faults", &json!({ "down": false }))
+        .await;
+    let order = wait_until("the order runs once the store is back", || async {
         let order = caller.order(2, &program, 6, "order-one").await;
         (order.status == 200).then_some(order)
     })
     .await;
     drop(order);
     assert_eq!(executions(&site, "order-one").await, 1);
-    let shown = caller.show(0, &program).await;
+    let shown = caller.show_program(0, &program).await;
     assert_eq!(shown["calls"].as_array().map(Vec::len), Some(6));
 }
 
 #[tokio::test]
 async fn store_down_then_owner_killed() {
     let mut site = Site::start(SiteOptions::default()).await;
-    let program = site.caller("masters").program(0, &json!({})).await;
-    site.control(&site.kv, "/faults", &json!({ "down": true })).await;
+    let program = site.caller("masters").create_program(0, &json!({})).await;
+    site.post_control(&site.kv, "/faults", &json!({ "down": true }))
+        .await;
     sleep(Duration::from_secs(1)).await;
     for number in 1..=3 {
-        let answer = site
+        let response = site
             .caller("masters")
             .complete(1, &program, number, &format!("question {number}"))
             .await;
-        assert_eq!(answer.status, 200, "{}", answer.text());
+        assert_eq!(response.status, 200, "{}", response.text());
     }
     let owner = site.owner_of(&program).await;
     site.daemons[owner].kill().await.expect("killed");
     sleep(Duration::from_secs(2)).await;
-    site.control(&site.kv, "/faults", &json!({ "down": false })).await;
+    site.post_control(&site.kv, "/faults", &json!({ "down": false }))
+        .await;
     let caller = site.caller("masters");
     let through = other_than(owner);
-    until("the program goes on", || async {
-        let answer = caller.complete(through, &program, 4, "question 4").await;
-        (answer.status == 200).then_some(())
+    wait_until("the program goes on", || async {
+        let response = caller.complete(through, &program, 4, "question 4").await;
+        (response.status == 200).then_some(())
     })
     .await;
-    let shown = caller.show(through, &program).await;
+    let shown = caller.show_program(through, &program).await;
     let calls = shown["calls"].as_array().expect("calls");
     assert_eq!(calls.len(), 4, "what only the peer had is whole: {shown}");
     assert!(calls.iter().all(|call| call["state"] == "answered"), "{shown}");
@@ -274,24 +278,28 @@
     let mut programs = Vec::new();
     for daemon in 0..3 {
         let caller = site.caller("masters");
-        let program = caller.program(daemon, &json!({})).await;
-        let answer = caller.complete(daemon, &program, 1, "question").await;
-        assert_eq!(answer.status, 200, "{}", answer.text());
+        let program = caller.create_program(daemon, &json!({})).await;
+        let response = caller.complete(daemon, &program, 1, "question").await;
+        assert_eq!(response.status, 200, "{}", response.text());
         programs.push(program);
     }
-    assert_eq!(site.held().await.len(), 3, "engines hold the programs' prefixes");
+    assert_eq!(
+        site.cached_programs().await.len(),
+        3,
+        "engines hold the programs' prefixes"
+    );
     site.daemons[0].kill().await.expect("killed");
     let caller = site.caller("masters");
     for program in &programs {
         let path = format!("/v1/programs/{program}");
-        until("the program is ended", || async {
+        wait_until("the program is ended", || async {
             let ended = caller.send(1, Method::DELETE, &path, None, &Value::Null).await;
             (ended.status == 200).then_some(())
         })
         .await;
     }
-    until("engines hold nothing more", || async {
-        site.held().await.is_empty().then_some(())
+    wait_until("engines hold nothing more", || async {
+        site.cached_programs().await.is_empty().then_some(())
     })
     .await;
 }
@@ -302,7 +310,7 @@
     for stopped in 0..3 {
         let urls: Vec<usize> = (0..3).filter(|daemon| *daemon != stopped).collect();
         let caller = site.caller("masters");
-        let program = caller.program(stopped, &json!({})).await;
+        let program = caller.create_program(stopped, &json!({})).await;
         let load = run_while_stopping(&site, stopped, &program, urls[0]);
         load.await;
         let ended = site.daemons[stopped]
@@ -325,14 +333,15 @@
         sleep(Duration::from_millis(15)).await;
         site.daemons[stopped].terminate().expect("told to stop");
     };
-    let (answers, of_program, ()) = tokio::join!(futures_util::future::join_all(at_stopped), at_owner, stop);
-    for answer in answers {
-        let refused = answer.status == 503 && problem(&answer).0 == "stopping";
-        assert!(answer.status == 200 || refused, "{}", answer.text());
+    let (responses, of_program, ()) =
+        tokio::join!(futures_util::future::join_all(at_stopped), at_owner, stop);
+    for response in responses {
+        let refused = response.status == 503 && problem(&response).0 == "stopping";
+        assert!(response.status == 200 || refused, "{}", response.text());
     }
     assert_eq!(of_program.status, 200, "{}", of_program.text());
     for number in 2..=4 {
-        let answer = caller.complete(through, program, number, "goes on").await;
-        assert_eq!(answer.status, 200, "call {number}: {}", answer.text());
+        let response = caller.complete(through, program, number, "goes on").await;
+        assert_eq!(response.status, 200, "call {number}: {}", response.text());
     }
 }
--- a/crates/burdockroad-site/tests/processes/first_path.rs
+++ b/crates/burdockroad-site/tests/processes/first_path.rs
@@ -10,23 +10,23 @@
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
     let program = caller
-        .program(0, &json!({ "budget": { "max_tokens": 500, "max_calls": 20 } }))
+        .create_program(0, &json!({ "budget": { "max_tokens": 500, "max_calls": 20 } }))
         .await;
     for number in 1..=6 {
         let daemon = usize::try_from(number).expect("a small number") % 3;
-        let answer = caller
+        let response = caller
             .complete(daemon, &program, number, &format!("question {number}"))
             .await;
-        assert_eq!(answer.status, 200, "call {number}: {}", answer.text());
+        assert_eq!(response.status, 200, "call {number}: {}", response.text());
         let again = caller
             .complete((daemon + 1) % 3, &program, number, &format!("question {number}"))
             .await;
         assert_eq!(
-            answer.body, again.body,
+            response.body, again.body,
             "call {number} repeated through another host"
         );
     }
-    let shown = caller.show(1, &program).await;
+    let shown = caller.show_program(1, &program).await;
     let questions: Vec<&str> = shown["calls"]
         .as_array()
         .expect("calls")
@@ -35,7 +35,7 @@
         .collect();
     let expected: Vec<String> = (1..=6).map(|number| format!("question {number}")).collect();
     assert_eq!(questions, expected);
-    let sent = site.recorded().await;
+    let sent = site.recorded_requests().await;
     assert!(sent.contains("question 6"), "the engines saw the calls");
     assert!(!sent.contains(site.key("masters")), "an endpoint saw a key");
     let turns = sent.matches("question 1").count();
@@ -60,8 +60,8 @@
     .await;
     let caller = site.caller("masters");
     let other = site.caller("port-agents");
-    let program = caller.program(0, &json!({})).await;
-    let before = site.recorded().await;
+    let program = caller.create_program(0, &json!({})).await;
+    let before = site.recorded_requests().await;
     let ask = completion("never", 4);
     let path = "/v1/chat/completions";
     let unknown_model = json!({ "model": "none", "messages": [{ "role": "user", "content": "x" }] });
@@ -118,9 +118,9 @@
     } in cases
     {
         for daemon in 0..3 {
-            let answer = caller.send(daemon, Method::POST, path, position, &body).await;
-            assert_eq!(answer.status, status, "{name}: {}", answer.text());
-            assert_eq!(problem(&answer), (kind.to_owned(), "no".to_owned()), "{name}");
+            let response = caller.send(daemon, Method::POST, path, position, &body).await;
+            assert_eq!(response.status, status, "{name}: {}", response.text());
+            assert_eq!(problem(&response), (kind.to_owned(), "no".to_owned()), "{name}");
         }
     }
     let foreign = other.complete(1, &program, 1, "never").await;
@@ -130,8 +130,12 @@
         foreign.body, absent.body,
         "another account's program looks like none"
     );
-    assert_eq!(site.recorded().await.matches("never").count(), 0, "nothing ran");
-    assert!(site.recorded().await.len() >= before.len());
+    assert_eq!(
+        site.recorded_requests().await.matches("never").count(),
+        0,
+        "nothing ran"
+    );
+    assert!(site.recorded_requests().await.len() >= before.len());
 }
 
 #[tokio::test]
@@ -161,9 +165,9 @@
     }
     let caller = site.caller("masters");
     let path = format!("/services/tides/today?copy={}", site.key("masters"));
-    let answer = caller.send(0, Method::GET, &path, None, &Value::Null).await;
-    assert_eq!(answer.status, 200, "{}", answer.text());
-    let sent = site.recorded().await;
+    let response = caller.send(0, Method::GET, &path, None, &Value::Null).await;
+    assert_eq!(response.status, 200, "{}", response.text());
+    let sent = site.recorded_requests().await;
     assert!(!sent.contains(site.key("masters")), "the service saw the key");
     assert_eq!(
         sent.matches("/today").count(),
--- a/crates/burdockroad-site/tests/processes/keys_and_rates.rs
+++ b/crates/burdockroad-site/tests/processes/keys_and_rates.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use burdockroad_site::{AccountOptions, Caller, Site, SiteOptions, completion, problem, until};
+use burdockroad_site::{AccountOptions, Caller, Site, SiteOptions, completion, problem, wait_until};
 
 /// Longest time from an accepted change until it is in force everywhere.
 const IN_FORCE: Duration = Duration::from_secs(4);
@@ -96,7 +96,7 @@
     drop(streams);
     sleep(Duration::from_secs(1)).await;
     assert!(
-        !site.recorded().await.contains("queued"),
+        !site.recorded_requests().await.contains("queued"),
         "the queued call did not run"
     );
 }
@@ -106,7 +106,7 @@
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
     let cut = json!({ "forward": "drop", "backward": "drop", "cut_open": true });
-    site.control(&site.store_links[0], "/faults", &cut).await;
+    site.post_control(&site.store_proxies[0], "/faults", &cut).await;
     sleep(Duration::from_secs(2)).await;
     let still = caller
         .send(0, Method::GET, "/v1/models", None, &Value::Null)
@@ -134,7 +134,8 @@
 #[tokio::test]
 async fn store_down_for_all_keys_go_on() {
     let site = Site::start(SiteOptions::default()).await;
-    site.control(&site.kv, "/faults", &json!({ "down": true })).await;
+    site.post_control(&site.kv, "/faults", &json!({ "down": true }))
+        .await;
     let caller = site.caller("masters");
     for _ in 0..16 {
         sleep(Duration::from_millis(500)).await;
@@ -152,12 +153,12 @@
     let mut site = Site::start(SiteOptions::default()).await;
     let version = withdraw(&site, "masters").await;
     for daemon in 0..3 {
-        until("the change is in force", || async {
+        wait_until("the change is in force", || async {
             (site.status(daemon).await?["document"]["version"] == version).then_some(())
         })
         .await;
     }
-    site.control(&site.kv, "/faults", &json!({ "delay_ms": 300 }))
+    site.post_control(&site.kv, "/faults", &json!({ "delay_ms": 300 }))
         .await;
     site.daemons[1].kill().await.expect("killed");
     site.restart(1).await;
@@ -188,17 +189,17 @@
         async move {
             let (mut admitted, mut refused) = (0, 0);
             while start.elapsed() < lasts {
-                let answer = caller
+                let response = caller
                     .send(daemon, Method::GET, "/services/tides/flood", None, &Value::Null)
                     .await;
-                match answer.status.as_u16() {
+                match response.status.as_u16() {
                     200 => admitted += 1,
                     429 => {
-                        assert!(answer.headers.contains_key("retry-after"));
-                        assert_eq!(problem(&answer).1, "no");
+                        assert!(response.headers.contains_key("retry-after"));
+                        assert_eq!(problem(&response).1, "no");
                         refused += 1;
                     }
-                    other => panic!("{other}: {}", answer.text()),
+                    other => panic!("{other}: {}", response.text()),
                 }
             }
             (admitted, refused)
@@ -225,7 +226,7 @@
     let site = Site::start(options).await;
     let flood = flood(&site, "masters", Duration::from_secs(5)).await;
     let executed = site
-        .ask(&site.service, "/recorded")
+        .get_control(&site.service, "/recorded")
         .await
         .to_string()
         .matches("/flood")
@@ -248,31 +249,31 @@
     let leaving = json!([
         { "host_id": "host-of-engine-0", "failure_domain": "sohar-a", "peer_address": "", "state": "leaving" },
     ]);
-    let address = site.hosts.address().expect("an address");
+    let address = site.host_list.address().expect("an address");
     let mut listed: Vec<Value> = site
         .http
         .get_json(&format!("http://{address}/hosts"))
         .await
         .expect("the list answers");
     listed.extend(leaving.as_array().expect("a list").clone());
-    site.put_control(&site.hosts, "/hosts", &Value::from(listed))
+    site.put_control(&site.host_list, "/hosts", &Value::from(listed))
         .await;
     sleep(Duration::from_secs(3)).await;
     let before = site
-        .ask(&site.engines[0], "/recorded")
+        .get_control(&site.engines[0], "/recorded")
         .await
         .to_string()
         .matches("chat/completions")
         .count();
     for number in 0..20 {
         let body = completion(&format!("question {number}"), 4);
-        let answer = caller
+        let response = caller
             .send(number % 3, Method::POST, "/v1/chat/completions", None, &body)
             .await;
-        assert_eq!(answer.status, 200, "{}", answer.text());
+        assert_eq!(response.status, 200, "{}", response.text());
     }
     let after = site
-        .ask(&site.engines[0], "/recorded")
+        .get_control(&site.engines[0], "/recorded")
         .await
         .to_string()
         .matches("chat/completions")
