--- a/crates/burdockroad-site/src/bin/measure/cost.rs
+++ b/crates/burdockroad-site/src/bin/measure/cost.rs
@@ -1,4 +1,4 @@
-//! Cost of a decision, by the number of programs that wait.
+//! Cost of a scheduling decision as a function of the number of waiting programs.
 
 use std::time::{Duration, Instant};
 
@@ -10,11 +10,11 @@
     policies::account_id,
 };
 
-/// Programs with a waiting call, in the smaller and the larger run.
+/// Programs with a waiting call in the smaller and the larger run.
 const SMALL_PROGRAM_COUNT: usize = 1_000;
 const LARGE_PROGRAM_COUNT: usize = 1_000_000;
 
-/// Decisions of which the mean is taken, and runs of which the best mean is taken.
+/// Decisions over which the mean is taken, and runs of which the lowest mean counts.
 const DECISIONS: usize = 50_000;
 const RUNS: usize = 5;
 
@@ -22,7 +22,8 @@
 const SLOTS: u32 = 8;
 const ACCOUNTS: usize = 8;
 
-/// Growth of the cost of serving one call while the waiting programs grow a thousandfold.
+/// Measures by which factor the cost of a call grows if the number of waiting programs grows a
+/// thousandfold.
 pub(crate) fn decision_cost(seed: u64) -> Figure {
     let small_cost_ns = cost_ns(SMALL_PROGRAM_COUNT, seed);
     let large_cost_ns = cost_ns(LARGE_PROGRAM_COUNT, seed);
@@ -35,7 +36,8 @@
     }
 }
 
-/// Nanoseconds to take a call, give it a slot and take the slot back, with `programs` waiting.
+/// Returns the time in nanoseconds to submit a call, assign it a slot and release the slot, with
+/// `programs` waiting programs.
 fn cost_ns(programs: usize, seed: u64) -> f64 {
     let now = Instant::now();
     let mut generator = Generator::new(seed);
--- a/crates/burdockroad-site/src/bin/measure/driver.rs
+++ b/crates/burdockroad-site/src/bin/measure/driver.rs
@@ -1,7 +1,8 @@
-//! A loop over events that carries a policy's decisions out on modelled engines.
+//! Discrete-event simulation that applies a policy's decisions to simulated engines.
 //!
-//! An engine serves its slots independently of each other, keeps prefixes of programs least recently
-//! used last, and reports its load and evictions late and with gaps.
+//! The slots of an engine are independent of each other. An engine caches the prefixes of programs and
+//! evicts the least recently used one. It reports its load and evictions with a delay, and some evictions
+//! are not reported.
 
 use std::{
     cmp::Reverse,
@@ -16,43 +17,43 @@
     policies::{CallRequest, Decisions, Policy, RefusedCall, StartedCall},
 };
 
-/// Time that a call may wait for a slot.
+/// Maximum time that a call waits for a slot.
 const SLOT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Refused calls of a program, in a row, after which its caller gives up.
+/// Consecutive refusals of a program's call after which its caller ends the program.
 const REFUSALS_MAX: u32 = 4;
 
-/// Time between two load reports, and their age.
+/// Interval between two load reports, which is also their maximum age.
 const REPORT_INTERVAL_S: f64 = 0.5;
 
-/// Part of the evictions that are reported.
+/// Share of the evictions that is reported.
 const REPORTED_EVICTION_SHARE: f64 = 0.9;
 
-/// Engines of one pool.
+/// Engines of a pool.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fleet {
     pub(crate) endpoints: usize,
     pub(crate) slots: u32,
-    /// Tokens that each engine can hold.
+    /// Tokens that each engine can cache.
     pub(crate) cache_tokens: u64,
 }
 
-/// A program that came to its end.
+/// Program that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedProgram {
     pub(crate) account: usize,
     pub(crate) arrival_s: f64,
     pub(crate) at_s: f64,
-    /// Whether all its calls were served.
+    /// Whether all of its calls were served.
     pub(crate) finished: bool,
     pub(crate) output_tokens: u64,
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) ended: Vec<EndedProgram>,
-    /// Prompt tokens that were computed again.
+    /// Prompt tokens that were computed again because they were no longer cached.
     pub(crate) recomputed_tokens: u64,
 }
 
@@ -84,7 +85,7 @@
     evicted: Vec<usize>,
 }
 
-/// One run of a load under a policy.
+/// Simulation of a load with a policy.
 pub(crate) struct Driver<'a> {
     policy: &'a mut dyn Policy,
     start: Instant,
@@ -96,7 +97,7 @@
     slots: HashMap<usize, (StartedCall, Report)>,
     generator: Generator,
     unfinished_programs: usize,
-    /// Whether an ended program is followed by a new one at once.
+    /// Number of programs to start in a closed loop; none if all programs are given in advance.
     closed_loop_programs: Option<usize>,
     outcome: Outcome,
 }
@@ -134,7 +135,7 @@
         driver
     }
 
-    /// Follows each program that ends by a new one, until this many have been started.
+    /// Starts a new program for each one that ends, until this many programs have been started.
     pub(crate) fn closed_loop(mut self, programs: usize) -> Self {
         self.closed_loop_programs = Some(programs);
         self
--- a/crates/burdockroad-site/src/bin/measure/load.rs
+++ b/crates/burdockroad-site/src/bin/measure/load.rs
@@ -1,21 +1,21 @@
-//! Programs of a measured load, made from a seed.
+//! Generator of the measured load from a seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Tokens of a prompt that an engine computes in a second, for each slot.
+/// Prompt tokens that an engine computes per second in one slot.
 pub(crate) const PROMPT_TOKENS_PER_S: f64 = 4_000.0;
 
-/// Tokens that an engine generates in a second, for each slot.
+/// Output tokens that an engine generates per second in one slot.
 pub(crate) const OUTPUT_TOKENS_PER_S: f64 = 50.0;
 
-/// Mean pause for a tool between two calls, in seconds.
+/// Mean duration of a tool call between two calls of a program.
 const MEAN_TOOL_PAUSE_S: f64 = 1.5;
 
-/// Programs from which the mean need of a program is estimated.
+/// Programs over which the mean slot time of a program is estimated.
 const SAMPLE_PROGRAMS: usize = 4_000;
 
-/// A chain of calls, each of which has the whole history as its prompt.
+/// Sequence of calls. The prompt of each call includes the history of all calls before it.
 #[derive(Clone, Debug)]
 pub(crate) struct Program {
     pub(crate) account: usize,
@@ -23,7 +23,7 @@
     pub(crate) turns: Vec<Turn>,
 }
 
-/// One call of a program, and the pause after it.
+/// Call of a program and the pause after it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Turn {
     pub(crate) added_tokens: u64,
@@ -31,7 +31,7 @@
     pub(crate) pause_s: f64,
 }
 
-/// Makes programs.
+/// Generator of programs.
 pub(crate) struct Generator {
     rng: ChaCha8Rng,
 }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Programs that arrive at random, at these rates a second for each account.
+    /// Returns programs that arrive at random, with the given rate for each account.
     pub(crate) fn arrivals(&mut self, rates_per_s: &[f64], duration_s: f64) -> Vec<Program> {
         let mut programs = Vec::new();
         for (account, rate_per_s) in rates_per_s.iter().enumerate() {
@@ -98,7 +98,7 @@
 }
 
 impl Program {
-    /// Seconds of slots that the program needs when nothing is cached.
+    /// Returns the slot time of the program if no prefix is cached.
     pub(crate) fn total_slot_time_s(&self) -> f64 {
         let mut context = 0;
         let mut total_slot_time_s = 0.0;
@@ -111,12 +111,12 @@
     }
 }
 
-/// Seconds that a slot is held to compute and to generate tokens.
+/// Returns the time that a call occupies a slot to compute its prompt and to generate its output.
 pub(crate) fn slot_time_s(computed_tokens: u64, output_tokens: u64) -> f64 {
     float(computed_tokens) / PROMPT_TOKENS_PER_S + float(output_tokens) / OUTPUT_TOKENS_PER_S
 }
 
-/// Mean need of a program when nothing is cached, in seconds of slots.
+/// Returns the mean slot time of a program if no prefix is cached.
 pub(crate) fn mean_slot_time_s(seed: u64) -> f64 {
     let mut generator = Generator::new(seed);
     let total: f64 = (0..SAMPLE_PROGRAMS)
--- a/crates/burdockroad-site/src/bin/measure/main.rs
+++ b/crates/burdockroad-site/src/bin/measure/main.rs
@@ -1,7 +1,7 @@
-//! Measures the decisions against baselines, with the same load and seed for both.
+//! Compares scheduling and admission with baselines under the same load and seed.
 //!
-//! `cargo run --release --bin measure -- [--seed N] [--case NAME]` prints one line for each figure and
-//! exits with 0 only if all keep their bounds.
+//! `cargo run --release --bin measure -- [--seed N] [--case NAME]` prints one line per figure. It exits
+//! with 0 only if all figures are within their bounds.
 
 mod cost;
 mod driver;
@@ -17,10 +17,10 @@
 use anyhow::{Result, ensure};
 use burdockroad_standins::processes::require_binaries;
 
-/// Seed of a run that names none.
+/// Seed of a run without `--seed`.
 const DEFAULT_SEED: u64 = 6;
 
-/// One measured figure.
+/// Measured figure with its baseline and its bound.
 #[derive(Clone, Debug)]
 struct Figure {
     case: &'static str,
@@ -30,16 +30,16 @@
     bound: Bound,
 }
 
-/// What a figure must keep.
+/// Bound of a figure.
 #[derive(Clone, Copy, Debug)]
 enum Bound {
-    /// The value may not be larger.
+    /// Largest value that passes.
     AtMost(f64),
-    /// The value may not be smaller.
+    /// Smallest value that passes.
     AtLeast(f64),
 }
 
-/// A case: its name, and what measures its figure from a seed.
+/// Name of a case, and the function that measures its figure with a seed.
 type Case = (&'static str, fn(u64) -> Figure);
 
 const CASES: [Case; 14] = [
@@ -59,7 +59,7 @@
     ("store_reads", site_cases::store_reads),
 ];
 
-/// Cases that start processes of the workspace.
+/// Cases that start binaries of the workspace as processes.
 const PROCESS_CASES: [&str; 7] = [
     "added_latency",
     "added_latency_forwarded",
@@ -98,9 +98,9 @@
         .iter()
         .filter(|(name, _)| only.as_deref().is_none_or(|only| only == *name))
         .collect();
-    ensure!(!chosen.is_empty(), "no such case");
+    ensure!(!chosen.is_empty(), "unknown case name");
     if chosen.iter().any(|(name, _)| PROCESS_CASES.contains(name)) {
-        // A missing binary is no fault of this one: it needs a line, not a backtrace.
+        // A missing binary is a usage error, so it is reported in one line without a backtrace.
         if let Err(error) = require_binaries(&["burdockroad-standin", "burdockroadd"]) {
             eprintln!("{error}");
             return Ok(ExitCode::from(2));
--- a/crates/burdockroad-site/src/bin/measure/policies.rs
+++ b/crates/burdockroad-site/src/bin/measure/policies.rs
@@ -1,4 +1,4 @@
-//! The measured policy and the baselines.
+//! Scheduling policies: the measured one and the baselines.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,7 +9,7 @@
     CacheEvent, Call, CallId, EndpointInfo, LoadReport, Pool, Report, SlotId, Submitted,
 };
 
-/// A call of a program, as a policy sees it.
+/// Call of a program that is submitted to a policy.
 #[derive(Clone, Debug)]
 pub(crate) struct CallRequest {
     pub(crate) program: usize,
@@ -21,7 +21,7 @@
     pub(crate) slot_deadline: Instant,
 }
 
-/// A call that was given a slot.
+/// Call that received a slot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StartedCall {
     pub(crate) program: usize,
@@ -29,21 +29,21 @@
     pub(crate) slot_id: SlotId,
 }
 
-/// A call that was refused.
+/// Call that was refused.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RefusedCall {
     pub(crate) program: usize,
     pub(crate) retry_after: Duration,
 }
 
-/// What a policy decided.
+/// Calls that a policy started and refused.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Decisions {
     pub(crate) started: Vec<StartedCall>,
     pub(crate) refused: Vec<RefusedCall>,
 }
 
-/// Decides which call goes next, and where.
+/// Policy that decides which calls start next and on which endpoints.
 pub(crate) trait Policy {
     fn submit(&mut self, request: CallRequest, now: Instant) -> Decisions;
     fn decide(&mut self, now: Instant) -> Decisions;
@@ -55,7 +55,7 @@
     fn ended(&mut self, _program: usize) {}
 }
 
-/// The pool that is measured.
+/// Measured policy, which uses the scheduler's pool.
 #[derive(Debug)]
 pub(crate) struct PoolPolicy {
     pool: Pool,
@@ -148,7 +148,7 @@
     }
 }
 
-/// First come, first served; each endpoint has its own queue.
+/// Baseline that distributes calls round robin over the endpoints. Each endpoint has a FIFO queue.
 #[derive(Debug)]
 pub(crate) struct RoundRobin {
     queues: Vec<VecDeque<usize>>,
@@ -191,7 +191,8 @@
     }
 }
 
-/// First come, first served, at the endpoint with most free slots, wherever the prefix is.
+/// Baseline with one FIFO queue that starts each call on the endpoint with the most free slots. It
+/// ignores cached prefixes.
 #[derive(Debug)]
 pub(crate) struct LeastLoaded {
     queue: VecDeque<usize>,
--- a/crates/burdockroad-site/src/bin/measure/pool_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/pool_cases.rs
@@ -1,4 +1,4 @@
-//! Cases of the pool: latency, fairness, caches and overload.
+//! Cases that measure the scheduler's pool: latency, fairness, caching and overload.
 
 use std::time::Instant;
 
@@ -9,38 +9,38 @@
     policies::{LeastLoaded, Policy, PoolPolicy, RoundRobin},
 };
 
-/// Endpoints of the larger pool of either user, and the slots of each.
+/// Endpoints of the pool and slots of each endpoint, as in the larger pool of either user.
 const ENDPOINTS: usize = 10;
 const SLOTS: u32 = 8;
 
-/// Tokens that an engine holds where the cache is not what is measured.
+/// Tokens that an engine can cache in the cases that do not measure caching.
 const CACHE_TOKENS: u64 = 400_000;
 
-/// Shares of the accounts in the load, and their weights; a few are large.
+/// Shares of the accounts in the load, which are also their weights. A few accounts are large.
 const SHARES: [f64; 8] = [0.3, 0.2, 0.1, 0.1, 0.1, 0.1, 0.05, 0.05];
 
-/// Part of the capacity that is offered; capacity counts every prompt as computed whole.
+/// Offered load as a share of the capacity. The capacity assumes that no prefix is cached.
 const OFFERED_LOAD: f64 = 0.9;
 
-/// Account that sends more than its rate, and how many times.
+/// Account that exceeds its share, and the factor by which it does.
 const FLOODING_ACCOUNT: usize = 1;
 const FLOOD_FACTOR: f64 = 5.0;
 
-/// Length of a run, and of its beginning that is not counted, in seconds.
+/// Duration of a run, and of the warm-up at its start, which is not measured.
 const DURATION_S: f64 = 1_800.0;
 const WARM_UP_S: f64 = 300.0;
 
-/// Programs that run at once where the cache is measured, and how many are run.
+/// Programs that run concurrently in the caching case, and the total number of programs.
 const CONCURRENT_PROGRAMS: usize = 160;
 const CLOSED_PROGRAMS: usize = 3_000;
 
-/// Tokens of a running program's history, on average over its life.
+/// Mean number of tokens in a running program's history.
 const MEAN_CONTEXT_TOKENS: u64 = 14_000;
 
-/// Loads of the overload case, relative to the load that saturates the pool.
+/// Loads of the overload case, as multiples of the load that saturates the pool.
 const OVERLOAD_FACTORS: [f64; 5] = [1.0, 1.5, 2.0, 3.0, 4.0];
 
-/// Program latency at 90% of capacity against first-come-first-served with round robin.
+/// Compares the program latency at 90 % of the capacity with that of the round-robin baseline.
 pub(crate) fn trust_mixed(seed: u64) -> Figure {
     let programs = arrivals(seed, &rates(seed, OFFERED_LOAD));
     let mut baseline = RoundRobin::new(ENDPOINTS, SLOTS);
@@ -57,7 +57,8 @@
     }
 }
 
-/// Latency of the account that fares worst beside a flooding one, against its own run on its share.
+/// Compares the latency of each account next to a flooding one with its latency when it runs alone on its
+/// share of the pool. The figure is the highest ratio.
 pub(crate) fn flooding_account(seed: u64) -> Figure {
     let mut rates = rates(seed, OFFERED_LOAD);
     rates[FLOODING_ACCOUNT] *= FLOOD_FACTOR;
@@ -85,7 +86,8 @@
     }
 }
 
-/// Prompt tokens computed again, with caches for half of what running programs hold.
+/// Compares the recomputed prompt tokens with those of the least-loaded baseline. The caches fit half of
+/// the histories of the running programs.
 pub(crate) fn tool_pauses(seed: u64) -> Figure {
     let working_set = CONCURRENT_PROGRAMS as u64 * MEAN_CONTEXT_TOKENS;
     let fleet = Fleet {
@@ -113,7 +115,8 @@
     }
 }
 
-/// Tokens a second of programs that finish, past saturation against the best load.
+/// Compares the lowest goodput under overload with the highest one over all loads. Goodput counts the
+/// output tokens of finished programs.
 pub(crate) fn overload(seed: u64) -> Figure {
     let saturated_tokens_per_s = goodput_per_s(seed, &rates(seed, 2.0));
     let mean_tokens = mean_output_tokens(seed);
@@ -140,7 +143,7 @@
     }
 }
 
-/// The endpoints that an account would have to itself: whole ones, or some slots of one.
+/// Returns the share of the pool of one account: whole endpoints, or some slots of one endpoint.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -161,7 +164,7 @@
     }
 }
 
-/// Programs a second of each account at a part of the capacity.
+/// Returns the programs per second of each account at a load, given as a share of the capacity.
 fn rates(seed: u64, load: f64) -> [f64; 8] {
     let slots = float(ENDPOINTS as u64) * f64::from(SLOTS);
     let per_s = load * slots / mean_slot_time_s(seed);
@@ -182,7 +185,8 @@
     Driver::new(&mut policy, fleet, programs, start, seed).run()
 }
 
-/// Program latency in seconds; a program that did not finish counts as endless.
+/// Returns the 95th percentile of the program latency in seconds. The latency of an unfinished program is
+/// infinite.
 fn percentile_95(outcome: &Outcome, account: Option<usize>) -> f64 {
     let counted = |ended: &&EndedProgram| {
         ended.arrival_s >= WARM_UP_S && account.is_none_or(|account| account == ended.account)
@@ -203,7 +207,8 @@
     latencies[latencies.len() * 95 / 100]
 }
 
-/// Generated tokens a second of programs that finish between the warm-up and the end of the load.
+/// Returns the output tokens per second of programs that finish between the warm-up and the end of the
+/// load.
 fn goodput_per_s(seed: u64, rates_per_s: &[f64]) -> f64 {
     let outcome = run_pooled(fleet(), &SHARES, arrivals(seed, rates_per_s), seed);
     let counted = |ended: &&EndedProgram| ended.finished && (WARM_UP_S..DURATION_S).contains(&ended.at_s);
--- a/crates/burdockroad-site/src/bin/measure/quota_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_cases.rs
@@ -1,4 +1,4 @@
-//! Cases of rates and bursts.
+//! Cases that measure the enforcement of rates and bursts.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
     quota_fleet::{ADMISSION_TIMEOUT, Fault, QuotaFleet, Takeover},
 };
 
-/// Entry hosts.
+/// Number of entry hosts.
 const HOSTS: usize = 7;
 
-/// Calls at the favoured host against each other one.
+/// Calls that the load balancer sends to the favoured host for each call to another host.
 const FAVOURED_HOST_WEIGHT: usize = 5;
 
-/// Time after which the balancer favours another host.
+/// Time after which the load balancer favours the next host.
 const FAVOURED_HOST_PERIOD_S: f64 = 20.0;
 
-/// Rates a second and bursts of the accounts.
+/// Rates per second and bursts of the accounts.
 const ACCOUNTS: [(f64, u32); 8] = [
     (200.0, 100),
     (100.0, 20),
@@ -31,17 +31,18 @@
     (1.0, 3),
 ];
 
-/// Length of a run, in seconds; calls begin when the bucket has filled.
+/// Duration of a run. In the case within the rate, calls start when the bucket is full.
 const DURATION_S: f64 = 300.0;
 
-/// Calls that are offered against the rate, inside it and over it.
+/// Offered load as a multiple of the rate, in the case within the rate and in the case above it.
 const LOAD_INSIDE_RATE: f64 = 0.95;
 const LOAD_OVER_RATE: f64 = 3.0;
 
-/// Excess that is a rounding error, in calls.
+/// Excess in calls that is attributed to rounding.
 const ROUNDING_ERROR: f64 = 1e-6;
 
-/// Refusals of calls inside the rate, against a fixed share of rate and burst at each host.
+/// Counts refused calls of accounts within their rate. The baseline gives each host a fixed share of the
+/// rate and the burst.
 pub(crate) fn skewed_balancer(seed: u64) -> Figure {
     let mut refused = 0;
     let mut refused_by_shares = 0;
@@ -68,7 +69,8 @@
     }
 }
 
-/// Most calls by which a window passes rate and burst, against owners that begin full.
+/// Returns the largest number of calls by which any window exceeds rate and burst. In the baseline, a new
+/// owner starts with a full bucket.
 pub(crate) fn quota_windows(seed: u64) -> Figure {
     Figure {
         case: "quota_windows",
@@ -108,8 +110,8 @@
     if worst < ROUNDING_ERROR { 0.0 } else { worst }
 }
 
-/// Calls of an account that never passes its own rate and burst, at the hosts that a skewed balancer
-/// sends them to.
+/// Returns the calls of an account that never exceeds its rate and burst, with the hosts to which a
+/// skewed load balancer sends them.
 fn inside_rate(limits: Limits, seed: u64) -> Vec<(Duration, usize)> {
     let burst = f64::from(limits.burst);
     let start_s = burst / limits.rate_per_s + 2.0;
@@ -150,7 +152,8 @@
     if drawn_host < HOSTS { drawn_host } else { favoured }
 }
 
-/// Refusals when each host has a fixed share of rate and burst, and calls may wait as long.
+/// Counts the refused calls if each host has a fixed share of the rate and the burst, with the same
+/// admission timeout.
 fn refused_by_fixed_shares(limits: Limits, calls: &[(Duration, usize)]) -> usize {
     let hosts = count(HOSTS);
     let rate_per_s = limits.rate_per_s / hosts;
@@ -162,7 +165,7 @@
         let at_s = at.as_secs_f64();
         *level = (*level + (at_s - *previous_s) * rate_per_s).min(burst);
         *previous_s = at_s;
-        // A call may take what comes within its patience; the level is then below zero.
+        // A call may use tokens that arrive before its timeout. The level is then negative.
         if *level + rate_per_s * ADMISSION_TIMEOUT.as_secs_f64() >= 1.0 {
             *level -= 1.0;
         } else {
@@ -172,8 +175,10 @@
     refused
 }
 
-/// Most calls by which any window passes the limits; a bucket that is drained by every call and
-/// starts full falls below zero just when some window does.
+/// Returns the largest number of calls by which any window exceeds the limits.
+///
+/// A bucket that starts full and loses a token for each call becomes negative exactly if some window
+/// exceeds the limits.
 fn excess(admitted: &[Duration], limits: Limits) -> f64 {
     let burst = f64::from(limits.burst);
     let mut level = burst;
--- a/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
@@ -1,4 +1,5 @@
-//! Hosts that admit calls of one account, with messages that take time and owners that fail.
+//! Discrete-event simulation of hosts that admit calls of one account, with message latency and owner
+//! failures.
 
 use std::{
     cmp::Reverse,
@@ -10,40 +11,40 @@
 
 use crate::load::Generator;
 
-/// Time of a message between two hosts.
+/// Latency of a message between two hosts.
 const MESSAGE_LATENCY: Duration = Duration::from_millis(1);
 
-/// Time from an owner's failure until another host is the owner.
+/// Time from the failure of an owner until another host takes over.
 const TAKEOVER_DELAY: Duration = Duration::from_secs(3);
 
-/// Time that an owner which hears no other hosts still acts as one.
+/// Time for which an owner that receives no reports from other hosts still acts as the owner.
 const LEASE_REMAINDER: Duration = Duration::from_secs(1);
 
-/// How long a paused process stands still, and a cut lasts.
+/// Duration of a pause and of a partition.
 const FAULT_DURATION: Duration = Duration::from_secs(6);
 
-/// Time that a call may wait for admission.
+/// Maximum time that a call waits for admission.
 pub(crate) const ADMISSION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What fails, from one moment on.
+/// Injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Fault {
-    /// The owner's process is gone.
+    /// The owner's process is killed.
     OwnerKilled,
-    /// The owner's process stands still, then goes on with what it was sent meanwhile.
+    /// The owner's process is paused. It then handles the messages that it received during the pause.
     OwnerPaused,
-    /// The owner reaches only hosts with odd numbers, and loses its lease.
+    /// The owner can reach only hosts with odd numbers, and it loses its lease.
     OwnerPartitioned,
-    /// One host stands still, with the tokens that it holds.
+    /// One host is paused and keeps its granted tokens.
     HostPaused(usize),
 }
 
-/// How a new owner begins.
+/// Initial state of a new owner's bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Takeover {
-    /// Empty, once the old grants have expired.
+    /// The bucket is empty and starts to fill when the grants of the previous owner have expired.
     Empty,
-    /// Full, at once.
+    /// The bucket is full immediately.
     Full,
 }
 
@@ -79,7 +80,7 @@
     partitioned_until: Option<Instant>,
 }
 
-/// All hosts, for one account.
+/// Simulation of all hosts for one account.
 pub(crate) struct QuotaFleet {
     start: Instant,
     now: Instant,
@@ -90,7 +91,8 @@
     paused_until: Vec<Instant>,
     tick_at: Vec<Option<Instant>>,
     owners: Vec<OwnerState>,
-    /// Host on which each owner runs is left out: an owner is paused by itself.
+    /// Ends of the pauses of owners. The model has no host for an owner, so an owner is paused
+    /// independently of the hosts.
     owner_paused_until: Vec<Instant>,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
     sequence: u64,
@@ -98,9 +100,9 @@
     responses: Vec<(u64, Option<Grant>)>,
     generator: Generator,
     next_waiter_id: u64,
-    /// Calls admitted, in time after the start.
+    /// Times of admitted calls since the start.
     pub(crate) admitted: Vec<Duration>,
-    /// Calls refused.
+    /// Number of refused calls.
     pub(crate) refused: usize,
 }
 
@@ -139,7 +141,7 @@
         self.schedule(self.start + at, Event::Fault(fault));
     }
 
-    /// Runs until nothing more happens.
+    /// Runs until no events are left.
     pub(crate) fn run(&mut self) {
         while let Some(Reverse((at, sequence, event))) = self.events.pop() {
             self.now = at;
@@ -150,7 +152,7 @@
         }
     }
 
-    /// When a process that stands still gets to an event.
+    /// Returns the end of the pause if the process that handles the event is paused.
     fn delayed_until(&self, event: Event) -> Option<Instant> {
         let until = match event {
             Event::Call { host }
@@ -183,12 +185,12 @@
         let waiter_id = self.next_waiter_id;
         self.next_waiter_id += 1;
         let admission = self.holders[host].admit(waiter_id, self.now + ADMISSION_TIMEOUT, self.now);
-        self.record_admission(admission);
+        self.count(admission);
         self.poll_holder(host);
     }
 
     fn tick(&mut self, host: usize) {
-        // An earlier tick has been put in this one's place.
+        // This tick is stale: an earlier one has replaced it, and the next one is scheduled for later.
         if self.tick_at[host].is_some_and(|tick_at| tick_at > self.now) {
             return;
         }
@@ -293,11 +295,11 @@
 
     fn record_settled(&mut self, settled: &[Settled]) {
         for call in settled {
-            self.record_admission(call.admission);
+            self.count(call.admission);
         }
     }
 
-    fn record_admission(&mut self, admission: Admission) {
+    fn count(&mut self, admission: Admission) {
         match admission {
             Admission::Admitted => self.admitted.push(self.now - self.start),
             Admission::Refused { .. } => self.refused += 1,
--- a/crates/burdockroad-site/src/bin/measure/site_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/site_cases.rs
@@ -1,4 +1,4 @@
-//! Cases over real daemon processes and stand-ins.
+//! Cases that run real daemon processes and stand-ins.
 
 use std::{
     sync::{
@@ -15,45 +15,45 @@
 
 use crate::{Bound, Figure};
 
-/// Entry hosts of today's sites.
+/// Number of entry hosts, as in the current sites.
 const HOSTS: usize = 7;
 
-/// Programs that run at the same time.
+/// Programs that run concurrently.
 const PROGRAMS: usize = 56;
 
-/// Longest time from the kill of a host until the last of its programs moves on, in seconds.
+/// Maximum time from the kill of a host until the last of its programs continues.
 const RECOVERY_MAX_S: f64 = 5.0;
 
-/// Longest added latency of a host at the median, in milliseconds.
+/// Maximum added latency of a host at the median.
 const ADDED_LATENCY_MAX_MS: f64 = 1.0;
 
-/// Writes and reads a second that the key-value service may see at peak load.
+/// Maximum writes and reads per second of the key-value service at peak load.
 const STORE_RATES_MAX_PER_S: (f64, f64) = (150.0, 300.0);
 
-/// How long a call may keep failing before its program counts as lost.
+/// Time after which a failing call, or the creation of a program, counts as a lost program.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What happened to the programs of a run.
+/// Counters of a run, and the flag that stops its programs.
 #[derive(Debug, Default)]
 struct Counters {
     completed: AtomicU64,
     lost: AtomicU64,
-    /// Longest time that any call took to be answered, in milliseconds.
+    /// Largest latency of a call in milliseconds, including retries.
     longest_ms: AtomicU64,
     stop: AtomicBool,
 }
 
-/// Added latency of one host over a direct call, at the median.
+/// Measures the median latency that one host adds to a direct call.
 pub fn added_latency(_seed: u64) -> Figure {
     latency("added_latency", 1, false)
 }
 
-/// The same through the forward from another host.
+/// Measures the median latency that a call with a forward between two hosts adds to a direct call.
 pub fn added_latency_forwarded(_seed: u64) -> Figure {
     latency("added_latency_forwarded", 3, true)
 }
 
-/// Time until the last program of a killed host moves on.
+/// Measures the time until the last program of a killed host continues.
 pub fn host_killed(_seed: u64) -> Figure {
     let (counters, _) = block_on(run_programs(Duration::from_secs(25), Fault::KillOne));
     let seconds = load_f64(&counters.longest_ms) / 1_000.0;
@@ -66,7 +66,7 @@
     )
 }
 
-/// Programs that are lost with a killed host.
+/// Counts the programs that are lost when a host is killed.
 pub fn host_killed_lost(_seed: u64) -> Figure {
     let (counters, _) = block_on(run_programs(Duration::from_secs(25), Fault::KillOne));
     let completed = load_f64(&counters.completed);
@@ -79,7 +79,7 @@
     )
 }
 
-/// Idempotent programs that fail while the key-value service is down for a minute.
+/// Counts the idempotent programs that fail while the key-value service is down for one minute.
 pub fn store_down(_seed: u64) -> Figure {
     let (counters, _) = block_on(run_programs(
         Duration::from_secs(75),
@@ -94,7 +94,7 @@
     )
 }
 
-/// Writes a second that the key-value service sees.
+/// Measures the peak writes per second of the key-value service.
 pub fn store_writes(_seed: u64) -> Figure {
     let (_, counts) = block_on(run_programs(Duration::from_secs(20), Fault::None));
     at_most(
@@ -106,7 +106,7 @@
     )
 }
 
-/// Reads a second that the key-value service sees, a waiting watch as one.
+/// Measures the peak reads per second of the key-value service. A pending watch counts as one read.
 pub fn store_reads(_seed: u64) -> Figure {
     let (_, counts) = block_on(run_programs(Duration::from_secs(20), Fault::None));
     at_most(
@@ -167,7 +167,7 @@
     }
 }
 
-/// Runs programs on all hosts for a while, with a fault in between.
+/// Runs programs on all hosts and injects a fault during the run.
 async fn run_programs(duration: Duration, fault: Fault) -> (Counters, Value) {
     let mut site = Site::start(options(HOSTS, 10)).await;
     let counters = Arc::new(Counters::default());
@@ -189,7 +189,8 @@
     )
 }
 
-/// Lets the load run, causes the fault, and stops the load.
+/// Injects the fault after a warm-up, waits, and stops the load. Returns the request counts of the
+/// key-value service.
 async fn run_fault(
     site: &Site,
     mut victim: burdockroad_standins::processes::Process,
@@ -218,7 +219,7 @@
     counts
 }
 
-/// One program after another, each of several calls through changing hosts.
+/// Runs programs one after another. Each sends its calls through changing hosts.
 async fn run_program(site: &Site, number: usize, counters: Arc<Counters>) {
     let caller = site.caller("masters");
     let mut round = number;
@@ -256,7 +257,7 @@
     None
 }
 
-/// Asks until the call is answered, through another host each time as a balancer would.
+/// Retries a call until it succeeds, through another host each time, like a load balancer.
 async fn complete_call(
     caller: &Caller<'_>,
     round: usize,
@@ -284,7 +285,8 @@
     false
 }
 
-/// Median of calls through a host, less the median of the same calls to the engine itself.
+/// Measures the median latency of calls through a host, minus that of the same calls sent directly to the
+/// engine.
 fn latency(case: &'static str, daemons: usize, forwarded: bool) -> Figure {
     let (direct_ms, through_ms) = block_on(async {
         let mut site_options = options(daemons, 1);
@@ -294,7 +296,8 @@
         let body = completion("short", 1);
         let (mut direct, mut through) = (Vec::new(), Vec::new());
         for _ in 0..400 {
-            // A program for each call: a longer history would count the engine's time for it.
+            // Each call uses a new program. Otherwise the engine's time for the growing history would
+            // count as added latency.
             let host = if forwarded {
                 forwarding_host(&site, &caller).await
             } else {
@@ -314,9 +317,9 @@
     )
 }
 
-/// A host and a program that another host owns.
+/// Creates a program and returns it with a host that does not own it.
 async fn forwarding_host(site: &Site, caller: &Caller<'_>) -> Option<(usize, String)> {
-    // A program is owned by the host that created it, as long as no partition moves.
+    // The host that created a program owns it until a partition moves.
     let program = caller.create_program(0, &json!({})).await;
     Some((1 % site.daemons.len(), program))
 }
--- a/crates/burdockroad-site/src/bin/slopes.rs
+++ b/crates/burdockroad-site/src/bin/slopes.rs
@@ -1,7 +1,8 @@
-//! Measures what one daemon spends for a call, a program and a peer, for docs/CAPACITY.md.
+//! Measures the cost of a call, a program and a peer for the daemons, for docs/CAPACITY.md.
 //!
-//! `cargo run --release --bin slopes` prints one line for each slope, `slope=... value=... unit=...`.
-//! Processor time and memory are read from the daemons' `/proc` entries, so this runs on Linux only.
+//! `cargo run --release --bin slopes` prints one line per slope, of the form
+//! `slope=... value=... unit=...`. It runs on Linux only, because it reads CPU time and memory from the
+//! daemons' `/proc` entries.
 
 use std::{fs, time::Duration};
 
@@ -13,22 +14,22 @@
 use prost::Message;
 use serde_json::json;
 
-/// Calls that a slope is taken over.
+/// Calls over which the cost of a call is averaged.
 const CALLS: usize = 4_000;
 
-/// Programs that a slope is taken over.
+/// Programs over which the cost of a program is averaged.
 const PROGRAMS: usize = 1_000;
 
-/// Requests under way at a time.
+/// Concurrent requests.
 const CONCURRENT_REQUESTS: usize = 16;
 
-/// Time over which an idle daemon is watched.
+/// Time over which the cost of idle daemons is measured.
 const IDLE_DURATION: Duration = Duration::from_secs(20);
 
-/// Processor ticks a second, as Linux counts them for processes.
+/// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_S: f64 = 100.0;
 
-/// Bytes of a page of memory.
+/// Size of a memory page.
 const PAGE_BYTES: f64 = 4_096.0;
 
 #[tokio::main]
@@ -64,7 +65,7 @@
     println!("slope={slope} value={value:.3} unit={unit}");
 }
 
-/// What daemons spend without any caller: heartbeats, polls of endpoints, reads of the store.
+/// Measures the cost of daemons without callers: heartbeats, polls of endpoints and reads of the store.
 async fn measure_idle(site: &Site) -> Result<()> {
     let counts = site.get_control(&site.kv, "/counts").await;
     let before = cpu_s(&site.daemons)?;
@@ -94,7 +95,7 @@
     Ok(())
 }
 
-/// What a call of a program costs, the forward to its owner included.
+/// Measures the cost of a program's call, including the forward to the program's owner.
 async fn measure_calls(site: &Site) -> Result<()> {
     let caller = site.caller("masters");
     let before = cpu_s(&site.daemons)?;
@@ -118,7 +119,7 @@
     Ok(())
 }
 
-/// Programs of ten calls, one after another.
+/// Runs programs of ten calls each, one after another.
 async fn call_program(caller: Caller<'_>, worker: usize, calls: usize) {
     let body = completion("What does the passage plan say of fuel at Sohar?", 1);
     let mut program = String::new();
@@ -136,7 +137,7 @@
     }
 }
 
-/// What a program that waits for its tools costs in memory.
+/// Measures the memory of a program between two calls, while it waits for its tools.
 async fn measure_programs(site: &Site) -> Result<()> {
     let before = memory_bytes(&site.daemons)?;
     let caller = site.caller("masters");
@@ -165,7 +166,7 @@
     Ok(())
 }
 
-/// Bytes of a heartbeat, by the number of hosts that its sender hears.
+/// Computes the size of a heartbeat as a function of the number of hosts that are live for its sender.
 fn measure_heartbeats() {
     let heartbeat = |live_hosts: usize| {
         let host = |number: usize| HostRef {
@@ -198,11 +199,17 @@
     let mut ticks = 0.0;
     for process in processes {
         let stat = read(process, "stat")?;
-        // The name before the last parenthesis may itself hold spaces.
-        let fields = stat.rsplit(')').next().context("the fields after the name")?;
+        // The process name before the last parenthesis may contain spaces.
+        let fields = stat
+            .rsplit(')')
+            .next()
+            .context("no fields after the process name")?;
         let mut fields = fields.split_whitespace().skip(11);
         for _ in 0..2 {
-            ticks += fields.next().context("processor ticks")?.parse::<f64>()?;
+            ticks += fields
+                .next()
+                .context("no CPU ticks in /proc/PID/stat")?
+                .parse::<f64>()?;
         }
     }
     Ok(ticks / TICKS_PER_S)
@@ -212,15 +219,18 @@
     let mut bytes = 0.0;
     for process in processes {
         let pages = read(process, "statm")?;
-        let resident = pages.split_whitespace().nth(1).context("resident pages")?;
+        let resident = pages
+            .split_whitespace()
+            .nth(1)
+            .context("no resident pages in /proc/PID/statm")?;
         bytes += PAGE_BYTES * resident.parse::<f64>()?;
     }
     Ok(bytes)
 }
 
 fn read(process: &Process, file: &str) -> Result<String> {
-    let id = process.id().context("the daemon runs")?;
-    fs::read_to_string(format!("/proc/{id}/{file}")).context("the daemon's /proc entry")
+    let id = process.id().context("the daemon is not running")?;
+    fs::read_to_string(format!("/proc/{id}/{file}")).context("cannot read the daemon's /proc entry")
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts of a short run")]
--- a/crates/burdockroad-site/src/caller.rs
+++ b/crates/burdockroad-site/src/caller.rs
@@ -1,4 +1,4 @@
-//! Requests as a caller sends them.
+//! Client that sends requests with the key of a client account.
 
 use burdockroad_standins::http_client::{HttpAnswer, HttpStream};
 use bytes::Bytes;
@@ -8,17 +8,17 @@
 
 use crate::site::Site;
 
-/// A caller with a key.
+/// Client with a key.
 #[derive(Clone, Debug)]
 pub struct Caller<'a> {
-    /// The site that it calls.
+    /// Site that receives the requests.
     pub site: &'a Site,
-    /// Its key.
+    /// Key that is sent with each request.
     pub key: String,
 }
 
 impl Caller<'_> {
-    /// Creates a program at a daemon, and returns its id.
+    /// Creates a program through a daemon and returns its id.
     pub async fn create_program(&self, daemon: usize, body: &Value) -> String {
         let response = self.send(daemon, Method::POST, "/v1/programs", None, body).await;
         assert_eq!(response.status, 201, "{}", response.text());
@@ -26,7 +26,7 @@
         program["id"].as_str().expect("an id").to_owned()
     }
 
-    /// A program as its caller sees it.
+    /// Returns the state of a program.
     pub async fn show_program(&self, daemon: usize, program: &str) -> Value {
         let path = format!("/v1/programs/{program}");
         let response = self.send(daemon, Method::GET, &path, None, &Value::Null).await;
@@ -34,7 +34,7 @@
         response.json().expect("a program")
     }
 
-    /// Sends a completion as a call of a program.
+    /// Sends a completion request as a call of a program.
     pub async fn complete(&self, daemon: usize, program: &str, number: u32, text: &str) -> HttpAnswer {
         let body = completion(text, 16);
         self.send(
@@ -47,7 +47,7 @@
         .await
     }
 
-    /// Sends an order, which may not be repeated, as a call of a program.
+    /// Sends an order as a call of a program. Orders are not idempotent.
     pub async fn order(&self, daemon: usize, program: &str, number: u32, order: &str) -> HttpAnswer {
         let body = json!({ "order": order });
         self.send(
@@ -60,59 +60,55 @@
         .await
     }
 
-    /// Sends a request that has to be answered.
+    /// Sends a request and panics if there is no complete response. `position` is the program and the
+    /// number of the call in it.
     pub async fn send(
         &self,
         daemon: usize,
         method: Method,
         path: &str,
-        program_call: Option<(&str, u32)>,
+        position: Option<(&str, u32)>,
         body: &Value,
     ) -> HttpAnswer {
-        self.try_send(daemon, method, path, program_call, body)
+        self.try_send(daemon, method, path, position, body)
             .await
-            .expect("the daemon answers")
+            .expect("the daemon responds")
     }
 
-    /// Sends a request whose connection may break.
+    /// Sends a request whose connection may fail.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer comes.
+    /// Fails if the response is missing or incomplete.
     pub async fn try_send(
         &self,
         daemon: usize,
         method: Method,
         path: &str,
-        program_call: Option<(&str, u32)>,
+        position: Option<(&str, u32)>,
         body: &Value,
     ) -> burdockroad_standins::Result<HttpAnswer> {
         self.site
             .http
-            .send(self.request(daemon, method, path, program_call, body))
+            .send(self.request(daemon, method, path, position, body))
             .await
     }
 
-    /// Posts a request with an idempotency key.
+    /// Sends a POST request with an idempotency key.
     pub async fn send_keyed(&self, daemon: usize, path: &str, key: &str, body: &Value) -> HttpAnswer {
         let mut request = self.request(daemon, Method::POST, path, None, body);
         request
             .headers_mut()
             .insert("idempotency-key", key.parse().expect("a header value"));
-        self.site.http.send(request).await.expect("the daemon answers")
+        self.site.http.send(request).await.expect("the daemon responds")
     }
 
-    /// Opens a streamed completion.
-    pub async fn stream(
-        &self,
-        daemon: usize,
-        program_call: Option<(&str, u32)>,
-        max_tokens: u64,
-    ) -> HttpStream {
+    /// Starts a completion with a streamed response.
+    pub async fn stream(&self, daemon: usize, position: Option<(&str, u32)>, max_tokens: u64) -> HttpStream {
         let mut body = completion("stream", max_tokens);
         body["stream"] = true.into();
-        let request = self.request(daemon, Method::POST, "/v1/chat/completions", program_call, &body);
-        self.site.http.open(request).await.expect("the daemon answers")
+        let request = self.request(daemon, Method::POST, "/v1/chat/completions", position, &body);
+        self.site.http.open(request).await.expect("the daemon responds")
     }
 
     fn request(
@@ -120,7 +116,7 @@
         daemon: usize,
         method: Method,
         path: &str,
-        program_call: Option<(&str, u32)>,
+        position: Option<(&str, u32)>,
         body: &Value,
     ) -> Request<Full<Bytes>> {
         let text = if body.is_null() {
@@ -132,7 +128,7 @@
             .method(method)
             .uri(format!("{}{path}", self.site.url(daemon)))
             .header("authorization", format!("Bearer {}", self.key));
-        if let Some((program, number)) = program_call {
+        if let Some((program, number)) = position {
             request = request
                 .header("program-id", program)
                 .header("call-number", number);
@@ -141,7 +137,7 @@
     }
 }
 
-/// Body of a completion.
+/// Returns the body of a completion request.
 pub fn completion(text: &str, max_tokens: u64) -> Value {
     json!({
         "model": "planner-llm",
@@ -150,7 +146,7 @@
     })
 }
 
-/// The problem that an answer tells of: its type, and whether the request ran.
+/// Returns the type of the problem in an error response, and the field that says whether the request ran.
 pub fn problem(response: &HttpAnswer) -> (String, String) {
     let problem: Value = response.json().expect("a problem");
     let problem_type = problem["type"]
@@ -158,7 +154,7 @@
         .expect("a type")
         .rsplit(':')
         .next()
-        .expect("a last part");
+        .expect("a last segment");
     (
         problem_type.to_owned(),
         problem["ran"].as_str().expect("whether it ran").to_owned(),
--- a/crates/burdockroad-site/src/lib.rs
+++ b/crates/burdockroad-site/src/lib.rs
@@ -1,12 +1,13 @@
-//! A small site of processes, for tests under failure and for measurements; not shipped.
+//! Test site of real processes, for failure tests and measurements. It is not shipped.
 //!
-//! [`Site`] starts the platform's stand-ins, endpoints and several daemons, each a process of its own,
-//! with a proxy between each daemon and the key-value service. [`Caller`] sends requests as a caller
-//! does. The binaries are taken from beside the running executable, so build the workspace first.
+//! [`Site`] starts stand-ins for the platform, endpoints and several daemons, each as a separate process.
+//! A proxy runs between each daemon and the key-value service. [`Caller`] sends requests with the key of
+//! a client account. The binaries are expected next to the running executable, so build the workspace
+//! first.
 
 #![expect(
     clippy::missing_panics_doc,
-    reason = "a site that cannot do what a test asks ends the test"
+    reason = "a step of the site that fails must fail the test"
 )]
 
 mod caller;
--- a/crates/burdockroad-site/src/site.rs
+++ b/crates/burdockroad-site/src/site.rs
@@ -1,4 +1,4 @@
-//! A small site of processes: the platform, endpoints and several daemons, with callers.
+//! Test site of processes: stand-ins for the platform, endpoints and several daemons.
 
 use std::{
     collections::BTreeMap,
@@ -24,42 +24,42 @@
 
 use crate::caller::Caller;
 
-/// Longest wait for something that has to come.
+/// Timeout of [`wait_until`].
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two looks.
+/// Interval between two polls of [`wait_until`].
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Failure domains that hosts and endpoints are spread over.
+/// Failure domains over which hosts and endpoints are distributed.
 const FAILURE_DOMAINS: [&str; 3] = ["sohar-a", "sohar-b", "liwa"];
 
-/// What a site is made of.
+/// Configuration of a site.
 #[derive(Clone, Debug)]
 pub struct SiteOptions {
     /// Number of daemons.
     pub daemons: usize,
     /// Number of model engines.
     pub engines: usize,
-    /// Options of each engine stand-in.
+    /// Command-line options of each engine stand-in.
     pub engine_options: Vec<&'static str>,
-    /// Options of the service stand-in.
+    /// Command-line options of the service stand-in.
     pub service_options: Vec<&'static str>,
-    /// Calls that each endpoint serves at once.
+    /// Calls that each endpoint serves concurrently.
     pub slots: u32,
-    /// The client accounts.
+    /// Client accounts in the document.
     pub accounts: Vec<AccountOptions>,
-    /// Settings of each daemon in place of the defaults, as JSON.
+    /// Limits in the settings of each daemon that differ from the defaults, as JSON.
     pub limits: Value,
 }
 
-/// An account of a site.
+/// Client account of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountOptions {
-    /// Name of the account.
+    /// Id of the account.
     pub id: &'static str,
-    /// Calls a second, over all hosts.
+    /// Admitted calls per second, in total over all hosts.
     pub rate_per_s: f64,
-    /// Calls at once, over all hosts.
+    /// Calls admitted at once, in total over all hosts.
     pub burst: u32,
 }
 
@@ -88,26 +88,26 @@
     }
 }
 
-/// A running site. Daemons are numbered from 0.
+/// Running site. Daemons are numbered from 0.
 #[derive(Debug)]
 pub struct Site {
-    /// The key-value service.
+    /// Stand-in for the key-value service.
     pub kv: Process,
-    /// The host list.
+    /// Stand-in for the platform's host list.
     pub host_list: Process,
-    /// The model engines.
+    /// Stand-ins for model engines.
     pub engines: Vec<Process>,
-    /// The plain service.
+    /// Stand-in for a service that is not a model engine.
     pub service: Process,
-    /// The daemons.
+    /// Daemon processes, by number.
     pub daemons: Vec<Process>,
-    /// Between each daemon and the key-value service.
+    /// Proxies between each daemon and the key-value service, by the daemon's number.
     pub store_proxies: Vec<Process>,
-    /// A client of the key-value service, beside the proxies.
+    /// Client of the key-value service that bypasses the proxies.
     pub store: SharedKeyValue,
-    /// A client for requests to the stand-ins.
+    /// HTTP client for requests to daemons and stand-ins.
     pub http: HttpClient,
-    /// What the site was started with.
+    /// Configuration with which the site was started.
     pub options: SiteOptions,
     addresses: Vec<Addresses>,
     keys: BTreeMap<&'static str, String>,
@@ -122,7 +122,7 @@
 }
 
 impl Site {
-    /// Starts everything and waits until all daemons are ready.
+    /// Starts all processes and waits until all daemons are ready and own partitions.
     pub async fn start(options: SiteOptions) -> Self {
         let kv = Process::spawn("burdockroad-standin", &["kv"])
             .await
@@ -182,23 +182,23 @@
         site
     }
 
-    /// Starts a daemon again that was killed, under the same name and addresses.
+    /// Restarts a daemon that has ended, with the same host id and addresses.
     pub async fn restart(&mut self, number: usize) {
         self.daemons[number] = self.spawn_daemon(number).await;
         self.wait_until_ready(number).await;
     }
 
-    /// Where callers reach a daemon.
+    /// Returns the URL of a daemon for callers.
     pub fn url(&self, number: usize) -> String {
         format!("http://{}", self.addresses[number].caller)
     }
 
-    /// Where operators reach a daemon.
+    /// Returns the URL of a daemon's admin address.
     pub fn admin_url(&self, number: usize) -> String {
         format!("http://{}", self.addresses[number].admin)
     }
 
-    /// A caller of an account.
+    /// Returns a caller with the key of an account.
     pub fn caller(&self, account: &'static str) -> Caller<'_> {
         Caller {
             site: self,
@@ -206,12 +206,12 @@
         }
     }
 
-    /// The key of an account.
+    /// Returns the key of an account.
     pub fn key(&self, account: &'static str) -> &str {
         &self.keys[account]
     }
 
-    /// Status of a daemon; none while it does not answer.
+    /// Returns the status of a daemon, or none if it does not respond.
     pub async fn status(&self, number: usize) -> Option<Value> {
         self.http
             .get_json(&format!("{}/status", self.admin_url(number)))
@@ -219,7 +219,7 @@
             .ok()
     }
 
-    /// The daemon that owns a program.
+    /// Waits until a daemon owns a program and returns its number.
     pub async fn owner_of(&self, program_id: &str) -> usize {
         let number = wait_until("a daemon owns the program", || async {
             for number in 0..self.daemons.len() {
@@ -239,12 +239,12 @@
         number.await
     }
 
-    /// Sends control orders to a stand-in.
+    /// Sends a POST request to a stand-in's control address.
     pub async fn post_control(&self, standin: &Process, path: &str, body: &Value) {
         self.send_control(Method::POST, standin, path, body).await;
     }
 
-    /// Puts a value at a stand-in's control address.
+    /// Sends a PUT request to a stand-in's control address.
     pub async fn put_control(&self, standin: &Process, path: &str, value: &Value) {
         self.send_control(Method::PUT, standin, path, value).await;
     }
@@ -259,7 +259,7 @@
         assert!(response.status.is_success(), "{path} {body}: {}", response.text());
     }
 
-    /// Asks a stand-in at its control address.
+    /// Sends a GET request to a stand-in's control address and returns the JSON in the response.
     pub async fn get_control(&self, standin: &Process, path: &str) -> Value {
         let address = standin.address_of("control").expect("a control address");
         self.http
@@ -268,7 +268,7 @@
             .expect("the stand-in answers")
     }
 
-    /// Applies a document as the next version, and returns that version.
+    /// Stores a document as the next version and returns that version.
     pub async fn apply(&self, document: &Value) -> u64 {
         let stored = self.store.get(DOCUMENT_KEY).await.expect("the store answers");
         let earlier = stored
@@ -285,7 +285,7 @@
         version
     }
 
-    /// The document that is in the store.
+    /// Returns the stored document.
     pub async fn document(&self) -> Value {
         let entry = self
             .store
@@ -297,7 +297,7 @@
         serde_json::from_str(&document.text).expect("plain JSON")
     }
 
-    /// What all engines were sent so far, as one text.
+    /// Returns all requests that the engines and the service have received, as one text.
     pub async fn recorded_requests(&self) -> String {
         let mut text = String::new();
         for endpoint in self.engines.iter().chain([&self.service]) {
@@ -306,7 +306,7 @@
         text
     }
 
-    /// Programs that engines hold memory for.
+    /// Returns the programs with a cached prefix in an engine.
     pub async fn cached_programs(&self) -> Vec<String> {
         let mut cached_programs = Vec::new();
         for engine in &self.engines {
@@ -322,7 +322,7 @@
         cached_programs
     }
 
-    /// Waits until a daemon may be given calls.
+    /// Waits until a daemon reports that it is ready for calls.
     pub async fn wait_until_ready(&self, number: usize) {
         let url = format!("{}/ready", self.admin_url(number));
         wait_until("the daemon is ready", || async {
@@ -333,9 +333,9 @@
         .await;
     }
 
-    /// Waits until each daemon owns some partitions and together they own all.
+    /// Waits until each daemon owns a partition and all partitions have an owner.
     async fn wait_until_partitions_owned(&self) {
-        wait_until("all partitions are spread over the daemons", || async {
+        wait_until("all partitions are distributed over the daemons", || async {
             let mut sum = 0;
             for number in 0..self.daemons.len() {
                 let partitions = self.status(number).await?["ownership"]["partitions"].as_u64()?;
@@ -420,10 +420,10 @@
     })
 }
 
-/// Addresses of the daemons of one site.
+/// Returns the addresses of the daemons of a new site.
 ///
-/// Each site has a loopback address of its own: a port that was free a moment ago on a shared address
-/// may be taken by another test's outgoing connection.
+/// Each site uses its own loopback address. On a shared address, the outgoing connection of another test
+/// could take a port between the check that it is free and its use.
 fn allocate_addresses(daemons: usize) -> Vec<Addresses> {
     static SITES: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
@@ -459,14 +459,17 @@
     platform::connect(&settings).expect("a client of the store")
 }
 
-/// Waits until a look finds something.
+/// Polls until the result is not none and returns it. Panics after [`WAIT_TIMEOUT`].
 pub async fn wait_until<T, F: Future<Output = Option<T>>>(description: &str, poll: impl Fn() -> F) -> T {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(found) = poll().await {
             return found;
         }
-        assert!(Instant::now() < deadline, "not in time: {description}");
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting for the condition: {description}"
+        );
         sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/burdockroad-site/tests/processes/endpoints.rs
+++ b/crates/burdockroad-site/tests/processes/endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoints that fail, cut answers or hang, and callers that leave or ask twice.
+//! Tests of endpoints that fail, truncate responses or hang, and of callers that disconnect or repeat a
+//! request.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
     }
 }
 
-/// Number of completions that the engines were sent.
+/// Returns the number of completion requests that the engines have received.
 async fn completions(site: &Site) -> usize {
     let mut sum = 0;
     for engine in &site.engines {
@@ -36,26 +37,27 @@
 }
 
 #[tokio::test]
-async fn cut_answer_is_resumed() {
+async fn completion_truncated_is_resumed() {
     let site = Site::start(one_engine(vec!["--token-ms", "5"])).await;
     let caller = site.caller("masters");
     let body = completion("cut", 30);
-    let whole = caller.send(0, Method::POST, COMPLETIONS, None, &body).await;
-    let cut = json!({ "cut_next": 1, "cut_after_tokens": 5 });
+    let complete_response = caller.send(0, Method::POST, COMPLETIONS, None, &body).await;
+    let truncate_next = json!({ "cut_next": 1, "cut_after_tokens": 5 });
     for _ in 0..2 {
-        site.post_control(&site.engines[0], "/faults", &cut).await;
+        site.post_control(&site.engines[0], "/faults", &truncate_next)
+            .await;
         let response = caller.send(1, Method::POST, COMPLETIONS, None, &body).await;
         assert_eq!(response.status, 200, "{}", response.text());
         assert_eq!(
             content(&response),
-            content(&whole),
-            "the whole answer, with nothing twice or missing"
+            content(&complete_response),
+            "the response is complete, with nothing duplicated or missing"
         );
     }
 }
 
 #[tokio::test]
-async fn cut_stream_is_resumed() {
+async fn stream_truncated_is_resumed() {
     let site = Site::start(one_engine(vec!["--token-ms", "5", "--answer-tokens", "30"])).await;
     let caller = site.caller("masters");
     let mut texts = Vec::new();
@@ -63,7 +65,7 @@
         site.post_control(&site.engines[0], "/faults", &faults).await;
         let mut stream = caller.stream(1, None, 30).await;
         let mut text = String::new();
-        while let Some(data) = stream.next().await.expect("the stream is not cut") {
+        while let Some(data) = stream.next().await.expect("the stream is not truncated") {
             text.push_str(&String::from_utf8_lossy(&data));
         }
         assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
@@ -71,16 +73,16 @@
     }
     assert_eq!(
         texts[0], texts[1],
-        "the resumed stream says the same, with nothing twice or missing"
+        "the resumed stream has the same content, with nothing duplicated or missing"
     );
     assert_eq!(
         completions(&site).await,
         2,
-        "the cut call was resumed and not begun again"
+        "the interrupted call was resumed and not restarted"
     );
 }
 
-/// The content of a stream's events, put together.
+/// Returns the concatenated content of a stream's events.
 fn streamed_content(events: &str) -> String {
     let data = events.lines().filter_map(|line| line.strip_prefix("data: "));
     let chunks = data.filter_map(|data| serde_json::from_str::<Value>(data).ok());
@@ -93,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn answer_of_dead_engine_is_never_whole() {
+async fn stream_engine_killed_is_incomplete() {
     let mut site = Site::start(one_engine(vec!["--token-ms", "50", "--answer-tokens", "200"])).await;
     let mut stream = site.caller("masters").stream(0, None, 200).await;
     assert!(stream.next().await.expect("it streams").is_some());
@@ -106,9 +108,15 @@
             Err(_) => break false,
         }
     };
-    assert!(!ended, "the connection ended as if the answer were whole: {text}");
+    assert!(
+        !ended,
+        "the connection ended as if the response were complete: {text}"
+    );
     assert!(!text.contains("[DONE]"), "{text}");
-    assert!(text.contains("endpoint-failed"), "the caller is told: {text}");
+    assert!(
+        text.contains("endpoint-failed"),
+        "the stream reports the failure: {text}"
+    );
     let refused = site
         .caller("masters")
         .send(1, Method::POST, COMPLETIONS, None, &completion("next", 4))
@@ -117,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn failing_engine_is_tried_elsewhere() {
+async fn completion_engine_fails_retried_on_another() {
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
     let program = caller.create_program(0, &json!({})).await;
@@ -137,12 +145,12 @@
 }
 
 #[tokio::test]
-async fn repeat_while_first_runs() {
+async fn call_repeated_while_running() {
     let site = Site::start(one_engine(vec!["--token-ms", "40"])).await;
     let caller = site.caller("masters");
     let program = caller.create_program(0, &json!({})).await;
-    let tries = (0..6).map(|daemon| caller.complete(daemon % 3, &program, 1, "asked six times"));
-    let responses = futures_util::future::join_all(tries).await;
+    let attempts = (0..6).map(|daemon| caller.complete(daemon % 3, &program, 1, "sent six times"));
+    let responses = futures_util::future::join_all(attempts).await;
     for response in &responses {
         assert_eq!(response.status, 200, "{}", response.text());
         assert_eq!(response.body, responses[0].body);
@@ -151,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn repeat_with_idempotency_key() {
+async fn order_repeated_with_idempotency_key() {
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
     let body = json!({ "order": "keyed-order" });
@@ -164,13 +172,13 @@
         assert_eq!(response.status, 200, "{}", response.text());
         assert_eq!(response.body, responses[0].body);
     }
-    let ran = site
+    let executions = site
         .get_control(&site.service, "/recorded")
         .await
         .to_string()
         .matches("keyed-order")
         .count();
-    assert_eq!(ran, 1, "the order ran once");
+    assert_eq!(executions, 1, "the order ran once");
     let other = caller
         .send_keyed(
             0,
@@ -183,14 +191,14 @@
 }
 
 #[tokio::test]
-async fn call_goes_on_when_its_caller_leaves() {
+async fn call_continues_after_disconnect() {
     let site = Site::start(one_engine(vec!["--token-ms", "30"])).await;
     let caller = site.caller("masters");
     let program = caller.create_program(0, &json!({})).await;
     let mut stream = caller.stream(1, Some((&program, 1)), 20).await;
     assert!(stream.next().await.expect("it streams").is_some());
     drop(stream);
-    wait_until("the call is answered without its caller", || async {
+    wait_until("the call completes after its caller has disconnected", || async {
         let shown = caller.show_program(2, &program).await;
         (shown["calls"][0]["state"] == "answered").then_some(())
     })
@@ -199,7 +207,7 @@
 }
 
 #[tokio::test]
-async fn relatives_spend_one_budget_from_two_hosts() {
+async fn budget_shared_by_programs_on_two_hosts() {
     let site = Site::start(one_engine(vec!["--token-ms", "1", "--answer-tokens", "16"])).await;
     let caller = site.caller("masters");
     let root = caller
@@ -235,13 +243,13 @@
         generated <= 100,
         "the engine generated {generated} of 100 tokens: {stats}"
     );
-    assert!(generated >= 84, "the budget can be used up: {stats}");
-    let left = caller.show_program(0, &root).await["budget"]["left"]["tokens"].as_u64();
-    assert_eq!(left, Some(100 - generated));
+    assert!(generated >= 84, "the budget can be used completely: {stats}");
+    let remaining = caller.show_program(0, &root).await["budget"]["left"]["tokens"].as_u64();
+    assert_eq!(remaining, Some(100 - generated));
 }
 
 #[tokio::test]
-async fn hung_tool_is_ended_by_time() {
+async fn order_hung_service_times_out() {
     let options = SiteOptions {
         limits: json!({ "call_timeout_s": 2 }),
         ..SiteOptions::default()
@@ -264,7 +272,7 @@
 }
 
 #[tokio::test]
-async fn program_ends_at_its_time_limit() {
+async fn program_time_limit_ends_calls() {
     let site = Site::start(one_engine(vec!["--token-ms", "20", "--answer-tokens", "400"])).await;
     let caller = site.caller("masters");
     let program = caller
@@ -282,7 +290,7 @@
     let late = caller.complete(2, &program, 1, "late").await;
     assert!(late.status == 409 || late.status == 402, "{}", late.text());
     assert_eq!(problem(&late).1, "no");
-    wait_until("its memory is freed", || async {
+    wait_until("the program's cached prefix is removed", || async {
         site.cached_programs().await.is_empty().then_some(())
     })
     .await;
--- a/crates/burdockroad-site/tests/processes/failures.rs
+++ b/crates/burdockroad-site/tests/processes/failures.rs
@@ -1,4 +1,4 @@
-//! Hosts that are killed, paused and cut off while programs run.
+//! Tests of hosts that are killed or paused, and of store outages, while programs run.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 
 use burdockroad_site::{Caller, Site, SiteOptions, problem, wait_until};
 
-/// A slow service: an order takes this long.
+/// Execution time of an order at the slow service.
 const ORDER_MS: &str = "1500";
 
 fn slow_orders() -> SiteOptions {
@@ -19,12 +19,12 @@
     }
 }
 
-/// A daemon that is not the given one.
+/// Returns a daemon other than the given one.
 fn other_than(daemon: usize) -> usize {
     (daemon + 1) % 3
 }
 
-/// Number of times that the service ran an order.
+/// Returns the number of times that the service ran an order.
 async fn executions(site: &Site, order: &str) -> usize {
     site.get_control(&site.service, "/recorded")
         .await
@@ -33,18 +33,18 @@
         .count()
 }
 
-/// Sends an order until the daemon says something final.
+/// Repeats an order until the daemon returns a final outcome.
 async fn order_until_final(caller: &Caller<'_>, daemon: usize, program: &str, number: u32) -> HttpAnswer {
-    wait_until("the order's outcome", || async {
+    wait_until("the order has a final outcome", || async {
         let response = caller.order(daemon, program, number, "order-one").await;
-        let moving = response.status == 503;
-        (!moving).then_some(response)
+        let retryable = response.status == 503;
+        (!retryable).then_some(response)
     })
     .await
 }
 
 #[tokio::test]
-async fn owner_killed_history_whole() {
+async fn owner_killed_history_complete() {
     let mut site = Site::start(SiteOptions::default()).await;
     let program = site.caller("masters").create_program(0, &json!({})).await;
     for number in 1..=3 {
@@ -55,23 +55,26 @@
     let owner = site.owner_of(&program).await;
     let before = site.caller("masters").show_program(owner, &program).await;
     site.daemons[owner].kill().await.expect("killed");
-    let killed = Instant::now();
+    let killed_at = Instant::now();
     let caller = site.caller("masters");
-    let through = other_than(owner);
+    let other_daemon = other_than(owner);
     wait_until("the program goes on", || async {
-        let response = caller.complete(through, &program, 4, "question 4").await;
+        let response = caller.complete(other_daemon, &program, 4, "question 4").await;
         (response.status == 200).then_some(())
     })
     .await;
-    println!("event=program_went_on after_ms={}", killed.elapsed().as_millis());
-    let after = caller.show_program(through, &program).await;
-    let kept = after["calls"].as_array().expect("calls");
+    println!(
+        "event=program_went_on after_ms={}",
+        killed_at.elapsed().as_millis()
+    );
+    let after = caller.show_program(other_daemon, &program).await;
+    let calls = after["calls"].as_array().expect("calls");
     assert_eq!(
         before["calls"].as_array().expect("calls")[..],
-        kept[..3],
-        "the history is whole"
+        calls[..3],
+        "the history is complete"
     );
-    assert_eq!(kept.len(), 4);
+    assert_eq!(calls.len(), 4);
 }
 
 #[tokio::test]
@@ -86,7 +89,7 @@
         .create_program(0, &json!({ "budget": { "max_tokens": 40 } }))
         .await;
     let owner = site.owner_of(&program).await;
-    let through = other_than(owner);
+    let other_daemon = other_than(owner);
     let body = burdockroad_site::completion("slow question", 16);
     let path = "/v1/chat/completions";
     let caller = site.caller("masters");
@@ -94,18 +97,18 @@
         caller.try_send(owner, Method::POST, path, Some((&program, 1)), &body),
         sleep(Duration::from_millis(400)),
     );
-    // Killed only after the first try has begun; the answer may have come through by then or not.
+    // The owner is killed after the first attempt has started. The attempt may or may not have completed.
     drop(first);
     site.daemons[owner].kill().await.expect("killed");
     let caller = site.caller("masters");
     let response = wait_until("the call runs again", || async {
-        let response = caller.complete(through, &program, 1, "slow question").await;
+        let response = caller.complete(other_daemon, &program, 1, "slow question").await;
         (response.status == 200).then_some(response)
     })
     .await;
-    let shown = caller.show_program(through, &program).await;
+    let shown = caller.show_program(other_daemon, &program).await;
     let calls = shown["calls"].as_array().expect("calls");
-    assert_eq!(calls.len(), 1, "one call, however often it was tried: {shown}");
+    assert_eq!(calls.len(), 1, "all attempts are one call: {shown}");
     let content = response.json::<Value>().expect("JSON")["choices"][0]["message"]["content"].clone();
     assert_eq!(calls[0]["answer"]["content"], content);
 }
@@ -115,8 +118,8 @@
     let mut site = Site::start(slow_orders()).await;
     let program = site.caller("masters").create_program(0, &json!({})).await;
     let owner = site.owner_of(&program).await;
-    let through = other_than(owner);
-    let url = site.url(through);
+    let other_daemon = other_than(owner);
+    let url = site.url(other_daemon);
     let key = site.key("masters").to_owned();
     let first = tokio::spawn(send_order(url, key, program.clone()));
     wait_until("the service runs the order", || async {
@@ -124,10 +127,10 @@
     })
     .await;
     site.daemons[owner].kill().await.expect("killed");
-    let first = first.await.expect("the first try ends");
-    assert!(first != "200", "the first try cannot have been answered: {first}");
+    let first = first.await.expect("the first attempt ends");
+    assert!(first != "200", "the first attempt cannot have succeeded: {first}");
     let caller = site.caller("masters");
-    let response = order_until_final(&caller, through, &program, 1).await;
+    let response = order_until_final(&caller, other_daemon, &program, 1).await;
     assert_eq!(response.status, 409, "{}", response.text());
     assert_eq!(
         problem(&response),
@@ -135,16 +138,16 @@
     );
     sleep(Duration::from_secs(2)).await;
     assert_eq!(executions(&site, "order-one").await, 1, "the order ran once");
-    let next = caller.complete(through, &program, 2, "go on").await;
+    let next = caller.complete(other_daemon, &program, 2, "go on").await;
     assert_eq!(
         next.status,
         200,
-        "the program goes on after an unknown outcome: {}",
+        "the program continues after an unknown outcome: {}",
         next.text()
     );
 }
 
-/// Sends an order, and returns the status or what went wrong.
+/// Sends an order and returns the status of the response, or the error.
 async fn send_order(url: String, key: String, program: String) -> String {
     let client = burdockroad_standins::http_client::HttpClient::with_timeout(Duration::from_secs(30));
     let request = http::Request::post(format!("{url}/services/fuel-orders/orders"))
@@ -167,9 +170,9 @@
     let caller = site.caller("masters");
     let program = caller.create_program(0, &json!({})).await;
     let owner = site.owner_of(&program).await;
-    let through = other_than(owner);
+    let other_daemon = other_than(owner);
     let first = tokio::spawn(send_order(
-        site.url(through),
+        site.url(other_daemon),
         site.key("masters").to_owned(),
         program.clone(),
     ));
@@ -178,11 +181,11 @@
     })
     .await;
     site.daemons[owner].stop().expect("paused");
-    let response = order_until_final(&caller, through, &program, 1).await;
+    let response = order_until_final(&caller, other_daemon, &program, 1).await;
     assert_eq!(response.status, 409, "{}", response.text());
     site.daemons[owner].resume().expect("resumed");
     drop(first.await);
-    let shown = caller.show_program(through, &program).await;
+    let shown = caller.show_program(other_daemon, &program).await;
     assert_eq!(
         shown["calls"][0]["state"], "outcome_unknown",
         "the paused host changed nothing: {shown}"
@@ -197,7 +200,7 @@
 }
 
 #[tokio::test]
-async fn store_down_programs_go_on() {
+async fn store_down_programs_continue() {
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
     let program = caller.create_program(0, &json!({})).await;
@@ -217,19 +220,23 @@
         );
         sleep(Duration::from_millis(500)).await;
     }
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let order = caller.order(1, &program, 6, "order-one").await;
     assert_eq!(order.status, 503, "{}", order.text());
     assert_eq!(problem(&order), ("not-recordable".to_owned(), "no".to_owned()));
     assert!(order.headers.contains_key("retry-after"));
     assert!(
-        asked.elapsed() < Duration::from_secs(5),
-        "refused at once, not at its deadline"
+        sent_at.elapsed() < Duration::from_secs(5),
+        "the order is refused immediately, not at its deadline"
+    );
+    assert_eq!(
+        executions(&site, "order-one").await,
+        0,
+        "an order reported as not run was not run"
     );
-    assert_eq!(executions(&site, "order-one").await, 0, "not run means not run");
     site.post_control(&site.kv, "/faults", &json!({ "down": false }))
         .await;
-    let order = wait_until("the order runs once the store is back", || async {
+    let order = wait_until("the order runs when the store is available again", || async {
         let order = caller.order(2, &program, 6, "order-one").await;
         (order.status == 200).then_some(order)
     })
@@ -260,20 +267,24 @@
     site.post_control(&site.kv, "/faults", &json!({ "down": false }))
         .await;
     let caller = site.caller("masters");
-    let through = other_than(owner);
+    let other_daemon = other_than(owner);
     wait_until("the program goes on", || async {
-        let response = caller.complete(through, &program, 4, "question 4").await;
+        let response = caller.complete(other_daemon, &program, 4, "question 4").await;
         (response.status == 200).then_some(())
     })
     .await;
-    let shown = caller.show_program(through, &program).await;
+    let shown = caller.show_program(other_daemon, &program).await;
     let calls = shown["calls"].as_array().expect("calls");
-    assert_eq!(calls.len(), 4, "what only the peer had is whole: {shown}");
+    assert_eq!(
+        calls.len(),
+        4,
+        "the history that only the peer had is complete: {shown}"
+    );
     assert!(calls.iter().all(|call| call["state"] == "answered"), "{shown}");
 }
 
 #[tokio::test]
-async fn memory_of_gone_programs_is_freed() {
+async fn program_end_after_host_killed_removes_cached_prefix() {
     let mut site = Site::start(SiteOptions::default()).await;
     let mut programs = Vec::new();
     for daemon in 0..3 {
@@ -286,7 +297,7 @@
     assert_eq!(
         site.cached_programs().await.len(),
         3,
-        "engines hold the programs' prefixes"
+        "the engines cache the programs' prefixes"
     );
     site.daemons[0].kill().await.expect("killed");
     let caller = site.caller("masters");
@@ -298,40 +309,42 @@
         })
         .await;
     }
-    wait_until("engines hold nothing more", || async {
+    wait_until("the engines have no cached prefixes", || async {
         site.cached_programs().await.is_empty().then_some(())
     })
     .await;
 }
 
 #[tokio::test]
-async fn shutdown_in_turn_cuts_no_request() {
+async fn rolling_restart_drops_no_request() {
     let mut site = Site::start(SiteOptions::default()).await;
     for stopped in 0..3 {
         let urls: Vec<usize> = (0..3).filter(|daemon| *daemon != stopped).collect();
         let caller = site.caller("masters");
         let program = caller.create_program(stopped, &json!({})).await;
-        let load = run_while_stopping(&site, stopped, &program, urls[0]);
+        let load = run_while_terminating(&site, stopped, &program, urls[0]);
         load.await;
         let ended = site.daemons[stopped]
             .wait(Duration::from_secs(30))
             .await
-            .expect("it ends by itself");
+            .expect("the daemon exits after SIGTERM");
         assert!(ended.success(), "{ended}");
         site.restart(stopped).await;
     }
 }
 
-/// Keeps requests under way at a daemon while it is told to stop; each of them has to be answered.
-async fn run_while_stopping(site: &Site, stopped: usize, program: &str, through: usize) {
+/// Terminates a daemon while it handles requests, and checks that each request gets a complete response.
+async fn run_while_terminating(site: &Site, stopped: usize, program: &str, other_daemon: usize) {
     let caller = site.caller("masters");
     let body = burdockroad_site::completion("under way", 40);
     let path = "/v1/chat/completions";
     let at_stopped = (0..8).map(|_| caller.send(stopped, Method::POST, path, None, &body));
-    let at_owner = caller.complete(through, program, 1, "under way in a program");
+    let at_owner = caller.complete(other_daemon, program, 1, "under way in a program");
     let stop = async {
         sleep(Duration::from_millis(15)).await;
-        site.daemons[stopped].terminate().expect("told to stop");
+        site.daemons[stopped]
+            .terminate()
+            .expect("the daemon is terminated");
     };
     let (responses, of_program, ()) =
         tokio::join!(futures_util::future::join_all(at_stopped), at_owner, stop);
@@ -341,7 +354,7 @@
     }
     assert_eq!(of_program.status, 200, "{}", of_program.text());
     for number in 2..=4 {
-        let response = caller.complete(through, program, number, "goes on").await;
+        let response = caller.complete(other_daemon, program, number, "goes on").await;
         assert_eq!(response.status, 200, "call {number}: {}", response.text());
     }
 }
--- a/crates/burdockroad-site/tests/processes/first_path.rs
+++ b/crates/burdockroad-site/tests/processes/first_path.rs
@@ -1,4 +1,4 @@
-//! A program across all hosts, and what is refused on the way.
+//! Tests of a program whose calls go through all hosts, and of refused requests.
 
 use http::Method;
 use serde_json::{Value, json};
@@ -36,13 +36,13 @@
     let expected: Vec<String> = (1..=6).map(|number| format!("question {number}")).collect();
     assert_eq!(questions, expected);
     let sent = site.recorded_requests().await;
-    assert!(sent.contains("question 6"), "the engines saw the calls");
-    assert!(!sent.contains(site.key("masters")), "an endpoint saw a key");
+    assert!(sent.contains("question 6"), "the engines received the calls");
+    assert!(!sent.contains(site.key("masters")), "an endpoint received a key");
     let turns = sent.matches("question 1").count();
-    assert!(turns >= 6, "each call carried the whole history, found {turns}");
+    assert!(turns >= 6, "each call includes the full history; found {turns}");
 }
 
-/// A request that is refused, and how.
+/// Request that is refused, and the expected response.
 struct Refused<'a> {
     name: &'static str,
     status: u16,
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn refusals_run_nothing() {
+async fn refused_requests_run_nothing() {
     let site = Site::start(SiteOptions {
         engines: 1,
         ..SiteOptions::default()
@@ -62,7 +62,7 @@
     let other = site.caller("port-agents");
     let program = caller.create_program(0, &json!({})).await;
     let before = site.recorded_requests().await;
-    let ask = completion("never", 4);
+    let body = completion("never", 4);
     let path = "/v1/chat/completions";
     let unknown_model = json!({ "model": "none", "messages": [{ "role": "user", "content": "x" }] });
     let cases = [
@@ -70,21 +70,21 @@
             name: "wrong number",
             status: 409,
             kind: "wrong-call-number",
-            body: ask.clone(),
+            body: body.clone(),
             position: Some((&program, 3)),
         },
         Refused {
             name: "unknown program",
             status: 404,
             kind: "unknown-program",
-            body: ask.clone(),
+            body: body.clone(),
             position: Some(("p-0007-none", 1)),
         },
         Refused {
             name: "malformed program",
             status: 404,
             kind: "unknown-program",
-            body: ask.clone(),
+            body: body.clone(),
             position: Some(("7", 1)),
         },
         Refused {
@@ -128,12 +128,12 @@
     assert_eq!(foreign.status, 404);
     assert_eq!(
         foreign.body, absent.body,
-        "another account's program looks like none"
+        "the response for another account's program is the same as for a missing one"
     );
     assert_eq!(
         site.recorded_requests().await.matches("never").count(),
         0,
-        "nothing ran"
+        "no refused request reached an endpoint"
     );
     assert!(site.recorded_requests().await.len() >= before.len());
 }
@@ -168,10 +168,13 @@
     let response = caller.send(0, Method::GET, &path, None, &Value::Null).await;
     assert_eq!(response.status, 200, "{}", response.text());
     let sent = site.recorded_requests().await;
-    assert!(!sent.contains(site.key("masters")), "the service saw the key");
+    assert!(
+        !sent.contains(site.key("masters")),
+        "the service received the key"
+    );
     assert_eq!(
         sent.matches("/today").count(),
         2,
-        "the two allowed requests and no other: {sent}"
+        "the service received only the two allowed requests: {sent}"
     );
 }
--- a/crates/burdockroad-site/tests/processes/keys_and_rates.rs
+++ b/crates/burdockroad-site/tests/processes/keys_and_rates.rs
@@ -1,4 +1,5 @@
-//! Withdrawn keys, rates over all hosts, leaving endpoints, and documents that must not revert.
+//! Tests of withdrawn keys, rates over all hosts, endpoints on leaving hosts, and restarts that must not
+//! revert to an older document.
 
 use std::time::{Duration, Instant};
 
@@ -9,10 +10,10 @@
 
 use burdockroad_site::{AccountOptions, Caller, Site, SiteOptions, completion, problem, wait_until};
 
-/// Longest time from an accepted change until it is in force everywhere.
+/// Maximum time from a stored change until it is in force on all hosts.
 const IN_FORCE: Duration = Duration::from_secs(4);
 
-/// The document with the key of an account withdrawn.
+/// Stores the document with the key of an account withdrawn. Returns the new version.
 async fn withdraw(site: &Site, account: &str) -> u64 {
     let mut document = site.document().await;
     let accounts = document["accounts"].as_array_mut().expect("accounts");
@@ -24,7 +25,7 @@
     site.apply(&document).await
 }
 
-/// Two engines that each serve one call at a time, and long answers.
+/// Returns options for two engines that each serve one call at a time, with long responses.
 fn busy_engines() -> SiteOptions {
     SiteOptions {
         engine_options: vec!["--token-ms", "50", "--answer-tokens", "400"],
@@ -33,7 +34,7 @@
     }
 }
 
-/// Opens a stream at each of two daemons, which together take all slots.
+/// Opens a stream through each of two daemons. The streams occupy all slots.
 async fn open_streams(caller: &Caller<'_>) -> Vec<HttpStream> {
     let mut streams = Vec::new();
     for daemon in 0..2 {
@@ -52,7 +53,7 @@
     withdraw(&site, "masters").await;
     let since = Instant::now();
     for stream in &mut streams {
-        let cut = tokio::time::timeout(IN_FORCE, async {
+        let stream_end = tokio::time::timeout(IN_FORCE, async {
             loop {
                 match stream.next().await {
                     Ok(Some(_)) => {}
@@ -60,8 +61,8 @@
                 }
             }
         });
-        let ended = cut.await.expect("the stream is cut in time");
-        assert!(ended.is_err(), "a cut stream must not look whole");
+        let ended = stream_end.await.expect("the stream ends before the timeout");
+        assert!(ended.is_err(), "an aborted stream must not look complete");
     }
     sleep(IN_FORCE.saturating_sub(since.elapsed())).await;
     for daemon in 0..3 {
@@ -74,13 +75,13 @@
         .caller("port-agents")
         .send(0, Method::GET, "/v1/models", None, &Value::Null)
         .await;
-    assert_eq!(other.status, 200, "another account's key goes on working");
+    assert_eq!(other.status, 200, "another account's key remains valid");
 }
 
 #[tokio::test]
 async fn key_withdrawn_while_queued() {
     let site = Site::start(busy_engines()).await;
-    // Another account holds all slots, so that the withdrawal does not free one.
+    // Another account occupies all slots, so that withdrawing the key does not free a slot.
     let streams = open_streams(&site.caller("port-agents")).await;
     let caller = site.caller("masters");
     let body = completion("queued", 4);
@@ -102,11 +103,12 @@
 }
 
 #[tokio::test]
-async fn key_withdrawn_with_store_cut_off() {
+async fn key_withdrawn_store_partitioned() {
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
-    let cut = json!({ "forward": "drop", "backward": "drop", "cut_open": true });
-    site.post_control(&site.store_proxies[0], "/faults", &cut).await;
+    let partition = json!({ "forward": "drop", "backward": "drop", "cut_open": true });
+    site.post_control(&site.store_proxies[0], "/faults", &partition)
+        .await;
     sleep(Duration::from_secs(2)).await;
     let still = caller
         .send(0, Method::GET, "/v1/models", None, &Value::Null)
@@ -114,7 +116,7 @@
     assert_eq!(
         still.status,
         200,
-        "a host that is cut off from the store learns from its peers: {}",
+        "a host that is partitioned from the store receives the document from its peers: {}",
         still.text()
     );
     withdraw(&site, "masters").await;
@@ -132,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn store_down_for_all_keys_go_on() {
+async fn store_down_for_all_hosts_keys_stay_valid() {
     let site = Site::start(SiteOptions::default()).await;
     site.post_control(&site.kv, "/faults", &json!({ "down": true }))
         .await;
@@ -149,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn restarted_host_does_not_revert() {
+async fn restarted_host_keeps_document_version() {
     let mut site = Site::start(SiteOptions::default()).await;
     let version = withdraw(&site, "masters").await;
     for daemon in 0..3 {
@@ -163,32 +165,32 @@
     site.daemons[1].kill().await.expect("killed");
     site.restart(1).await;
     for _ in 0..20 {
-        let status = site.status(1).await.expect("it answers");
+        let status = site.status(1).await.expect("the daemon responds");
         assert!(status["document"]["version"] == version, "{status}");
         let refused = site
             .caller("masters")
             .send(1, Method::GET, "/v1/models", None, &Value::Null)
             .await;
-        assert_ne!(refused.status, 200, "a withdrawn key works again");
+        assert_ne!(refused.status, 200, "a withdrawn key is accepted again");
         sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Answers that a flood over all hosts got.
+/// Numbers of admitted and refused requests of a flood over all hosts.
 struct Flood {
     admitted: usize,
     refused: usize,
     elapsed: Duration,
 }
 
-async fn flood(site: &Site, account: &'static str, lasts: Duration) -> Flood {
+async fn flood(site: &Site, account: &'static str, duration: Duration) -> Flood {
     let caller = site.caller(account);
     let start = Instant::now();
-    let one = |daemon: usize| {
+    let run_worker = |daemon: usize| {
         let caller = caller.clone();
         async move {
             let (mut admitted, mut refused) = (0, 0);
-            while start.elapsed() < lasts {
+            while start.elapsed() < duration {
                 let response = caller
                     .send(daemon, Method::GET, "/services/tides/flood", None, &Value::Null)
                     .await;
@@ -205,7 +207,7 @@
             (admitted, refused)
         }
     };
-    let workers = (0..12).map(|worker| one(worker % 3));
+    let workers = (0..12).map(|worker| run_worker(worker % 3));
     let counts = futures_util::future::join_all(workers).await;
     Flood {
         admitted: counts.iter().map(|count| count.0).sum(),
@@ -215,7 +217,7 @@
 }
 
 #[tokio::test]
-async fn flood_over_all_hosts_stays_within_rate() {
+async fn flood_over_all_hosts_within_rate() {
     let mut options = SiteOptions::default();
     options.accounts[0] = AccountOptions {
         id: "masters",
@@ -231,19 +233,22 @@
         .to_string()
         .matches("/flood")
         .count();
-    let most = 20.0 * flood.elapsed.as_secs_f64() + 10.0;
+    let max_requests = 20.0 * flood.elapsed.as_secs_f64() + 10.0;
     let executed_f64 = f64::from(u32::try_from(executed).expect("a small number"));
-    assert!(executed_f64 <= most, "{executed} ran, at most {most:.1} may");
-    assert_eq!(flood.admitted, executed, "answered and executed");
-    assert!(flood.refused > 0, "the flood is refused, not held");
     assert!(
-        executed_f64 >= 0.5 * most,
-        "{executed} ran of {most:.1} that may: the rate is given out"
+        executed_f64 <= max_requests,
+        "{executed} requests ran, but at most {max_requests:.1} may run"
+    );
+    assert_eq!(flood.admitted, executed, "each admitted request ran once");
+    assert!(flood.refused > 0, "excess requests are refused, not queued");
+    assert!(
+        executed_f64 >= 0.5 * max_requests,
+        "{executed} of at most {max_requests:.1} requests ran: the rate is used"
     );
 }
 
 #[tokio::test]
-async fn leaving_endpoint_gets_no_new_work() {
+async fn leaving_host_endpoint_gets_no_new_calls() {
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
     let leaving = json!([
@@ -254,7 +259,7 @@
         .http
         .get_json(&format!("http://{address}/hosts"))
         .await
-        .expect("the list answers");
+        .expect("the host list responds");
     listed.extend(leaving.as_array().expect("a list").clone());
     site.put_control(&site.host_list, "/hosts", &Value::from(listed))
         .await;
@@ -278,5 +283,8 @@
         .to_string()
         .matches("chat/completions")
         .count();
-    assert_eq!(before, after, "the leaving endpoint got new work");
+    assert_eq!(
+        before, after,
+        "the endpoint on the leaving host received new calls"
+    );
 }
--- a/crates/burdockroad-site/tests/processes/main.rs
+++ b/crates/burdockroad-site/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Real daemons, stand-ins and failures: each of them a process.
+//! Failure tests with real daemons and stand-ins, each of which is a separate process.
 
 mod endpoints;
 mod failures;
