--- a/crates/burdockroad-site/src/bin/measure/driver.rs
+++ b/crates/burdockroad-site/src/bin/measure/driver.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) ended: Vec<EndedProgram>,
-    /// Prompt tokens that were computed again because they were no longer cached.
+    /// History tokens that were computed again because the engine had no cached prefix with them.
     pub(crate) recomputed_tokens: u64,
 }
 
--- a/crates/burdockroad-site/src/bin/measure/pool_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/pool_cases.rs
@@ -45,7 +45,7 @@
     let programs = arrivals(seed, &rates(seed, OFFERED_LOAD));
     let mut baseline = RoundRobin::new(ENDPOINTS, SLOTS);
     let baseline = run(&mut baseline, fleet(), programs.clone(), seed);
-    let value = run_pooled(fleet(), &SHARES, programs, seed);
+    let value = run_pool_policy(fleet(), &SHARES, programs, seed);
     let baseline_s = percentile_95(&baseline, None);
     let value_s = percentile_95(&value, None);
     Figure {
@@ -63,14 +63,19 @@
     let mut rates = rates(seed, OFFERED_LOAD);
     rates[FLOODING_ACCOUNT] *= FLOOD_FACTOR;
     let programs = arrivals(seed, &rates);
-    let mixed = run_pooled(fleet(), &SHARES, programs.clone(), seed);
+    let mixed = run_pool_policy(fleet(), &SHARES, programs.clone(), seed);
     let mut worst = (0.0, 0.0);
     for (account, share) in SHARES.iter().enumerate() {
         if account == FLOODING_ACCOUNT {
             continue;
         }
-        let own = programs.iter().filter(|program| program.account == account);
-        let alone = run_pooled(share_of_fleet(*share), &SHARES, own.cloned().collect(), seed);
+        let own_programs = programs.iter().filter(|program| program.account == account);
+        let alone = run_pool_policy(
+            share_of_fleet(*share),
+            &SHARES,
+            own_programs.cloned().collect(),
+            seed,
+        );
         let alone_s = percentile_95(&alone, Some(account));
         let ratio = percentile_95(&mixed, Some(account)) / alone_s;
         if ratio > worst.1 {
@@ -86,8 +91,8 @@
     }
 }
 
-/// Compares the recomputed prompt tokens with those of the least-loaded baseline. The caches fit half of
-/// the histories of the running programs.
+/// Compares the recomputed prompt tokens with those of the least-loaded baseline. The caches have
+/// room for half of the histories of the running programs.
 pub(crate) fn tool_pauses(seed: u64) -> Figure {
     let working_set = CONCURRENT_PROGRAMS as u64 * MEAN_CONTEXT_TOKENS;
     let fleet = Fleet {
@@ -179,7 +184,7 @@
     Driver::new(policy, fleet, programs, Instant::now(), seed).run()
 }
 
-fn run_pooled(fleet: Fleet, weights: &[f64], programs: Vec<Program>, seed: u64) -> Outcome {
+fn run_pool_policy(fleet: Fleet, weights: &[f64], programs: Vec<Program>, seed: u64) -> Outcome {
     let start = Instant::now();
     let mut policy = PoolPolicy::new(fleet.endpoints, fleet.slots, weights, start);
     Driver::new(&mut policy, fleet, programs, start, seed).run()
@@ -210,7 +215,7 @@
 /// Returns the output tokens per second of programs that finish between the warm-up and the end of the
 /// load.
 fn goodput_per_s(seed: u64, rates_per_s: &[f64]) -> f64 {
-    let outcome = run_pooled(fleet(), &SHARES, arrivals(seed, rates_per_s), seed);
+    let outcome = run_pool_policy(fleet(), &SHARES, arrivals(seed, rates_per_s), seed);
     let counted = |ended: &&EndedProgram| ended.finished && (WARM_UP_S..DURATION_S).contains(&ended.at_s);
     let tokens: u64 = outcome
         .ended
--- a/crates/burdockroad-site/src/bin/measure/site_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/site_cases.rs
@@ -151,7 +151,7 @@
         .worker_threads(3)
         .enable_all()
         .build();
-    runtime.expect("a runtime").block_on(run)
+    runtime.expect("the runtime can be built").block_on(run)
 }
 
 fn options(daemons: usize, engines: usize) -> SiteOptions {
@@ -173,7 +173,7 @@
     let counters = Arc::new(Counters::default());
     let running_site = &mut site;
     let counts = {
-        let victim = running_site.daemons.pop().expect("a daemon");
+        let victim = running_site.daemons.pop().expect("the site has a daemon");
         let programs = (0..PROGRAMS).map(|number| run_program(running_site, number, Arc::clone(&counters)));
         let programs = futures_util::future::join_all(programs);
         let (counts, _) = tokio::join!(
@@ -203,7 +203,7 @@
     counters.longest_ms.store(0, Ordering::Relaxed);
     match fault {
         Fault::None => {}
-        Fault::KillOne => victim.kill().await.expect("killed"),
+        Fault::KillOne => victim.kill().await.expect("the process can be killed"),
         Fault::StoreDown(outage) => {
             site.post_control(&site.kv, "/faults", &json!({ "down": true }))
                 .await;
@@ -331,10 +331,12 @@
 }
 
 async fn direct_call(site: &Site, body: &Value) {
-    let address = site.engines[0].address().expect("an address");
+    let address = site.engines[0].address().expect("the process has an address");
     let request = Request::post(format!("http://{address}/v1/chat/completions"));
-    let request = request.body(Full::from(body.to_string())).expect("a request");
-    let response = site.http.send(request).await.expect("the engine answers");
+    let request = request
+        .body(Full::from(body.to_string()))
+        .expect("the request is valid");
+    let response = site.http.send(request).await.expect("the engine responds");
     assert!(response.status.is_success(), "{}", response.text());
 }
 
--- a/crates/burdockroad-site/src/caller.rs
+++ b/crates/burdockroad-site/src/caller.rs
@@ -22,8 +22,8 @@
     pub async fn create_program(&self, daemon: usize, body: &Value) -> String {
         let response = self.send(daemon, Method::POST, "/v1/programs", None, body).await;
         assert_eq!(response.status, 201, "{}", response.text());
-        let program: Value = response.json().expect("a program");
-        program["id"].as_str().expect("an id").to_owned()
+        let program: Value = response.json().expect("the response contains a program");
+        program["id"].as_str().expect("the program has an id").to_owned()
     }
 
     /// Returns the state of a program.
@@ -31,7 +31,7 @@
         let path = format!("/v1/programs/{program}");
         let response = self.send(daemon, Method::GET, &path, None, &Value::Null).await;
         assert_eq!(response.status, 200, "{}", response.text());
-        response.json().expect("a program")
+        response.json().expect("the response contains a program")
     }
 
     /// Sends a completion request as a call of a program.
@@ -97,9 +97,10 @@
     /// Sends a POST request with an idempotency key.
     pub async fn send_keyed(&self, daemon: usize, path: &str, key: &str, body: &Value) -> HttpAnswer {
         let mut request = self.request(daemon, Method::POST, path, None, body);
-        request
-            .headers_mut()
-            .insert("idempotency-key", key.parse().expect("a header value"));
+        request.headers_mut().insert(
+            "idempotency-key",
+            key.parse().expect("the key is a valid header value"),
+        );
         self.site.http.send(request).await.expect("the daemon responds")
     }
 
@@ -133,7 +134,7 @@
                 .header("program-id", program)
                 .header("call-number", number);
         }
-        request.body(Full::from(text)).expect("a request")
+        request.body(Full::from(text)).expect("the request is valid")
     }
 }
 
@@ -148,15 +149,18 @@
 
 /// Returns the type of the problem in an error response, and the field that says whether the request ran.
 pub fn problem(response: &HttpAnswer) -> (String, String) {
-    let problem: Value = response.json().expect("a problem");
+    let problem: Value = response.json().expect("the response contains a problem");
     let problem_type = problem["type"]
         .as_str()
-        .expect("a type")
+        .expect("the problem has a type")
         .rsplit(':')
         .next()
-        .expect("a last segment");
+        .expect("the type has a last segment");
     (
         problem_type.to_owned(),
-        problem["ran"].as_str().expect("whether it ran").to_owned(),
+        problem["ran"]
+            .as_str()
+            .expect("the problem says whether the request ran")
+            .to_owned(),
     )
 }
--- a/crates/burdockroad-site/src/site.rs
+++ b/crates/burdockroad-site/src/site.rs
@@ -126,13 +126,13 @@
     pub async fn start(options: SiteOptions) -> Self {
         let kv = Process::spawn("burdockroad-standin", &["kv"])
             .await
-            .expect("the key-value service");
+            .expect("the key-value service starts");
         let addresses = allocate_addresses(options.daemons);
         let listed = host_list_entries(&addresses).to_string();
         let arguments = ["host-list", "--hosts", &listed];
         let host_list = Process::spawn("burdockroad-standin", &arguments)
             .await
-            .expect("the host list");
+            .expect("the host list starts");
         let mut engines = Vec::new();
         for _ in 0..options.engines {
             let mut arguments = vec!["engine"];
@@ -140,21 +140,21 @@
             engines.push(
                 Process::spawn("burdockroad-standin", &arguments)
                     .await
-                    .expect("an engine"),
+                    .expect("the engine starts"),
             );
         }
         let mut arguments = vec!["service"];
         arguments.extend(&options.service_options);
         let service = Process::spawn("burdockroad-standin", &arguments)
             .await
-            .expect("the service");
+            .expect("the service starts");
         let mut store_proxies = Vec::new();
-        let target = kv.address().expect("an address").to_string();
+        let target = kv.address().expect("the process has an address").to_string();
         for _ in 0..options.daemons {
             let proxy = Process::spawn("burdockroad-standin", &["proxy", "--target", &target]).await;
-            store_proxies.push(proxy.expect("a proxy"));
+            store_proxies.push(proxy.expect("the proxy starts"));
         }
-        let store = connect(kv.address().expect("an address"));
+        let store = connect(kv.address().expect("the process has an address"));
         let mut site = Self {
             kv,
             host_list,
@@ -167,7 +167,7 @@
             options,
             addresses,
             keys: BTreeMap::new(),
-            folder: TempDir::new().expect("a scratch folder"),
+            folder: TempDir::new().expect("a temporary folder can be created"),
         };
         let document = site.initial_document();
         site.apply(&document).await;
@@ -224,7 +224,9 @@
         let number = wait_until("a daemon owns the program", || async {
             for number in 0..self.daemons.len() {
                 let url = format!("{}/programs/{program_id}", self.admin_url(number));
-                let request = Request::get(url).body(Full::default()).expect("a request");
+                let request = Request::get(url)
+                    .body(Full::default())
+                    .expect("the request is valid");
                 if self
                     .http
                     .send(request)
@@ -250,32 +252,42 @@
     }
 
     async fn send_control(&self, method: Method, standin: &Process, path: &str, body: &Value) {
-        let address = standin.address_of("control").expect("a control address");
+        let address = standin
+            .address_of("control")
+            .expect("the stand-in has a control address");
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"));
-        let request = request.body(Full::from(body.to_string())).expect("a request");
-        let response = self.http.send(request).await.expect("the stand-in answers");
+        let request = request
+            .body(Full::from(body.to_string()))
+            .expect("the request is valid");
+        let response = self.http.send(request).await.expect("the stand-in responds");
         assert!(response.status.is_success(), "{path} {body}: {}", response.text());
     }
 
     /// Sends a GET request to a stand-in's control address and returns the JSON in the response.
     pub async fn get_control(&self, standin: &Process, path: &str) -> Value {
-        let address = standin.address_of("control").expect("a control address");
+        let address = standin
+            .address_of("control")
+            .expect("the stand-in has a control address");
         self.http
             .get_json(&format!("http://{address}{path}"))
             .await
-            .expect("the stand-in answers")
+            .expect("the stand-in responds")
     }
 
     /// Stores a document as the next version and returns that version.
     pub async fn apply(&self, document: &Value) -> u64 {
-        let stored = self.store.get(DOCUMENT_KEY).await.expect("the store answers");
+        let stored = self
+            .store
+            .get(DOCUMENT_KEY)
+            .await
+            .expect("the store is available");
         let earlier = stored
             .as_ref()
-            .map(|entry| VersionedDocument::from_bytes(&entry.value).expect("a document"));
+            .map(|entry| VersionedDocument::from_bytes(&entry.value).expect("the store contains a document"));
         let version = earlier.map_or(1, |earlier| earlier.version + 1);
-        let next = VersionedDocument::new(version, document.to_string()).expect("a valid document");
+        let next = VersionedDocument::new(version, document.to_string()).expect("the document is valid");
         let expected = stored.map_or(Expected::Absent, |entry| Expected::Revision(entry.revision));
         let put = self
             .store
@@ -291,10 +303,10 @@
             .store
             .get(DOCUMENT_KEY)
             .await
-            .expect("the store answers")
-            .expect("a document");
-        let document = VersionedDocument::from_bytes(&entry.value).expect("a document");
-        serde_json::from_str(&document.text).expect("plain JSON")
+            .expect("the store is available")
+            .expect("the store contains a document");
+        let document = VersionedDocument::from_bytes(&entry.value).expect("the store contains a document");
+        serde_json::from_str(&document.text).expect("the document is plain JSON")
     }
 
     /// Returns all requests that the engines and the service have received, as one text.
@@ -310,8 +322,11 @@
     pub async fn cached_programs(&self) -> Vec<String> {
         let mut cached_programs = Vec::new();
         for engine in &self.engines {
-            let url = format!("http://{}/cache", engine.address().expect("an address"));
-            let listed: Vec<Value> = self.http.get_json(&url).await.expect("the engine answers");
+            let url = format!(
+                "http://{}/cache",
+                engine.address().expect("the process has an address")
+            );
+            let listed: Vec<Value> = self.http.get_json(&url).await.expect("the engine responds");
             cached_programs.extend(
                 listed
                     .iter()
@@ -326,7 +341,9 @@
     pub async fn wait_until_ready(&self, number: usize) {
         let url = format!("{}/ready", self.admin_url(number));
         wait_until("the daemon is ready", || async {
-            let request = Request::get(&url).body(Full::default()).expect("a request");
+            let request = Request::get(&url)
+                .body(Full::default())
+                .expect("the request is valid");
             let response = self.http.send(request).await.ok()?;
             response.status.is_success().then_some(())
         })
@@ -351,16 +368,18 @@
 
     async fn spawn_daemon(&self, number: usize) -> Process {
         let path = self.write_settings(number);
-        let path = path.to_str().expect("a UTF-8 path");
+        let path = path.to_str().expect("the path is UTF-8");
         Process::spawn("burdockroadd", &["--settings", path])
             .await
-            .expect("a daemon")
+            .expect("the daemon starts")
     }
 
     fn write_settings(&self, number: usize) -> PathBuf {
         let addresses = self.addresses[number];
-        let host_list = self.host_list.address().expect("an address");
-        let store = self.store_proxies[number].address().expect("an address");
+        let host_list = self.host_list.address().expect("the process has an address");
+        let store = self.store_proxies[number]
+            .address()
+            .expect("the process has an address");
         let settings = json!({
             "host_id": format!("host-{number}"),
             "failure_domain": FAILURE_DOMAINS[number % FAILURE_DOMAINS.len()],
@@ -373,7 +392,7 @@
             "limits": self.options.limits,
         });
         let path = self.folder.path().join(format!("host-{number}.jsonc"));
-        std::fs::write(&path, settings.to_string()).expect("the settings are written");
+        std::fs::write(&path, settings.to_string()).expect("the settings can be written");
         path
     }
 
@@ -413,7 +432,7 @@
 fn endpoint(id: &str, number: usize, process: &Process, slots: u32) -> Value {
     json!({
         "id": id,
-        "address": process.address().expect("an address").to_string(),
+        "address": process.address().expect("the process has an address").to_string(),
         "host_id": format!("host-of-{id}"),
         "failure_domain": FAILURE_DOMAINS[number % FAILURE_DOMAINS.len()],
         "slots": slots,
@@ -429,7 +448,7 @@
     let [.., high, low] = std::process::id().to_be_bytes();
     let site = SITES.fetch_add(1, Ordering::Relaxed);
     let ip = Ipv4Addr::new(127, 64 + high % 64, low, site);
-    let at = |port: usize| SocketAddr::from((ip, u16::try_from(port).expect("a port")));
+    let at = |port: usize| SocketAddr::from((ip, u16::try_from(port).expect("the port fits into 16 bits")));
     let numbers = 0..daemons;
     numbers
         .map(|number| Addresses {
@@ -456,7 +475,7 @@
     let settings = StoreSettings::Service {
         addresses: vec![format!("http://{address}")],
     };
-    platform::connect(&settings).expect("a client of the store")
+    platform::connect(&settings).expect("the store address is valid")
 }
 
 /// Polls until the result is not none and returns it. Panics after [`WAIT_TIMEOUT`].
--- a/crates/burdockroad-site/tests/processes/endpoints.rs
+++ b/crates/burdockroad-site/tests/processes/endpoints.rs
@@ -32,7 +32,7 @@
 }
 
 fn content(response: &burdockroad_standins::http_client::HttpAnswer) -> Value {
-    let body: Value = response.json().expect("JSON");
+    let body: Value = response.json().expect("the body is JSON");
     body["choices"][0]["message"]["content"].clone()
 }
 
@@ -98,8 +98,8 @@
 async fn stream_engine_killed_is_incomplete() {
     let mut site = Site::start(one_engine(vec!["--token-ms", "50", "--answer-tokens", "200"])).await;
     let mut stream = site.caller("masters").stream(0, None, 200).await;
-    assert!(stream.next().await.expect("it streams").is_some());
-    site.engines[0].kill().await.expect("killed");
+    assert!(stream.next().await.expect("the stream starts").is_some());
+    site.engines[0].kill().await.expect("the process can be killed");
     let mut text = String::new();
     let ended = loop {
         match stream.next().await {
@@ -196,7 +196,7 @@
     let caller = site.caller("masters");
     let program = caller.create_program(0, &json!({})).await;
     let mut stream = caller.stream(1, Some((&program, 1)), 20).await;
-    assert!(stream.next().await.expect("it streams").is_some());
+    assert!(stream.next().await.expect("the stream starts").is_some());
     drop(stream);
     wait_until("the call completes after its caller has disconnected", || async {
         let shown = caller.show_program(2, &program).await;
@@ -238,7 +238,9 @@
     };
     tokio::join!(spend(1, root.clone()), spend(2, child.clone()));
     let stats = site.get_control(&site.engines[0], "/stats").await;
-    let generated = stats["generated"].as_u64().expect("a count");
+    let generated = stats["generated"]
+        .as_u64()
+        .expect("the statistics contain a count");
     assert!(
         generated <= 100,
         "the engine generated {generated} of 100 tokens: {stats}"
--- a/crates/burdockroad-site/tests/processes/failures.rs
+++ b/crates/burdockroad-site/tests/processes/failures.rs
@@ -54,11 +54,14 @@
     }
     let owner = site.owner_of(&program).await;
     let before = site.caller("masters").show_program(owner, &program).await;
-    site.daemons[owner].kill().await.expect("killed");
+    site.daemons[owner]
+        .kill()
+        .await
+        .expect("the process can be killed");
     let killed_at = Instant::now();
     let caller = site.caller("masters");
     let other_daemon = other_than(owner);
-    wait_until("the program goes on", || async {
+    wait_until("the program continues", || async {
         let response = caller.complete(other_daemon, &program, 4, "question 4").await;
         (response.status == 200).then_some(())
     })
@@ -68,9 +71,9 @@
         killed_at.elapsed().as_millis()
     );
     let after = caller.show_program(other_daemon, &program).await;
-    let calls = after["calls"].as_array().expect("calls");
+    let calls = after["calls"].as_array().expect("the program has calls");
     assert_eq!(
-        before["calls"].as_array().expect("calls")[..],
+        before["calls"].as_array().expect("the program has calls")[..],
         calls[..3],
         "the history is complete"
     );
@@ -99,7 +102,10 @@
     );
     // The owner is killed after the first attempt has started. The attempt may or may not have completed.
     drop(first);
-    site.daemons[owner].kill().await.expect("killed");
+    site.daemons[owner]
+        .kill()
+        .await
+        .expect("the process can be killed");
     let caller = site.caller("masters");
     let response = wait_until("the call runs again", || async {
         let response = caller.complete(other_daemon, &program, 1, "slow question").await;
@@ -107,9 +113,10 @@
     })
     .await;
     let shown = caller.show_program(other_daemon, &program).await;
-    let calls = shown["calls"].as_array().expect("calls");
+    let calls = shown["calls"].as_array().expect("the program has calls");
     assert_eq!(calls.len(), 1, "all attempts are one call: {shown}");
-    let content = response.json::<Value>().expect("JSON")["choices"][0]["message"]["content"].clone();
+    let content =
+        response.json::<Value>().expect("the body is JSON")["choices"][0]["message"]["content"].clone();
     assert_eq!(calls[0]["answer"]["content"], content);
 }
 
@@ -126,7 +133,10 @@
         (executions(&site, "order-one").await == 1).then_some(())
     })
     .await;
-    site.daemons[owner].kill().await.expect("killed");
+    site.daemons[owner]
+        .kill()
+        .await
+        .expect("the process can be killed");
     let first = first.await.expect("the first attempt ends");
     assert!(first != "200", "the first attempt cannot have succeeded: {first}");
     let caller = site.caller("masters");
@@ -157,7 +167,7 @@
         .body(http_body_util::Full::from(
             json!({ "order": "order-one" }).to_string(),
         ))
-        .expect("a request");
+        .expect("the request is valid");
     match client.send(request).await {
         Ok(response) => response.status.as_u16().to_string(),
         Err(error) => error.to_string(),
@@ -180,10 +190,10 @@
         (executions(&site, "order-one").await == 1).then_some(())
     })
     .await;
-    site.daemons[owner].stop().expect("paused");
+    site.daemons[owner].stop().expect("the process can be paused");
     let response = order_until_final(&caller, other_daemon, &program, 1).await;
     assert_eq!(response.status, 409, "{}", response.text());
-    site.daemons[owner].resume().expect("resumed");
+    site.daemons[owner].resume().expect("the process can be resumed");
     drop(first.await);
     let shown = caller.show_program(other_daemon, &program).await;
     assert_eq!(
@@ -262,19 +272,22 @@
         assert_eq!(response.status, 200, "{}", response.text());
     }
     let owner = site.owner_of(&program).await;
-    site.daemons[owner].kill().await.expect("killed");
+    site.daemons[owner]
+        .kill()
+        .await
+        .expect("the process can be killed");
     sleep(Duration::from_secs(2)).await;
     site.post_control(&site.kv, "/faults", &json!({ "down": false }))
         .await;
     let caller = site.caller("masters");
     let other_daemon = other_than(owner);
-    wait_until("the program goes on", || async {
+    wait_until("the program continues", || async {
         let response = caller.complete(other_daemon, &program, 4, "question 4").await;
         (response.status == 200).then_some(())
     })
     .await;
     let shown = caller.show_program(other_daemon, &program).await;
-    let calls = shown["calls"].as_array().expect("calls");
+    let calls = shown["calls"].as_array().expect("the program has calls");
     assert_eq!(
         calls.len(),
         4,
@@ -299,7 +312,7 @@
         3,
         "the engines cache the programs' prefixes"
     );
-    site.daemons[0].kill().await.expect("killed");
+    site.daemons[0].kill().await.expect("the process can be killed");
     let caller = site.caller("masters");
     for program in &programs {
         let path = format!("/v1/programs/{program}");
--- a/crates/burdockroad-site/tests/processes/first_path.rs
+++ b/crates/burdockroad-site/tests/processes/first_path.rs
@@ -29,7 +29,7 @@
     let shown = caller.show_program(1, &program).await;
     let questions: Vec<&str> = shown["calls"]
         .as_array()
-        .expect("calls")
+        .expect("the program has calls")
         .iter()
         .filter_map(|call| call["messages"][0]["content"].as_str())
         .collect();
--- a/crates/burdockroad-site/tests/processes/keys_and_rates.rs
+++ b/crates/burdockroad-site/tests/processes/keys_and_rates.rs
@@ -11,16 +11,18 @@
 use burdockroad_site::{AccountOptions, Caller, Site, SiteOptions, completion, problem, wait_until};
 
 /// Maximum time from a stored change until it is in force on all hosts.
-const IN_FORCE: Duration = Duration::from_secs(4);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Stores the document with the key of an account withdrawn. Returns the new version.
 async fn withdraw(site: &Site, account: &str) -> u64 {
     let mut document = site.document().await;
-    let accounts = document["accounts"].as_array_mut().expect("accounts");
+    let accounts = document["accounts"]
+        .as_array_mut()
+        .expect("the document has accounts");
     let found = accounts
         .iter_mut()
         .find(|entry| entry["id"] == account)
-        .expect("the account");
+        .expect("the account exists");
     found["keys"][0]["withdrawn"] = true.into();
     site.apply(&document).await
 }
@@ -39,7 +41,7 @@
     let mut streams = Vec::new();
     for daemon in 0..2 {
         let mut stream = caller.stream(daemon, None, 400).await;
-        assert!(stream.next().await.expect("it streams").is_some());
+        assert!(stream.next().await.expect("the stream starts").is_some());
         streams.push(stream);
     }
     streams
@@ -51,9 +53,9 @@
     let caller = site.caller("masters");
     let mut streams = open_streams(&caller).await;
     withdraw(&site, "masters").await;
-    let since = Instant::now();
+    let withdrawn_at = Instant::now();
     for stream in &mut streams {
-        let stream_end = tokio::time::timeout(IN_FORCE, async {
+        let stream_end = tokio::time::timeout(IN_FORCE_TIMEOUT, async {
             loop {
                 match stream.next().await {
                     Ok(Some(_)) => {}
@@ -64,7 +66,7 @@
         let ended = stream_end.await.expect("the stream ends before the timeout");
         assert!(ended.is_err(), "an aborted stream must not look complete");
     }
-    sleep(IN_FORCE.saturating_sub(since.elapsed())).await;
+    sleep(IN_FORCE_TIMEOUT.saturating_sub(withdrawn_at.elapsed())).await;
     for daemon in 0..3 {
         let refused = caller
             .send(daemon, Method::GET, "/v1/models", None, &Value::Null)
@@ -91,9 +93,9 @@
         withdraw(&site, "masters").await;
         Instant::now()
     };
-    let (queued, since) = tokio::join!(queued, withdrawn);
+    let (queued, withdrawn_at) = tokio::join!(queued, withdrawn);
     assert_eq!(queued.status, 401, "{}", queued.text());
-    assert!(since.elapsed() < IN_FORCE);
+    assert!(withdrawn_at.elapsed() < IN_FORCE_TIMEOUT);
     drop(streams);
     sleep(Duration::from_secs(1)).await;
     assert!(
@@ -110,17 +112,17 @@
     site.post_control(&site.store_proxies[0], "/faults", &partition)
         .await;
     sleep(Duration::from_secs(2)).await;
-    let still = caller
+    let response = caller
         .send(0, Method::GET, "/v1/models", None, &Value::Null)
         .await;
     assert_eq!(
-        still.status,
+        response.status,
         200,
         "a host that is partitioned from the store receives the document from its peers: {}",
-        still.text()
+        response.text()
     );
     withdraw(&site, "masters").await;
-    sleep(IN_FORCE).await;
+    sleep(IN_FORCE_TIMEOUT).await;
     for daemon in 0..3 {
         let refused = caller
             .send(daemon, Method::GET, "/v1/models", None, &Value::Null)
@@ -162,7 +164,7 @@
     }
     site.post_control(&site.kv, "/faults", &json!({ "delay_ms": 300 }))
         .await;
-    site.daemons[1].kill().await.expect("killed");
+    site.daemons[1].kill().await.expect("the process can be killed");
     site.restart(1).await;
     for _ in 0..20 {
         let status = site.status(1).await.expect("the daemon responds");
@@ -254,7 +256,7 @@
     let leaving = json!([
         { "host_id": "host-of-engine-0", "failure_domain": "sohar-a", "peer_address": "", "state": "leaving" },
     ]);
-    let address = site.host_list.address().expect("an address");
+    let address = site.host_list.address().expect("the process has an address");
     let mut listed: Vec<Value> = site
         .http
         .get_json(&format!("http://{address}/hosts"))
--- a/tools/generate/src/main.rs
+++ b/tools/generate/src/main.rs
@@ -1,6 +1,6 @@
-//! Writes the generated code of `burdockroad-proto` anew from its `.proto` files.
+//! Regenerates the code of `burdockroad-proto` from its `.proto` files.
 //!
-//! Run it from this folder with `cargo run`, then commit what changed.
+//! Run it in this folder with `cargo run`, then commit the changes.
 
 fn main() {
     let proto = "../../crates/burdockroad-proto/proto";
