--- a/crates/burdockroad-site/src/bin/measure/quota_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_cases.rs
@@ -147,9 +147,13 @@
     reason = "a small positive quotient"
 )]
 fn skewed_host(generator: &mut Generator, at_s: f64) -> usize {
-    let favoured = (at_s / FAVOURED_HOST_PERIOD_S) as usize % HOSTS;
+    let favoured_host = (at_s / FAVOURED_HOST_PERIOD_S) as usize % HOSTS;
     let drawn_host = generator.below(HOSTS - 1 + FAVOURED_HOST_WEIGHT);
-    if drawn_host < HOSTS { drawn_host } else { favoured }
+    if drawn_host < HOSTS {
+        drawn_host
+    } else {
+        favoured_host
+    }
 }
 
 /// Counts the refused calls if each host has a fixed share of the rate and the burst, with the same
--- a/crates/burdockroad-site/tests/processes/first_path.rs
+++ b/crates/burdockroad-site/tests/processes/first_path.rs
@@ -146,11 +146,11 @@
         ..SiteOptions::default()
     })
     .await;
-    let nobody = burdockroad_site::Caller {
+    let invalid_caller = burdockroad_site::Caller {
         key: "brk_none_wrong".to_owned(),
         ..site.caller("masters")
     };
-    let open = nobody
+    let open = invalid_caller
         .send(0, Method::GET, "/services/notices/today", None, &Value::Null)
         .await;
     assert_eq!(open.status, 200, "{}", open.text());
@@ -159,7 +159,9 @@
         "/services/fuel-orders/today",
         "/v1/models",
     ] {
-        let keyed = nobody.send(0, Method::GET, path, None, &Value::Null).await;
+        let keyed = invalid_caller
+            .send(0, Method::GET, path, None, &Value::Null)
+            .await;
         assert_eq!(keyed.status, 401, "{path}: {}", keyed.text());
         assert_eq!(problem(&keyed).1, "no");
     }
