--- a/crates/burdockroad-site/tests/processes/failures.rs
+++ b/crates/burdockroad-site/tests/processes/failures.rs
@@ -218,7 +218,7 @@
         .await;
     sleep(Duration::from_secs(2)).await;
     for number in 1..=5 {
-        let daemon = usize::try_from(number).expect("a small number") % 3;
+        let daemon = usize::try_from(number).expect("the number fits") % 3;
         let response = caller
             .complete(daemon, &program, number, &format!("question {number}"))
             .await;
--- a/crates/burdockroad-site/tests/processes/first_path.rs
+++ b/crates/burdockroad-site/tests/processes/first_path.rs
@@ -13,7 +13,7 @@
         .create_program(0, &json!({ "budget": { "max_tokens": 500, "max_calls": 20 } }))
         .await;
     for number in 1..=6 {
-        let daemon = usize::try_from(number).expect("a small number") % 3;
+        let daemon = usize::try_from(number).expect("the number fits") % 3;
         let response = caller
             .complete(daemon, &program, number, &format!("question {number}"))
             .await;
--- a/crates/burdockroad-site/tests/processes/keys_and_rates.rs
+++ b/crates/burdockroad-site/tests/processes/keys_and_rates.rs
@@ -236,7 +236,7 @@
         .matches("/flood")
         .count();
     let max_requests = 20.0 * flood.elapsed.as_secs_f64() + 10.0;
-    let executed_f64 = f64::from(u32::try_from(executed).expect("a small number"));
+    let executed_f64 = f64::from(u32::try_from(executed).expect("the number fits"));
     assert!(
         executed_f64 <= max_requests,
         "{executed} requests ran, but at most {max_requests:.1} may run"
