--- a/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
@@ -246,10 +246,10 @@
         let (sequence, grant) = self.responses[response];
         match grant {
             Some(grant) => {
-                let settled = self.holders[host].answered(sequence, grant, self.now);
+                let settled = self.holders[host].on_response(sequence, grant, self.now);
                 self.record_settled(&settled);
             }
-            None => self.holders[host].failed(sequence, self.now),
+            None => self.holders[host].on_failure(sequence, self.now),
         }
         self.poll_holder(host);
     }
--- a/crates/burdockroad-site/src/caller.rs
+++ b/crates/burdockroad-site/src/caller.rs
@@ -1,6 +1,6 @@
 //! Client that sends requests with the key of a client account.
 
-use burdockroad_standins::http_client::{HttpAnswer, HttpStream};
+use burdockroad_standins::http_client::{HttpResponse, HttpStream};
 use bytes::Bytes;
 use http::{Method, Request};
 use http_body_util::Full;
@@ -35,7 +35,7 @@
     }
 
     /// Sends a completion request as a call of a program.
-    pub async fn complete(&self, daemon: usize, program: &str, number: u32, text: &str) -> HttpAnswer {
+    pub async fn complete(&self, daemon: usize, program: &str, number: u32, text: &str) -> HttpResponse {
         let body = completion(text, 16);
         self.send(
             daemon,
@@ -48,7 +48,7 @@
     }
 
     /// Sends an order as a call of a program. Orders are not idempotent.
-    pub async fn order(&self, daemon: usize, program: &str, number: u32, order: &str) -> HttpAnswer {
+    pub async fn order(&self, daemon: usize, program: &str, number: u32, order: &str) -> HttpResponse {
         let body = json!({ "order": order });
         self.send(
             daemon,
@@ -69,7 +69,7 @@
         path: &str,
         position: Option<(&str, u32)>,
         body: &Value,
-    ) -> HttpAnswer {
+    ) -> HttpResponse {
         self.try_send(daemon, method, path, position, body)
             .await
             .expect("the daemon responds")
@@ -87,7 +87,7 @@
         path: &str,
         position: Option<(&str, u32)>,
         body: &Value,
-    ) -> burdockroad_standins::Result<HttpAnswer> {
+    ) -> burdockroad_standins::Result<HttpResponse> {
         self.site
             .http
             .send(self.request(daemon, method, path, position, body))
@@ -95,7 +95,7 @@
     }
 
     /// Sends a POST request with an idempotency key.
-    pub async fn send_keyed(&self, daemon: usize, path: &str, key: &str, body: &Value) -> HttpAnswer {
+    pub async fn send_keyed(&self, daemon: usize, path: &str, key: &str, body: &Value) -> HttpResponse {
         let mut request = self.request(daemon, Method::POST, path, None, body);
         request.headers_mut().insert(
             "idempotency-key",
@@ -148,7 +148,7 @@
 }
 
 /// Returns the type of the problem in an error response, and the field that says whether the request ran.
-pub fn problem(response: &HttpAnswer) -> (String, String) {
+pub fn problem(response: &HttpResponse) -> (String, String) {
     let problem: Value = response.json().expect("the response contains a problem");
     let problem_type = problem["type"]
         .as_str()
--- a/crates/burdockroad-site/tests/processes/endpoints.rs
+++ b/crates/burdockroad-site/tests/processes/endpoints.rs
@@ -31,7 +31,7 @@
     sum
 }
 
-fn content(response: &burdockroad_standins::http_client::HttpAnswer) -> Value {
+fn content(response: &burdockroad_standins::http_client::HttpResponse) -> Value {
     let body: Value = response.json().expect("the body is JSON");
     body["choices"][0]["message"]["content"].clone()
 }
--- a/crates/burdockroad-site/tests/processes/failures.rs
+++ b/crates/burdockroad-site/tests/processes/failures.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use burdockroad_standins::http_client::HttpAnswer;
+use burdockroad_standins::http_client::HttpResponse;
 use http::Method;
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -34,7 +34,7 @@
 }
 
 /// Repeats an order until the daemon returns a final outcome.
-async fn order_until_final(caller: &Caller<'_>, daemon: usize, program: &str, number: u32) -> HttpAnswer {
+async fn order_until_final(caller: &Caller<'_>, daemon: usize, program: &str, number: u32) -> HttpResponse {
     wait_until("the order has a final outcome", || async {
         let response = caller.order(daemon, program, number, "order-one").await;
         let retryable = response.status == 503;
