--- a/crates/burdockroad-site/src/bin/measure/cost.rs
+++ b/crates/burdockroad-site/src/bin/measure/cost.rs
@@ -1,4 +1,4 @@
-//! Cost of a decision, by the number of programs that wait.
+//! Cost of a scheduling decision as a function of the number of waiting programs.
 
 use std::time::{Duration, Instant};
 
@@ -10,11 +10,11 @@
     policies::account_id,
 };
 
-/// Programs with a waiting call, in the smaller and the larger run.
-const FEW: usize = 1_000;
-const MANY: usize = 1_000_000;
+/// Programs with a waiting call in the smaller and the larger run.
+const SMALL_PROGRAM_COUNT: usize = 1_000;
+const LARGE_PROGRAM_COUNT: usize = 1_000_000;
 
-/// Decisions of which the mean is taken, and runs of which the best mean is taken.
+/// Decisions over which the mean is taken, and runs of which the lowest mean counts.
 const DECISIONS: usize = 50_000;
 const RUNS: usize = 5;
 
@@ -22,20 +22,22 @@
 const SLOTS: u32 = 8;
 const ACCOUNTS: usize = 8;
 
-/// Growth of the cost of serving one call while the waiting programs grow a thousandfold.
+/// Measures by which factor the cost of a call grows if the number of waiting programs grows a
+/// thousandfold.
 pub(crate) fn decision_cost(seed: u64) -> Figure {
-    let few = cost_ns(FEW, seed);
-    let many = cost_ns(MANY, seed);
+    let small_cost_ns = cost_ns(SMALL_PROGRAM_COUNT, seed);
+    let large_cost_ns = cost_ns(LARGE_PROGRAM_COUNT, seed);
     Figure {
         case: "decision_cost",
         name: "growth_of_ns_per_call",
-        baseline: few,
-        value: many / few,
+        baseline: small_cost_ns,
+        value: large_cost_ns / small_cost_ns,
         bound: Bound::AtMost(2.0),
     }
 }
 
-/// Nanoseconds to take a call, give it a slot and take the slot back, with `programs` waiting.
+/// Returns the time in nanoseconds to submit a call, assign it a slot and release the slot, with
+/// `programs` waiting programs.
 fn cost_ns(programs: usize, seed: u64) -> f64 {
     let now = Instant::now();
     let mut generator = Generator::new(seed);
@@ -69,7 +71,7 @@
         first_token: Some(Duration::from_millis(400)),
         ..Report::default()
     };
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     for call in calls {
         if let Some(slot_id) = slots.pop() {
             pool.complete(slot_id, &report, now);
@@ -77,7 +79,7 @@
         pool.submit(call, now);
         slots.extend(pool.tick(now).assignments.iter().map(|a| a.slot_id));
     }
-    began_at.elapsed().as_secs_f64() * 1e9 / float(DECISIONS as u64)
+    started_at.elapsed().as_secs_f64() * 1e9 / float(DECISIONS as u64)
 }
 
 fn call(program: usize, generator: &mut Generator, now: Instant) -> Call {
--- a/crates/burdockroad-site/src/bin/measure/quota_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_cases.rs
@@ -1,4 +1,4 @@
-//! Cases of rates and bursts.
+//! Cases that measure the enforcement of rates and bursts.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use crate::{
     Bound, Figure,
     load::Generator,
-    quota_fleet::{Fault, PATIENCE, QuotaFleet, Takeover},
+    quota_fleet::{ADMISSION_TIMEOUT, Fault, QuotaFleet, Takeover},
 };
 
-/// Entry hosts.
+/// Number of entry hosts.
 const HOSTS: usize = 7;
 
-/// Calls at the favoured host against each other one.
-const SKEW: usize = 5;
+/// Calls that the load balancer sends to the favoured host for each call to another host.
+const FAVOURED_HOST_WEIGHT: usize = 5;
 
-/// Time after which the balancer favours another host.
-const SKEW_TIME_S: f64 = 20.0;
+/// Time after which the load balancer favours the next host.
+const FAVOURED_HOST_PERIOD_S: f64 = 20.0;
 
-/// Rates a second and bursts of the accounts.
+/// Rates per second and bursts of the accounts.
 const ACCOUNTS: [(f64, u32); 8] = [
     (200.0, 100),
     (100.0, 20),
@@ -31,17 +31,18 @@
     (1.0, 3),
 ];
 
-/// Length of a run, in seconds; calls begin when the bucket has filled.
+/// Duration of a run. In the case within the rate, calls start when the bucket is full.
 const DURATION_S: f64 = 300.0;
 
-/// Calls that are offered against the rate, inside it and over it.
-const INSIDE: f64 = 0.95;
-const OVER: f64 = 3.0;
+/// Offered load as a multiple of the rate, in the case within the rate and in the case above it.
+const LOAD_INSIDE_RATE: f64 = 0.95;
+const LOAD_OVER_RATE: f64 = 3.0;
 
-/// Excess that is a rounding error, in calls.
-const ROUNDING: f64 = 1e-6;
+/// Excess in calls that is attributed to rounding.
+const ROUNDING_ERROR: f64 = 1e-6;
 
-/// Refusals of calls inside the rate, against a fixed share of rate and burst at each host.
+/// Counts refused calls of accounts within their rate. The baseline gives each host a fixed share of the
+/// rate and the burst.
 pub(crate) fn skewed_balancer(seed: u64) -> Figure {
     let mut refused = 0;
     let mut refused_by_shares = 0;
@@ -68,7 +69,8 @@
     }
 }
 
-/// Most calls by which a window passes rate and burst, against owners that begin full.
+/// Returns the largest number of calls by which any window exceeds rate and burst. In the baseline, a new
+/// owner starts with a full bucket.
 pub(crate) fn quota_windows(seed: u64) -> Figure {
     Figure {
         case: "quota_windows",
@@ -80,7 +82,7 @@
 }
 
 fn worst_excess(takeover: Takeover, seed: u64) -> f64 {
-    let owner_faults = [Fault::OwnerKilled, Fault::OwnerPaused, Fault::OwnerCut];
+    let owner_faults = [Fault::OwnerKilled, Fault::OwnerPaused, Fault::OwnerPartitioned];
     let mut worst = 0.0_f64;
     for (index, (rate_per_s, burst)) in ACCOUNTS.iter().enumerate() {
         let limits = Limits {
@@ -90,7 +92,7 @@
         for first in owner_faults {
             let mut fleet = QuotaFleet::new(HOSTS, limits, takeover, seed + index as u64);
             let mut generator = Generator::new(seed + index as u64);
-            for (at, host) in random_calls(&mut generator, rate_per_s * OVER, 0.0) {
+            for (at, host) in random_calls(&mut generator, rate_per_s * LOAD_OVER_RATE, 0.0) {
                 fleet.call(at, host);
             }
             let mut at_s = 10.0;
@@ -105,18 +107,18 @@
             worst = worst.max(excess(&fleet.admitted, limits));
         }
     }
-    if worst < ROUNDING { 0.0 } else { worst }
+    if worst < ROUNDING_ERROR { 0.0 } else { worst }
 }
 
-/// Calls of an account that never passes its own rate and burst, at the hosts that a skewed balancer
-/// sends them to.
+/// Returns the calls of an account that never exceeds its rate and burst, with the hosts to which a
+/// skewed load balancer sends them.
 fn inside_rate(limits: Limits, seed: u64) -> Vec<(Duration, usize)> {
     let burst = f64::from(limits.burst);
-    let begin_s = burst / limits.rate_per_s + 2.0;
+    let start_s = burst / limits.rate_per_s + 2.0;
     let mut generator = Generator::new(seed);
     let mut level = burst;
-    let mut previous_s = begin_s;
-    let mut calls = random_calls(&mut generator, limits.rate_per_s * INSIDE, begin_s);
+    let mut previous_s = start_s;
+    let mut calls = random_calls(&mut generator, limits.rate_per_s * LOAD_INSIDE_RATE, start_s);
     calls.retain(|(at, _)| {
         level = (level + (at.as_secs_f64() - previous_s) * limits.rate_per_s).min(burst);
         previous_s = at.as_secs_f64();
@@ -129,9 +131,9 @@
     calls
 }
 
-fn random_calls(generator: &mut Generator, per_s: f64, begin_s: f64) -> Vec<(Duration, usize)> {
+fn random_calls(generator: &mut Generator, per_s: f64, start_s: f64) -> Vec<(Duration, usize)> {
     let mut calls = Vec::new();
-    let mut at_s = begin_s;
+    let mut at_s = start_s;
     while at_s < DURATION_S {
         at_s += generator.exponential(1.0 / per_s);
         calls.push((Duration::from_secs_f64(at_s), skewed_host(generator, at_s)));
@@ -145,12 +147,17 @@
     reason = "a small positive quotient"
 )]
 fn skewed_host(generator: &mut Generator, at_s: f64) -> usize {
-    let favoured = (at_s / SKEW_TIME_S) as usize % HOSTS;
-    let drawn = generator.below(HOSTS - 1 + SKEW);
-    if drawn < HOSTS { drawn } else { favoured }
+    let favoured_host = (at_s / FAVOURED_HOST_PERIOD_S) as usize % HOSTS;
+    let drawn_host = generator.below(HOSTS - 1 + FAVOURED_HOST_WEIGHT);
+    if drawn_host < HOSTS {
+        drawn_host
+    } else {
+        favoured_host
+    }
 }
 
-/// Refusals when each host has a fixed share of rate and burst, and calls may wait as long.
+/// Counts the refused calls if each host has a fixed share of the rate and the burst, with the same
+/// admission timeout.
 fn refused_by_fixed_shares(limits: Limits, calls: &[(Duration, usize)]) -> usize {
     let hosts = count(HOSTS);
     let rate_per_s = limits.rate_per_s / hosts;
@@ -162,8 +169,8 @@
         let at_s = at.as_secs_f64();
         *level = (*level + (at_s - *previous_s) * rate_per_s).min(burst);
         *previous_s = at_s;
-        // A call may take what comes within its patience; the level is then below zero.
-        if *level + rate_per_s * PATIENCE.as_secs_f64() >= 1.0 {
+        // A call may use tokens that arrive before its timeout. The level is then negative.
+        if *level + rate_per_s * ADMISSION_TIMEOUT.as_secs_f64() >= 1.0 {
             *level -= 1.0;
         } else {
             refused += 1;
@@ -172,8 +179,10 @@
     refused
 }
 
-/// Most calls by which any window passes the limits; a bucket that is drained by every call and
-/// starts full falls below zero just when some window does.
+/// Returns the largest number of calls by which any window exceeds the limits.
+///
+/// A bucket that starts full and loses a token for each call becomes negative exactly if some window
+/// exceeds the limits.
 fn excess(admitted: &[Duration], limits: Limits) -> f64 {
     let burst = f64::from(limits.burst);
     let mut level = burst;
--- a/crates/burdockroad-site/src/caller.rs
+++ b/crates/burdockroad-site/src/caller.rs
@@ -1,4 +1,4 @@
-//! Requests as a caller sends them.
+//! Client that sends requests with the key of a client account.
 
 use burdockroad_standins::http_client::{HttpResponse, HttpStream};
 use bytes::Bytes;
@@ -8,33 +8,33 @@
 
 use crate::site::Site;
 
-/// A caller with a key.
+/// Client with a key.
 #[derive(Clone, Debug)]
 pub struct Caller<'a> {
-    /// The site that it calls.
+    /// Site that receives the requests.
     pub site: &'a Site,
-    /// Its key.
+    /// Key that is sent with each request.
     pub key: String,
 }
 
 impl Caller<'_> {
-    /// Creates a program at a daemon, and returns its id.
-    pub async fn program(&self, daemon: usize, body: &Value) -> String {
-        let answer = self.send(daemon, Method::POST, "/v1/programs", None, body).await;
-        assert_eq!(answer.status, 201, "{}", answer.text());
-        let program: Value = answer.json().expect("a program");
-        program["id"].as_str().expect("an id").to_owned()
+    /// Creates a program through a daemon and returns its id.
+    pub async fn create_program(&self, daemon: usize, body: &Value) -> String {
+        let response = self.send(daemon, Method::POST, "/v1/programs", None, body).await;
+        assert_eq!(response.status, 201, "{}", response.text());
+        let program: Value = response.json().expect("the response contains a program");
+        program["id"].as_str().expect("the program has an id").to_owned()
     }
 
-    /// A program as its caller sees it.
-    pub async fn show(&self, daemon: usize, program: &str) -> Value {
+    /// Returns the state of a program.
+    pub async fn show_program(&self, daemon: usize, program: &str) -> Value {
         let path = format!("/v1/programs/{program}");
-        let answer = self.send(daemon, Method::GET, &path, None, &Value::Null).await;
-        assert_eq!(answer.status, 200, "{}", answer.text());
-        answer.json().expect("a program")
+        let response = self.send(daemon, Method::GET, &path, None, &Value::Null).await;
+        assert_eq!(response.status, 200, "{}", response.text());
+        response.json().expect("the response contains a program")
     }
 
-    /// Sends a completion as a call of a program.
+    /// Sends a completion request as a call of a program.
     pub async fn complete(&self, daemon: usize, program: &str, number: u32, text: &str) -> HttpResponse {
         let body = completion(text, 16);
         self.send(
@@ -47,7 +47,7 @@
         .await
     }
 
-    /// Sends an order, which may not be repeated, as a call of a program.
+    /// Sends an order as a call of a program. Orders are not idempotent.
     pub async fn order(&self, daemon: usize, program: &str, number: u32, order: &str) -> HttpResponse {
         let body = json!({ "order": order });
         self.send(
@@ -60,7 +60,8 @@
         .await
     }
 
-    /// Sends a request that has to be answered.
+    /// Sends a request and panics if there is no complete response. `position` is the program and the
+    /// number of the call in it.
     pub async fn send(
         &self,
         daemon: usize,
@@ -71,14 +72,14 @@
     ) -> HttpResponse {
         self.try_send(daemon, method, path, position, body)
             .await
-            .expect("the daemon answers")
+            .expect("the daemon responds")
     }
 
-    /// Sends a request whose connection may break.
+    /// Sends a request whose connection may fail.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer comes.
+    /// Fails if the response is missing or incomplete.
     pub async fn try_send(
         &self,
         daemon: usize,
@@ -93,21 +94,22 @@
             .await
     }
 
-    /// Posts a request with an idempotency key.
+    /// Sends a POST request with an idempotency key.
     pub async fn send_keyed(&self, daemon: usize, path: &str, key: &str, body: &Value) -> HttpResponse {
         let mut request = self.request(daemon, Method::POST, path, None, body);
-        request
-            .headers_mut()
-            .insert("idempotency-key", key.parse().expect("a header value"));
-        self.site.http.send(request).await.expect("the daemon answers")
+        request.headers_mut().insert(
+            "idempotency-key",
+            key.parse().expect("the key is a valid header value"),
+        );
+        self.site.http.send(request).await.expect("the daemon responds")
     }
 
-    /// Opens a streamed completion.
+    /// Starts a completion with a streamed response.
     pub async fn stream(&self, daemon: usize, position: Option<(&str, u32)>, max_tokens: u64) -> HttpStream {
         let mut body = completion("stream", max_tokens);
         body["stream"] = true.into();
         let request = self.request(daemon, Method::POST, "/v1/chat/completions", position, &body);
-        self.site.http.open(request).await.expect("the daemon answers")
+        self.site.http.open(request).await.expect("the daemon responds")
     }
 
     fn request(
@@ -132,11 +134,11 @@
                 .header("program-id", program)
                 .header("call-number", number);
         }
-        request.body(Full::from(text)).expect("a request")
+        request.body(Full::from(text)).expect("the request is valid")
     }
 }
 
-/// Body of a completion.
+/// Returns the body of a completion request.
 pub fn completion(text: &str, max_tokens: u64) -> Value {
     json!({
         "model": "planner-llm",
@@ -145,17 +147,20 @@
     })
 }
 
-/// The problem that an answer tells of: its type, and whether the request ran.
-pub fn problem(answer: &HttpResponse) -> (String, String) {
-    let problem: Value = answer.json().expect("a problem");
-    let kind = problem["type"]
+/// Returns the type of the problem in an error response, and the field that says whether the request ran.
+pub fn problem(response: &HttpResponse) -> (String, String) {
+    let problem: Value = response.json().expect("the response contains a problem");
+    let problem_type = problem["type"]
         .as_str()
-        .expect("a type")
+        .expect("the problem has a type")
         .rsplit(':')
         .next()
-        .expect("a last part");
+        .expect("the type has a last segment");
     (
-        kind.to_owned(),
-        problem["ran"].as_str().expect("whether it ran").to_owned(),
+        problem_type.to_owned(),
+        problem["ran"]
+            .as_str()
+            .expect("the problem says whether the request ran")
+            .to_owned(),
     )
 }
--- a/crates/burdockroad-site/src/site.rs
+++ b/crates/burdockroad-site/src/site.rs
@@ -1,4 +1,4 @@
-//! A small site of processes: the platform, endpoints and several daemons, with callers.
+//! Test site of processes: stand-ins for the platform, endpoints and several daemons.
 
 use std::{
     collections::BTreeMap,
@@ -24,42 +24,42 @@
 
 use crate::caller::Caller;
 
-/// Longest wait for something that has to come.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of [`wait_until`].
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Interval between two polls of [`wait_until`].
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Failure domains that hosts and endpoints are spread over.
-const DOMAINS: [&str; 3] = ["sohar-a", "sohar-b", "liwa"];
+/// Failure domains over which hosts and endpoints are distributed.
+const FAILURE_DOMAINS: [&str; 3] = ["sohar-a", "sohar-b", "liwa"];
 
-/// What a site is made of.
+/// Configuration of a site.
 #[derive(Clone, Debug)]
 pub struct SiteOptions {
     /// Number of daemons.
     pub daemons: usize,
     /// Number of model engines.
     pub engines: usize,
-    /// Options of each engine stand-in.
+    /// Command-line options of each engine stand-in.
     pub engine_options: Vec<&'static str>,
-    /// Options of the service stand-in.
+    /// Command-line options of the service stand-in.
     pub service_options: Vec<&'static str>,
-    /// Calls that each endpoint serves at once.
+    /// Calls that each endpoint serves concurrently.
     pub slots: u32,
-    /// The client accounts.
+    /// Client accounts in the document.
     pub accounts: Vec<AccountOptions>,
-    /// Settings of each daemon in place of the defaults, as JSON.
+    /// Limits in the settings of each daemon that differ from the defaults, as JSON.
     pub limits: Value,
 }
 
-/// An account of a site.
+/// Client account of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountOptions {
-    /// Name of the account.
+    /// Id of the account.
     pub id: &'static str,
-    /// Calls a second, over all hosts.
+    /// Admitted calls per second, in total over all hosts.
     pub rate_per_s: f64,
-    /// Calls at once, over all hosts.
+    /// Calls admitted at once, in total over all hosts.
     pub burst: u32,
 }
 
@@ -88,26 +88,26 @@
     }
 }
 
-/// A running site. Daemons are numbered from 0.
+/// Running site. Daemons are numbered from 0.
 #[derive(Debug)]
 pub struct Site {
-    /// The key-value service.
+    /// Stand-in for the key-value service.
     pub kv: Process,
-    /// The host list.
-    pub hosts: Process,
-    /// The model engines.
+    /// Stand-in for the platform's host list.
+    pub host_list: Process,
+    /// Stand-ins for model engines.
     pub engines: Vec<Process>,
-    /// The plain service.
+    /// Stand-in for a service that is not a model engine.
     pub service: Process,
-    /// The daemons.
+    /// Daemon processes, by number.
     pub daemons: Vec<Process>,
-    /// Between each daemon and the key-value service.
-    pub store_links: Vec<Process>,
-    /// A client of the key-value service, beside the proxies.
+    /// Proxies between each daemon and the key-value service, by the daemon's number.
+    pub store_proxies: Vec<Process>,
+    /// Client of the key-value service that bypasses the proxies.
     pub store: SharedKeyValue,
-    /// A client for requests to the stand-ins.
+    /// HTTP client for requests to daemons and stand-ins.
     pub http: HttpClient,
-    /// What the site was started with.
+    /// Configuration with which the site was started.
     pub options: SiteOptions,
     addresses: Vec<Addresses>,
     keys: BTreeMap<&'static str, String>,
@@ -122,17 +122,17 @@
 }
 
 impl Site {
-    /// Starts everything and waits until all daemons are ready.
+    /// Starts all processes and waits until all daemons are ready and own partitions.
     pub async fn start(options: SiteOptions) -> Self {
         let kv = Process::spawn("burdockroad-standin", &["kv"])
             .await
-            .expect("the key-value service");
-        let addresses = take_addresses(options.daemons);
-        let listed = listed_hosts(&addresses).to_string();
+            .expect("the key-value service starts");
+        let addresses = allocate_addresses(options.daemons);
+        let listed = host_list_entries(&addresses).to_string();
         let arguments = ["host-list", "--hosts", &listed];
-        let hosts = Process::spawn("burdockroad-standin", &arguments)
+        let host_list = Process::spawn("burdockroad-standin", &arguments)
             .await
-            .expect("the host list");
+            .expect("the host list starts");
         let mut engines = Vec::new();
         for _ in 0..options.engines {
             let mut arguments = vec!["engine"];
@@ -140,36 +140,36 @@
             engines.push(
                 Process::spawn("burdockroad-standin", &arguments)
                     .await
-                    .expect("an engine"),
+                    .expect("the engine starts"),
             );
         }
         let mut arguments = vec!["service"];
         arguments.extend(&options.service_options);
         let service = Process::spawn("burdockroad-standin", &arguments)
             .await
-            .expect("the service");
-        let mut store_links = Vec::new();
-        let target = kv.address().expect("an address").to_string();
+            .expect("the service starts");
+        let mut store_proxies = Vec::new();
+        let target = kv.address().expect("the process has an address").to_string();
         for _ in 0..options.daemons {
-            let link = Process::spawn("burdockroad-standin", &["proxy", "--target", &target]).await;
-            store_links.push(link.expect("a proxy"));
+            let proxy = Process::spawn("burdockroad-standin", &["proxy", "--target", &target]).await;
+            store_proxies.push(proxy.expect("the proxy starts"));
         }
-        let store = connect(kv.address().expect("an address"));
+        let store = connect(kv.address().expect("the process has an address"));
         let mut site = Self {
             kv,
-            hosts,
+            host_list,
             engines,
             service,
             daemons: Vec::new(),
-            store_links,
+            store_proxies,
             store,
             http: HttpClient::with_timeout(Duration::from_mins(1)),
             options,
             addresses,
             keys: BTreeMap::new(),
-            folder: TempDir::new().expect("a scratch folder"),
+            folder: TempDir::new().expect("a temporary folder can be created"),
         };
-        let document = site.first_document();
+        let document = site.initial_document();
         site.apply(&document).await;
         for number in 0..site.options.daemons {
             let daemon = site.spawn_daemon(number).await;
@@ -178,27 +178,27 @@
         for number in 0..site.options.daemons {
             site.wait_until_ready(number).await;
         }
-        site.wait_until_owned().await;
+        site.wait_until_partitions_owned().await;
         site
     }
 
-    /// Starts a daemon again that was killed, under the same name and addresses.
+    /// Restarts a daemon that has ended, with the same host id and addresses.
     pub async fn restart(&mut self, number: usize) {
         self.daemons[number] = self.spawn_daemon(number).await;
         self.wait_until_ready(number).await;
     }
 
-    /// Where callers reach a daemon.
+    /// Returns the URL of a daemon for callers.
     pub fn url(&self, number: usize) -> String {
         format!("http://{}", self.addresses[number].caller)
     }
 
-    /// Where operators reach a daemon.
+    /// Returns the URL of a daemon's admin address.
     pub fn admin_url(&self, number: usize) -> String {
         format!("http://{}", self.addresses[number].admin)
     }
 
-    /// A caller of an account.
+    /// Returns a caller with the key of an account.
     pub fn caller(&self, account: &'static str) -> Caller<'_> {
         Caller {
             site: self,
@@ -206,12 +206,12 @@
         }
     }
 
-    /// The key of an account.
+    /// Returns the key of an account.
     pub fn key(&self, account: &'static str) -> &str {
         &self.keys[account]
     }
 
-    /// Status of a daemon; none while it does not answer.
+    /// Returns the status of a daemon, or none if it does not respond.
     pub async fn status(&self, number: usize) -> Option<Value> {
         self.http
             .get_json(&format!("{}/status", self.admin_url(number)))
@@ -219,17 +219,19 @@
             .ok()
     }
 
-    /// The daemon that owns a program.
+    /// Waits until a daemon owns a program and returns its number.
     pub async fn owner_of(&self, program_id: &str) -> usize {
-        let number = until("a daemon owns the program", || async {
+        let number = wait_until("a daemon owns the program", || async {
             for number in 0..self.daemons.len() {
                 let url = format!("{}/programs/{program_id}", self.admin_url(number));
-                let request = Request::get(url).body(Full::default()).expect("a request");
+                let request = Request::get(url)
+                    .body(Full::default())
+                    .expect("the request is valid");
                 if self
                     .http
                     .send(request)
                     .await
-                    .is_ok_and(|answer| answer.status.is_success())
+                    .is_ok_and(|response| response.status.is_success())
                 {
                     return Some(number);
                 }
@@ -239,44 +241,54 @@
         number.await
     }
 
-    /// Sends control orders to a stand-in.
-    pub async fn control(&self, standin: &Process, path: &str, order: &Value) {
-        self.order(Method::POST, standin, path, order).await;
+    /// Sends a POST request to a stand-in's control address.
+    pub async fn post_control(&self, standin: &Process, path: &str, body: &Value) {
+        self.send_control(Method::POST, standin, path, body).await;
     }
 
-    /// Puts a value at a stand-in's control address.
+    /// Sends a PUT request to a stand-in's control address.
     pub async fn put_control(&self, standin: &Process, path: &str, value: &Value) {
-        self.order(Method::PUT, standin, path, value).await;
+        self.send_control(Method::PUT, standin, path, value).await;
     }
 
-    async fn order(&self, method: Method, standin: &Process, path: &str, order: &Value) {
-        let address = standin.address_of("control").expect("a control address");
+    async fn send_control(&self, method: Method, standin: &Process, path: &str, body: &Value) {
+        let address = standin
+            .address_of("control")
+            .expect("the stand-in has a control address");
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"));
-        let request = request.body(Full::from(order.to_string())).expect("a request");
-        let answer = self.http.send(request).await.expect("the stand-in answers");
-        assert!(answer.status.is_success(), "{path} {order}: {}", answer.text());
+        let request = request
+            .body(Full::from(body.to_string()))
+            .expect("the request is valid");
+        let response = self.http.send(request).await.expect("the stand-in responds");
+        assert!(response.status.is_success(), "{path} {body}: {}", response.text());
     }
 
-    /// Asks a stand-in at its control address.
-    pub async fn ask(&self, standin: &Process, path: &str) -> Value {
-        let address = standin.address_of("control").expect("a control address");
+    /// Sends a GET request to a stand-in's control address and returns the JSON in the response.
+    pub async fn get_control(&self, standin: &Process, path: &str) -> Value {
+        let address = standin
+            .address_of("control")
+            .expect("the stand-in has a control address");
         self.http
             .get_json(&format!("http://{address}{path}"))
             .await
-            .expect("the stand-in answers")
+            .expect("the stand-in responds")
     }
 
-    /// Applies a document as the next version, and returns that version.
+    /// Stores a document as the next version and returns that version.
     pub async fn apply(&self, document: &Value) -> u64 {
-        let known = self.store.get(DOCUMENT_KEY).await.expect("the store answers");
-        let earlier = known
+        let stored = self
+            .store
+            .get(DOCUMENT_KEY)
+            .await
+            .expect("the store is available");
+        let earlier = stored
             .as_ref()
-            .map(|entry| VersionedDocument::from_bytes(&entry.value).expect("a document"));
+            .map(|entry| VersionedDocument::from_bytes(&entry.value).expect("the store contains a document"));
         let version = earlier.map_or(1, |earlier| earlier.version + 1);
-        let next = VersionedDocument::new(version, document.to_string()).expect("a valid document");
-        let expected = known.map_or(Expected::Absent, |entry| Expected::Revision(entry.revision));
+        let next = VersionedDocument::new(version, document.to_string()).expect("the document is valid");
+        let expected = stored.map_or(Expected::Absent, |entry| Expected::Revision(entry.revision));
         let put = self
             .store
             .put(DOCUMENT_KEY, Bytes::from(next.to_bytes()), expected)
@@ -285,57 +297,62 @@
         version
     }
 
-    /// The document that is in the store.
+    /// Returns the stored document.
     pub async fn document(&self) -> Value {
         let entry = self
             .store
             .get(DOCUMENT_KEY)
             .await
-            .expect("the store answers")
-            .expect("a document");
-        let document = VersionedDocument::from_bytes(&entry.value).expect("a document");
-        serde_json::from_str(&document.text).expect("plain JSON")
+            .expect("the store is available")
+            .expect("the store contains a document");
+        let document = VersionedDocument::from_bytes(&entry.value).expect("the store contains a document");
+        serde_json::from_str(&document.text).expect("the document is plain JSON")
     }
 
-    /// What all engines were sent so far, as one text.
-    pub async fn recorded(&self) -> String {
+    /// Returns all requests that the engines and the service have received, as one text.
+    pub async fn recorded_requests(&self) -> String {
         let mut text = String::new();
         for endpoint in self.engines.iter().chain([&self.service]) {
-            text.push_str(&self.ask(endpoint, "/recorded").await.to_string());
+            text.push_str(&self.get_control(endpoint, "/recorded").await.to_string());
         }
         text
     }
 
-    /// Programs that engines hold memory for.
-    pub async fn held(&self) -> Vec<String> {
-        let mut held = Vec::new();
+    /// Returns the programs with a cached prefix in an engine.
+    pub async fn cached_programs(&self) -> Vec<String> {
+        let mut cached_programs = Vec::new();
         for engine in &self.engines {
-            let url = format!("http://{}/cache", engine.address().expect("an address"));
-            let listed: Vec<Value> = self.http.get_json(&url).await.expect("the engine answers");
-            held.extend(
+            let url = format!(
+                "http://{}/cache",
+                engine.address().expect("the process has an address")
+            );
+            let listed: Vec<Value> = self.http.get_json(&url).await.expect("the engine responds");
+            cached_programs.extend(
                 listed
                     .iter()
                     .filter_map(|program| program["program_id"].as_str())
                     .map(str::to_owned),
             );
         }
-        held
+        cached_programs
     }
 
-    /// Waits until a daemon may be given calls.
+    /// Waits until a daemon reports that it is ready for calls.
     pub async fn wait_until_ready(&self, number: usize) {
         let url = format!("{}/ready", self.admin_url(number));
-        until("the daemon is ready", || async {
-            let request = Request::get(&url).body(Full::default()).expect("a request");
-            let answer = self.http.send(request).await.ok()?;
-            answer.status.is_success().then_some(())
+        wait_until("the daemon is ready", || async {
+            let request = Request::get(&url)
+                .body(Full::default())
+                .expect("the request is valid");
+            let response = self.http.send(request).await.ok()?;
+            response.status.is_success().then_some(())
         })
         .await;
     }
 
-    /// Waits until each daemon owns some partitions and together they own all.
-    async fn wait_until_owned(&self) {
-        until("all partitions are spread over the daemons", || async {
+    /// Waits until each daemon owns a partition and all partitions have an owner.
+    async fn wait_until_partitions_owned(&self) {
+        wait_until("all partitions are distributed over the daemons", || async {
             let mut sum = 0;
             for number in 0..self.daemons.len() {
                 let partitions = self.status(number).await?["ownership"]["partitions"].as_u64()?;
@@ -351,33 +368,35 @@
 
     async fn spawn_daemon(&self, number: usize) -> Process {
         let path = self.write_settings(number);
-        let path = path.to_str().expect("a UTF-8 path");
+        let path = path.to_str().expect("the path is UTF-8");
         Process::spawn("burdockroadd", &["--settings", path])
             .await
-            .expect("a daemon")
+            .expect("the daemon starts")
     }
 
     fn write_settings(&self, number: usize) -> PathBuf {
         let addresses = self.addresses[number];
-        let hosts = self.hosts.address().expect("an address");
-        let store = self.store_links[number].address().expect("an address");
+        let host_list = self.host_list.address().expect("the process has an address");
+        let store = self.store_proxies[number]
+            .address()
+            .expect("the process has an address");
         let settings = json!({
             "host_id": format!("host-{number}"),
-            "failure_domain": DOMAINS[number % DOMAINS.len()],
+            "failure_domain": FAILURE_DOMAINS[number % FAILURE_DOMAINS.len()],
             "site": "batinah",
             "caller_address": addresses.caller.to_string(),
             "peer_address": addresses.peer.to_string(),
             "admin_address": addresses.admin.to_string(),
             "store": { "kind": "service", "addresses": [format!("http://{store}")] },
-            "host_list": { "kind": "service", "url": format!("http://{hosts}/hosts") },
+            "host_list": { "kind": "service", "url": format!("http://{host_list}/hosts") },
             "limits": self.options.limits,
         });
         let path = self.folder.path().join(format!("host-{number}.jsonc"));
-        std::fs::write(&path, settings.to_string()).expect("the settings are written");
+        std::fs::write(&path, settings.to_string()).expect("the settings can be written");
         path
     }
 
-    fn first_document(&mut self) -> Value {
+    fn initial_document(&mut self) -> Value {
         let mut accounts = Vec::new();
         for account in &self.options.accounts {
             let key = new_key(&mut rand::rng());
@@ -413,25 +432,25 @@
 fn endpoint(id: &str, number: usize, process: &Process, slots: u32) -> Value {
     json!({
         "id": id,
-        "address": process.address().expect("an address").to_string(),
+        "address": process.address().expect("the process has an address").to_string(),
         "host_id": format!("host-of-{id}"),
-        "failure_domain": DOMAINS[number % DOMAINS.len()],
+        "failure_domain": FAILURE_DOMAINS[number % FAILURE_DOMAINS.len()],
         "slots": slots,
     })
 }
 
-/// Addresses of the daemons of one site.
+/// Returns the addresses of the daemons of a new site.
 ///
-/// Each site has a loopback address of its own: a port that was free a moment ago on a shared address
-/// may be taken by another test's outgoing connection.
-fn take_addresses(daemons: usize) -> Vec<Addresses> {
+/// Each site uses its own loopback address. On a shared address, the outgoing connection of another test
+/// could take a port between the check that it is free and its use.
+fn allocate_addresses(daemons: usize) -> Vec<Addresses> {
     static SITES: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
     let site = SITES.fetch_add(1, Ordering::Relaxed);
     let ip = Ipv4Addr::new(127, 64 + high % 64, low, site);
-    let at = |port: usize| SocketAddr::from((ip, u16::try_from(port).expect("a port")));
-    let numbered = 0..daemons;
-    numbered
+    let at = |port: usize| SocketAddr::from((ip, u16::try_from(port).expect("the port fits into 16 bits")));
+    let numbers = 0..daemons;
+    numbers
         .map(|number| Addresses {
             caller: at(7_100 + number),
             peer: at(7_200 + number),
@@ -440,11 +459,11 @@
         .collect()
 }
 
-fn listed_hosts(addresses: &[Addresses]) -> Value {
+fn host_list_entries(addresses: &[Addresses]) -> Value {
     let hosts = addresses.iter().enumerate().map(|(number, addresses)| {
         json!({
             "host_id": format!("host-{number}"),
-            "failure_domain": DOMAINS[number % DOMAINS.len()],
+            "failure_domain": FAILURE_DOMAINS[number % FAILURE_DOMAINS.len()],
             "peer_address": addresses.peer.to_string(),
             "state": "live",
         })
@@ -456,17 +475,20 @@
     let settings = StoreSettings::Service {
         addresses: vec![format!("http://{address}")],
     };
-    platform::connect(&settings).expect("a client of the store")
+    platform::connect(&settings).expect("the store address is valid")
 }
 
-/// Waits until a look finds something.
-pub async fn until<T, F: Future<Output = Option<T>>>(what: &str, look: impl Fn() -> F) -> T {
-    let latest = Instant::now() + PATIENCE;
+/// Polls until the result is not none and returns it. Panics after [`WAIT_TIMEOUT`].
+pub async fn wait_until<T, F: Future<Output = Option<T>>>(description: &str, poll: impl Fn() -> F) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = poll().await {
             return found;
         }
-        assert!(Instant::now() < latest, "not in time: {what}");
-        sleep(PAUSE).await;
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting for the condition: {description}"
+        );
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/burdockroad-site/tests/processes/first_path.rs
+++ b/crates/burdockroad-site/tests/processes/first_path.rs
@@ -1,4 +1,4 @@
-//! A program across all hosts, and what is refused on the way.
+//! Tests of a program whose calls go through all hosts, and of refused requests.
 
 use http::Method;
 use serde_json::{Value, json};
@@ -10,39 +10,39 @@
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
     let program = caller
-        .program(0, &json!({ "budget": { "max_tokens": 500, "max_calls": 20 } }))
+        .create_program(0, &json!({ "budget": { "max_tokens": 500, "max_calls": 20 } }))
         .await;
     for number in 1..=6 {
-        let daemon = usize::try_from(number).expect("a small number") % 3;
-        let answer = caller
+        let daemon = usize::try_from(number).expect("the number fits") % 3;
+        let response = caller
             .complete(daemon, &program, number, &format!("question {number}"))
             .await;
-        assert_eq!(answer.status, 200, "call {number}: {}", answer.text());
+        assert_eq!(response.status, 200, "call {number}: {}", response.text());
         let again = caller
             .complete((daemon + 1) % 3, &program, number, &format!("question {number}"))
             .await;
         assert_eq!(
-            answer.body, again.body,
+            response.body, again.body,
             "call {number} repeated through another host"
         );
     }
-    let shown = caller.show(1, &program).await;
+    let shown = caller.show_program(1, &program).await;
     let questions: Vec<&str> = shown["calls"]
         .as_array()
-        .expect("calls")
+        .expect("the program has calls")
         .iter()
         .filter_map(|call| call["messages"][0]["content"].as_str())
         .collect();
     let expected: Vec<String> = (1..=6).map(|number| format!("question {number}")).collect();
     assert_eq!(questions, expected);
-    let sent = site.recorded().await;
-    assert!(sent.contains("question 6"), "the engines saw the calls");
-    assert!(!sent.contains(site.key("masters")), "an endpoint saw a key");
+    let sent = site.recorded_requests().await;
+    assert!(sent.contains("question 6"), "the engines received the calls");
+    assert!(!sent.contains(site.key("masters")), "an endpoint received a key");
     let turns = sent.matches("question 1").count();
-    assert!(turns >= 6, "each call carried the whole history, found {turns}");
+    assert!(turns >= 6, "each call includes the full history; found {turns}");
 }
 
-/// A request that is refused, and how.
+/// Request that is refused, and the expected response.
 struct Refused<'a> {
     name: &'static str,
     status: u16,
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn refusals_run_nothing() {
+async fn refused_requests_run_nothing() {
     let site = Site::start(SiteOptions {
         engines: 1,
         ..SiteOptions::default()
@@ -60,9 +60,9 @@
     .await;
     let caller = site.caller("masters");
     let other = site.caller("port-agents");
-    let program = caller.program(0, &json!({})).await;
-    let before = site.recorded().await;
-    let ask = completion("never", 4);
+    let program = caller.create_program(0, &json!({})).await;
+    let before = site.recorded_requests().await;
+    let body = completion("never", 4);
     let path = "/v1/chat/completions";
     let unknown_model = json!({ "model": "none", "messages": [{ "role": "user", "content": "x" }] });
     let cases = [
@@ -70,21 +70,21 @@
             name: "wrong number",
             status: 409,
             kind: "wrong-call-number",
-            body: ask.clone(),
+            body: body.clone(),
             position: Some((&program, 3)),
         },
         Refused {
             name: "unknown program",
             status: 404,
             kind: "unknown-program",
-            body: ask.clone(),
+            body: body.clone(),
             position: Some(("p-0007-none", 1)),
         },
         Refused {
             name: "malformed program",
             status: 404,
             kind: "unknown-program",
-            body: ask.clone(),
+            body: body.clone(),
             position: Some(("7", 1)),
         },
         Refused {
@@ -118,9 +118,9 @@
     } in cases
     {
         for daemon in 0..3 {
-            let answer = caller.send(daemon, Method::POST, path, position, &body).await;
-            assert_eq!(answer.status, status, "{name}: {}", answer.text());
-            assert_eq!(problem(&answer), (kind.to_owned(), "no".to_owned()), "{name}");
+            let response = caller.send(daemon, Method::POST, path, position, &body).await;
+            assert_eq!(response.status, status, "{name}: {}", response.text());
+            assert_eq!(problem(&response), (kind.to_owned(), "no".to_owned()), "{name}");
         }
     }
     let foreign = other.complete(1, &program, 1, "never").await;
@@ -128,10 +128,14 @@
     assert_eq!(foreign.status, 404);
     assert_eq!(
         foreign.body, absent.body,
-        "another account's program looks like none"
+        "the response for another account's program is the same as for a missing one"
     );
-    assert_eq!(site.recorded().await.matches("never").count(), 0, "nothing ran");
-    assert!(site.recorded().await.len() >= before.len());
+    assert_eq!(
+        site.recorded_requests().await.matches("never").count(),
+        0,
+        "no refused request reached an endpoint"
+    );
+    assert!(site.recorded_requests().await.len() >= before.len());
 }
 
 #[tokio::test]
@@ -142,11 +146,11 @@
         ..SiteOptions::default()
     })
     .await;
-    let nobody = burdockroad_site::Caller {
+    let invalid_caller = burdockroad_site::Caller {
         key: "brk_none_wrong".to_owned(),
         ..site.caller("masters")
     };
-    let open = nobody
+    let open = invalid_caller
         .send(0, Method::GET, "/services/notices/today", None, &Value::Null)
         .await;
     assert_eq!(open.status, 200, "{}", open.text());
@@ -155,19 +159,24 @@
         "/services/fuel-orders/today",
         "/v1/models",
     ] {
-        let keyed = nobody.send(0, Method::GET, path, None, &Value::Null).await;
+        let keyed = invalid_caller
+            .send(0, Method::GET, path, None, &Value::Null)
+            .await;
         assert_eq!(keyed.status, 401, "{path}: {}", keyed.text());
         assert_eq!(problem(&keyed).1, "no");
     }
     let caller = site.caller("masters");
     let path = format!("/services/tides/today?copy={}", site.key("masters"));
-    let answer = caller.send(0, Method::GET, &path, None, &Value::Null).await;
-    assert_eq!(answer.status, 200, "{}", answer.text());
-    let sent = site.recorded().await;
-    assert!(!sent.contains(site.key("masters")), "the service saw the key");
+    let response = caller.send(0, Method::GET, &path, None, &Value::Null).await;
+    assert_eq!(response.status, 200, "{}", response.text());
+    let sent = site.recorded_requests().await;
+    assert!(
+        !sent.contains(site.key("masters")),
+        "the service received the key"
+    );
     assert_eq!(
         sent.matches("/today").count(),
         2,
-        "the two allowed requests and no other: {sent}"
+        "the service received only the two allowed requests: {sent}"
     );
 }
--- a/crates/burdockroad-site/tests/processes/keys_and_rates.rs
+++ b/crates/burdockroad-site/tests/processes/keys_and_rates.rs
@@ -1,4 +1,5 @@
-//! Withdrawn keys, rates over all hosts, leaving endpoints, and documents that must not revert.
+//! Tests of withdrawn keys, rates over all hosts, endpoints on leaving hosts, and restarts that must not
+//! revert to an older document.
 
 use std::time::{Duration, Instant};
 
@@ -7,24 +8,26 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use burdockroad_site::{AccountOptions, Caller, Site, SiteOptions, completion, problem, until};
+use burdockroad_site::{AccountOptions, Caller, Site, SiteOptions, completion, problem, wait_until};
 
-/// Longest time from an accepted change until it is in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(4);
+/// Maximum time from a stored change until it is in force on all hosts.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The document with the key of an account withdrawn.
+/// Stores the document with the key of an account withdrawn. Returns the new version.
 async fn withdraw(site: &Site, account: &str) -> u64 {
     let mut document = site.document().await;
-    let accounts = document["accounts"].as_array_mut().expect("accounts");
+    let accounts = document["accounts"]
+        .as_array_mut()
+        .expect("the document has accounts");
     let found = accounts
         .iter_mut()
         .find(|entry| entry["id"] == account)
-        .expect("the account");
+        .expect("the account exists");
     found["keys"][0]["withdrawn"] = true.into();
     site.apply(&document).await
 }
 
-/// Two engines that each serve one call at a time, and long answers.
+/// Returns options for two engines that each serve one call at a time, with long responses.
 fn busy_engines() -> SiteOptions {
     SiteOptions {
         engine_options: vec!["--token-ms", "50", "--answer-tokens", "400"],
@@ -33,12 +36,12 @@
     }
 }
 
-/// Opens a stream at each of two daemons, which together take all slots.
+/// Opens a stream through each of two daemons. The streams occupy all slots.
 async fn open_streams(caller: &Caller<'_>) -> Vec<HttpStream> {
     let mut streams = Vec::new();
     for daemon in 0..2 {
         let mut stream = caller.stream(daemon, None, 400).await;
-        assert!(stream.next().await.expect("it streams").is_some());
+        assert!(stream.next().await.expect("the stream starts").is_some());
         streams.push(stream);
     }
     streams
@@ -50,9 +53,9 @@
     let caller = site.caller("masters");
     let mut streams = open_streams(&caller).await;
     withdraw(&site, "masters").await;
-    let since = Instant::now();
+    let withdrawn_at = Instant::now();
     for stream in &mut streams {
-        let cut = tokio::time::timeout(IN_FORCE, async {
+        let stream_end = tokio::time::timeout(IN_FORCE_TIMEOUT, async {
             loop {
                 match stream.next().await {
                     Ok(Some(_)) => {}
@@ -60,10 +63,10 @@
                 }
             }
         });
-        let ended = cut.await.expect("the stream is cut in time");
-        assert!(ended.is_err(), "a cut stream must not look whole");
+        let ended = stream_end.await.expect("the stream ends before the timeout");
+        assert!(ended.is_err(), "an aborted stream must not look complete");
     }
-    sleep(IN_FORCE.saturating_sub(since.elapsed())).await;
+    sleep(IN_FORCE_TIMEOUT.saturating_sub(withdrawn_at.elapsed())).await;
     for daemon in 0..3 {
         let refused = caller
             .send(daemon, Method::GET, "/v1/models", None, &Value::Null)
@@ -74,13 +77,13 @@
         .caller("port-agents")
         .send(0, Method::GET, "/v1/models", None, &Value::Null)
         .await;
-    assert_eq!(other.status, 200, "another account's key goes on working");
+    assert_eq!(other.status, 200, "another account's key remains valid");
 }
 
 #[tokio::test]
 async fn key_withdrawn_while_queued() {
     let site = Site::start(busy_engines()).await;
-    // Another account holds all slots, so that the withdrawal does not free one.
+    // Another account occupies all slots, so that withdrawing the key does not free a slot.
     let streams = open_streams(&site.caller("port-agents")).await;
     let caller = site.caller("masters");
     let body = completion("queued", 4);
@@ -90,35 +93,36 @@
         withdraw(&site, "masters").await;
         Instant::now()
     };
-    let (queued, since) = tokio::join!(queued, withdrawn);
+    let (queued, withdrawn_at) = tokio::join!(queued, withdrawn);
     assert_eq!(queued.status, 401, "{}", queued.text());
-    assert!(since.elapsed() < IN_FORCE);
+    assert!(withdrawn_at.elapsed() < IN_FORCE_TIMEOUT);
     drop(streams);
     sleep(Duration::from_secs(1)).await;
     assert!(
-        !site.recorded().await.contains("queued"),
+        !site.recorded_requests().await.contains("queued"),
         "the queued call did not run"
     );
 }
 
 #[tokio::test]
-async fn key_withdrawn_with_store_cut_off() {
+async fn key_withdrawn_store_partitioned() {
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
-    let cut = json!({ "forward": "drop", "backward": "drop", "cut_open": true });
-    site.control(&site.store_links[0], "/faults", &cut).await;
+    let partition = json!({ "forward": "drop", "backward": "drop", "cut_open": true });
+    site.post_control(&site.store_proxies[0], "/faults", &partition)
+        .await;
     sleep(Duration::from_secs(2)).await;
-    let still = caller
+    let response = caller
         .send(0, Method::GET, "/v1/models", None, &Value::Null)
         .await;
     assert_eq!(
-        still.status,
+        response.status,
         200,
-        "a host that is cut off from the store learns from its peers: {}",
-        still.text()
+        "a host that is partitioned from the store receives the document from its peers: {}",
+        response.text()
     );
     withdraw(&site, "masters").await;
-    sleep(IN_FORCE).await;
+    sleep(IN_FORCE_TIMEOUT).await;
     for daemon in 0..3 {
         let refused = caller
             .send(daemon, Method::GET, "/v1/models", None, &Value::Null)
@@ -132,9 +136,10 @@
 }
 
 #[tokio::test]
-async fn store_down_for_all_keys_go_on() {
+async fn store_down_for_all_hosts_keys_stay_valid() {
     let site = Site::start(SiteOptions::default()).await;
-    site.control(&site.kv, "/faults", &json!({ "down": true })).await;
+    site.post_control(&site.kv, "/faults", &json!({ "down": true }))
+        .await;
     let caller = site.caller("masters");
     for _ in 0..16 {
         sleep(Duration::from_millis(500)).await;
@@ -148,63 +153,63 @@
 }
 
 #[tokio::test]
-async fn restarted_host_does_not_revert() {
+async fn restarted_host_keeps_document_version() {
     let mut site = Site::start(SiteOptions::default()).await;
     let version = withdraw(&site, "masters").await;
     for daemon in 0..3 {
-        until("the change is in force", || async {
+        wait_until("the change is in force", || async {
             (site.status(daemon).await?["document"]["version"] == version).then_some(())
         })
         .await;
     }
-    site.control(&site.kv, "/faults", &json!({ "delay_ms": 300 }))
+    site.post_control(&site.kv, "/faults", &json!({ "delay_ms": 300 }))
         .await;
-    site.daemons[1].kill().await.expect("killed");
+    site.daemons[1].kill().await.expect("the process can be killed");
     site.restart(1).await;
     for _ in 0..20 {
-        let status = site.status(1).await.expect("it answers");
+        let status = site.status(1).await.expect("the daemon responds");
         assert!(status["document"]["version"] == version, "{status}");
         let refused = site
             .caller("masters")
             .send(1, Method::GET, "/v1/models", None, &Value::Null)
             .await;
-        assert_ne!(refused.status, 200, "a withdrawn key works again");
+        assert_ne!(refused.status, 200, "a withdrawn key is accepted again");
         sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Answers that a flood over all hosts got.
+/// Numbers of admitted and refused requests of a flood over all hosts.
 struct Flood {
     admitted: usize,
     refused: usize,
     elapsed: Duration,
 }
 
-async fn flood(site: &Site, account: &'static str, lasts: Duration) -> Flood {
+async fn flood(site: &Site, account: &'static str, duration: Duration) -> Flood {
     let caller = site.caller(account);
     let start = Instant::now();
-    let one = |daemon: usize| {
+    let run_worker = |daemon: usize| {
         let caller = caller.clone();
         async move {
             let (mut admitted, mut refused) = (0, 0);
-            while start.elapsed() < lasts {
-                let answer = caller
+            while start.elapsed() < duration {
+                let response = caller
                     .send(daemon, Method::GET, "/services/tides/flood", None, &Value::Null)
                     .await;
-                match answer.status.as_u16() {
+                match response.status.as_u16() {
                     200 => admitted += 1,
                     429 => {
-                        assert!(answer.headers.contains_key("retry-after"));
-                        assert_eq!(problem(&answer).1, "no");
+                        assert!(response.headers.contains_key("retry-after"));
+                        assert_eq!(problem(&response).1, "no");
                         refused += 1;
                     }
-                    other => panic!("{other}: {}", answer.text()),
+                    other => panic!("{other}: {}", response.text()),
                 }
             }
             (admitted, refused)
         }
     };
-    let workers = (0..12).map(|worker| one(worker % 3));
+    let workers = (0..12).map(|worker| run_worker(worker % 3));
     let counts = futures_util::future::join_all(workers).await;
     Flood {
         admitted: counts.iter().map(|count| count.0).sum(),
@@ -214,7 +219,7 @@
 }
 
 #[tokio::test]
-async fn flood_over_all_hosts_stays_within_rate() {
+async fn flood_over_all_hosts_within_rate() {
     let mut options = SiteOptions::default();
     options.accounts[0] = AccountOptions {
         id: "masters",
@@ -225,57 +230,63 @@
     let site = Site::start(options).await;
     let flood = flood(&site, "masters", Duration::from_secs(5)).await;
     let executed = site
-        .ask(&site.service, "/recorded")
+        .get_control(&site.service, "/recorded")
         .await
         .to_string()
         .matches("/flood")
         .count();
-    let most = 20.0 * flood.elapsed.as_secs_f64() + 10.0;
-    let executed_f64 = f64::from(u32::try_from(executed).expect("a small number"));
-    assert!(executed_f64 <= most, "{executed} ran, at most {most:.1} may");
-    assert_eq!(flood.admitted, executed, "answered and executed");
-    assert!(flood.refused > 0, "the flood is refused, not held");
+    let max_requests = 20.0 * flood.elapsed.as_secs_f64() + 10.0;
+    let executed_f64 = f64::from(u32::try_from(executed).expect("the number fits"));
+    assert!(
+        executed_f64 <= max_requests,
+        "{executed} requests ran, but at most {max_requests:.1} may run"
+    );
+    assert_eq!(flood.admitted, executed, "each admitted request ran once");
+    assert!(flood.refused > 0, "excess requests are refused, not queued");
     assert!(
-        executed_f64 >= 0.5 * most,
-        "{executed} ran of {most:.1} that may: the rate is given out"
+        executed_f64 >= 0.5 * max_requests,
+        "{executed} of at most {max_requests:.1} requests ran: the rate is used"
     );
 }
 
 #[tokio::test]
-async fn leaving_endpoint_gets_no_new_work() {
+async fn leaving_host_endpoint_gets_no_new_calls() {
     let site = Site::start(SiteOptions::default()).await;
     let caller = site.caller("masters");
     let leaving = json!([
         { "host_id": "host-of-engine-0", "failure_domain": "sohar-a", "peer_address": "", "state": "leaving" },
     ]);
-    let address = site.hosts.address().expect("an address");
+    let address = site.host_list.address().expect("the process has an address");
     let mut listed: Vec<Value> = site
         .http
         .get_json(&format!("http://{address}/hosts"))
         .await
-        .expect("the list answers");
+        .expect("the host list responds");
     listed.extend(leaving.as_array().expect("a list").clone());
-    site.put_control(&site.hosts, "/hosts", &Value::from(listed))
+    site.put_control(&site.host_list, "/hosts", &Value::from(listed))
         .await;
     sleep(Duration::from_secs(3)).await;
     let before = site
-        .ask(&site.engines[0], "/recorded")
+        .get_control(&site.engines[0], "/recorded")
         .await
         .to_string()
         .matches("chat/completions")
         .count();
     for number in 0..20 {
         let body = completion(&format!("question {number}"), 4);
-        let answer = caller
+        let response = caller
             .send(number % 3, Method::POST, "/v1/chat/completions", None, &body)
             .await;
-        assert_eq!(answer.status, 200, "{}", answer.text());
+        assert_eq!(response.status, 200, "{}", response.text());
     }
     let after = site
-        .ask(&site.engines[0], "/recorded")
+        .get_control(&site.engines[0], "/recorded")
         .await
         .to_string()
         .matches("chat/completions")
         .count();
-    assert_eq!(before, after, "the leaving endpoint got new work");
+    assert_eq!(
+        before, after,
+        "the endpoint on the leaving host received new calls"
+    );
 }
