--- a/crates/burdockroad-daemon/src/memory.rs
+++ b/crates/burdockroad-daemon/src/prefix_cache.rs
@@ -1,9 +1,10 @@
-//! Release of programs' cached prefixes at engines, and a periodic audit for entries that were missed.
+//! Release of programs' cached prefixes at engines, and a periodic audit for prefixes that were not
+//! released.
 //!
 //! Each intent in the journal records the engine that may cache the program's prefix, so the owner of
-//! a program can determine where to release it. One case is not covered by these records: a host is
-//! paused between recording an intent and sending the call, and resumes after its successor has
-//! already released the prefix. The audit finds the entries left by this case.
+//! a program can determine where to release the prefix. One case is not covered by these records: a
+//! host is paused between recording an intent and sending the call, and resumes after its successor
+//! has already released the prefix. The audit finds the prefixes that this case leaves behind.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,10 +27,10 @@
     programs::{PrefixReleaser, ProgramsHandle},
 };
 
-/// Path of the engine API that lists and frees cached prefixes.
+/// Path of the engine API that lists and releases cached prefixes.
 const CACHE_PATH: &str = "/cache";
 
-/// Timeout of a request to list or free cached prefixes.
+/// Timeout of a request to list or release cached prefixes.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Interval between two audits.
@@ -51,10 +52,10 @@
 impl PrefixReleaser for EnginePrefixCache {
     async fn release(&self, cached_prefix: &CachedPrefix) -> bool {
         let Some(endpoint) = self.endpoint(&cached_prefix.endpoint_id) else {
-            // The endpoint was removed from the document, and its cache with it.
+            // Operators have removed the endpoint, and its cache with it.
             return true;
         };
-        self.free_prefix(&endpoint, &cached_prefix.program_id).await
+        self.release_at(&endpoint, &cached_prefix.program_id).await
     }
 }
 
@@ -69,20 +70,20 @@
         endpoints.find(|endpoint| endpoint.id == endpoint_id).cloned()
     }
 
-    async fn free_prefix(&self, endpoint: &Endpoint, program_id: &ProgramId) -> bool {
+    async fn release_at(&self, endpoint: &Endpoint, program_id: &ProgramId) -> bool {
         let target = format!("{CACHE_PATH}/{program_id}");
-        let sent = self.endpoints.send(request(endpoint, Method::DELETE, target));
-        match tokio::time::timeout(RELEASE_TIMEOUT, sent).await {
-            Ok(Ok(answer)) => (200..300).contains(&answer.status) || answer.status == 404,
+        let response = self.endpoints.send(request(endpoint, Method::DELETE, target));
+        match tokio::time::timeout(RELEASE_TIMEOUT, response).await {
+            Ok(Ok(response)) => (200..300).contains(&response.status) || response.status == 404,
             Ok(Err(_)) | Err(_) => false,
         }
     }
 
     async fn cached_programs(&self, endpoint: &Endpoint) -> Vec<ProgramId> {
-        let sent = self
+        let response = self
             .endpoints
             .send(request(endpoint, Method::GET, CACHE_PATH.to_owned()));
-        let read = async { sent.await.ok()?.read(LIST_MAX_BYTES).await.ok() };
+        let read = async { response.await.ok()?.read(LIST_MAX_BYTES).await.ok() };
         let Ok(Some(body)) = tokio::time::timeout(RELEASE_TIMEOUT, read).await else {
             return Vec::new();
         };
@@ -123,7 +124,7 @@
     }
 }
 
-/// A task that periodically frees cached prefixes of programs that belong to this host's partitions
+/// A task that periodically releases cached prefixes of programs that belong to this host's partitions
 /// but are not in its program table.
 #[derive(Debug)]
 pub struct PrefixCacheAudit {
@@ -162,7 +163,7 @@
         if !owned || programs.contains(program_id.clone()).await {
             continue;
         }
-        let freed = cache.free_prefix(engine, &program_id).await;
+        let freed = cache.release_at(engine, &program_id).await;
         log::info!(
             "event=memory_audited program={program_id} endpoint={} freed={freed}",
             engine.id
