--- a/crates/burdockroad-daemon/src/answer.rs
+++ b/crates/burdockroad-daemon/src/answer.rs
@@ -17,7 +17,7 @@
     Data(Bytes),
     /// End of a complete response; a response without this frame was truncated.
     End,
-    /// End of a truncated response, with the problem that truncated it.
+    /// End of a truncated response, with the problem that caused the truncation.
     Truncated(Problem),
 }
 
@@ -103,8 +103,9 @@
             return;
         }
         let mut head = Head::new(problem.kind.status(), PROBLEM_CONTENT_TYPE);
-        if let Some(after_s) = problem.retry_after_s() {
-            head.headers.insert(http::header::RETRY_AFTER, after_s.into());
+        if let Some(retry_after_s) = problem.retry_after_s() {
+            head.headers
+                .insert(http::header::RETRY_AFTER, retry_after_s.into());
         }
         self.push(Frame::Head(head));
         self.push(Frame::Data(problem.to_json()));
--- a/crates/burdockroad-daemon/src/calls.rs
+++ b/crates/burdockroad-daemon/src/calls.rs
@@ -2,8 +2,8 @@
 //!
 //! A call is admitted by its account's rate limit, waits for a slot, and is sent to an endpoint. The
 //! intent of a program's call is journaled before the call is sent, and its result is journaled
-//! before the end of the response is forwarded to the caller. Such a call runs to completion even if
-//! the caller disconnects, because the caller may retry it under the same call number.
+//! before the end of the response is forwarded to the caller. A program's call runs to completion even
+//! if the caller disconnects, because the caller may retry it under the same call number.
 
 mod attempt;
 mod completion;
@@ -62,7 +62,7 @@
     pub pool_ids: Vec<PoolId>,
     /// Whether the call may be executed more than once.
     pub idempotent: bool,
-    /// Digest of the request.
+    /// Digest of the request, by which a retry of the same call is recognized.
     pub digest: RequestDigest,
     /// Whether later calls of the same program extend this call's conversation, so that the engine
     /// should cache its prefix.
@@ -252,12 +252,12 @@
     Problem::new(ProblemKind::InvalidKey, "the key was withdrawn")
 }
 
-/// Returns a random id for one attempt; the engine's stream is cancelled or resumed by this id.
+/// Returns a random id for one attempt, by which its stream at the engine is cancelled or resumed.
 fn request_id() -> String {
     format!("{:032x}", rand::rng().random::<u128>())
 }
 
-/// Returns the start time of a duration that is logged or recorded in a metric.
+/// Returns the current time, from which a duration for a log line or metric is measured.
 fn start_timer() -> StdInstant {
     StdInstant::now()
 }
--- a/crates/burdockroad-daemon/src/calls/attempt.rs
+++ b/crates/burdockroad-daemon/src/calls/attempt.rs
@@ -33,7 +33,7 @@
 const PROGRAM_HEADER: &str = "x-program-id";
 
 /// Header with the id of the attempt.
-const REQUEST_HEADER: &str = "x-request-id";
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Header by which an engine orders its waiting calls; lower values are served first.
 const PRIORITY_HEADER: &str = "x-priority";
@@ -49,6 +49,7 @@
 pub(super) struct Attempt<'a> {
     pub(super) plan: &'a CallPlan,
     pub(super) slot: &'a Slot,
+    /// Program whose prefix the engine may cache; `None` if it must not cache one.
     pub(super) program_id: Option<&'a ProgramId>,
     /// Whole conversation of a completion, one JSON text per message.
     pub(super) prompt: &'a [String],
@@ -71,8 +72,8 @@
 /// A complete response whose last frames have not been forwarded yet.
 #[derive(Debug)]
 pub(super) struct CompleteResponse {
-    pub(super) answer: CallResponse,
-    /// Frames to forward before [`Frame::End`].
+    pub(super) call_response: CallResponse,
+    /// Frames to forward before [`Frame::End`], once the result is durable.
     pub(super) remaining_frames: Vec<Frame>,
 }
 
@@ -85,7 +86,10 @@
 }
 
 impl CallRunner {
-    /// Sends a call once and forwards its response, except for the remaining frames of a complete one.
+    /// Sends a call once and forwards its response.
+    ///
+    /// The last frames of a complete response are returned instead, because the result must be durable
+    /// before they are forwarded.
     pub(super) async fn attempt(&self, attempt: &Attempt<'_>) -> AttemptEnd {
         match &attempt.plan.payload {
             CallPayload::Completion(request) => self.attempt_completion(attempt, request).await,
@@ -95,17 +99,17 @@
 
     async fn attempt_service(&self, attempt: &Attempt<'_>, request: &ServiceRequest) -> AttemptEnd {
         let started = start_timer();
-        let sent = self.endpoints.send(service_request(attempt, request)).await;
+        let send_result = self.endpoints.send(service_request(attempt, request)).await;
         let mut report = SlotReport {
             first_token: Some(started.elapsed()),
             ..SlotReport::default()
         };
-        let result = match sent {
+        let result = match send_result {
             Ok(response) => self.read_service_response(response).await,
             Err(error) => Err(error),
         };
         report.failed = result.is_err();
-        let result = result.map_err(|error| endpoint_failed(&error));
+        let result = result.map_err(|error| endpoint_failure(&error));
         AttemptEnd {
             result,
             spent_tokens: 0,
@@ -130,7 +134,7 @@
             message: None,
         };
         Ok(CompleteResponse {
-            answer: recorded,
+            call_response: recorded,
             remaining_frames: vec![Frame::Head(head), Frame::Data(body)],
         })
     }
@@ -138,11 +142,11 @@
     async fn attempt_completion(&self, attempt: &Attempt<'_>, request: &CompletionRequest) -> AttemptEnd {
         let started = start_timer();
         let stream = EngineStream::new(&self.endpoints, &attempt.slot.address);
-        let sent = self
+        let send_result = self
             .endpoints
             .send(completion_request(attempt, request, &stream))
             .await;
-        let response = match sent {
+        let response = match send_result {
             Ok(response) if response.status == 200 => response,
             Ok(response) => {
                 stream.disarm();
@@ -154,7 +158,7 @@
                 } else {
                     attempt.max_tokens
                 };
-                return failed_attempt(endpoint_failed(&error), spent_tokens, true);
+                return failed_attempt(endpoint_failure(&error), spent_tokens, true);
             }
         };
         let mut relay = StreamRelay {
@@ -198,6 +202,7 @@
     log: &'a ResponseLog,
     assembler: ResponseAssembler,
     started: Instant,
+    /// Time to the first event, once it has arrived.
     first: Option<Duration>,
 }
 
@@ -252,11 +257,11 @@
         first_token: relay.first,
         failed: outcome.is_err(),
     };
-    // Without usage from the engine, up to all reserved tokens may have been generated.
+    // An engine that reported no usage may have generated all reserved tokens.
     let spent_tokens = usage.map_or(attempt.max_tokens, |usage| usage.completion_tokens);
     let result = match outcome {
         Ok(()) => Ok(complete_response(relay)),
-        Err(error) => Err(endpoint_failed(&error)),
+        Err(error) => Err(endpoint_failure(&error)),
     };
     AttemptEnd {
         result,
@@ -266,17 +271,17 @@
 }
 
 fn complete_response(relay: &StreamRelay<'_>) -> CompleteResponse {
-    let answer = relay.assembler.answer();
+    let call_response = relay.assembler.response();
     let remaining_frames = if relay.request.stream {
         vec![Frame::Data(sse_event(super::completion::STREAM_END))]
     } else {
         vec![
             Frame::Head(Head::new(200, JSON_CONTENT_TYPE)),
-            Frame::Data(json_body(&answer)),
+            Frame::Data(json_body(&call_response)),
         ]
     };
     CompleteResponse {
-        answer,
+        call_response,
         remaining_frames,
     }
 }
@@ -317,7 +322,7 @@
     }
 }
 
-fn endpoint_failed(error: &SendError) -> Failure {
+fn endpoint_failure(error: &SendError) -> Failure {
     let detail = format!("the request to the endpoint failed: {error}");
     let problem = Problem::new(ProblemKind::EndpointFailed, detail).ran(error.ran);
     Failure {
@@ -378,7 +383,7 @@
 
 fn insert_attempt_headers(headers: &mut HeaderMap, attempt: &Attempt<'_>, request_id: &str) {
     if let Ok(value) = HeaderValue::from_str(request_id) {
-        headers.insert(REQUEST_HEADER, value);
+        headers.insert(REQUEST_ID_HEADER, value);
     }
     if let Some(value) = attempt.program_id.and_then(|id| HeaderValue::from_str(id).ok()) {
         headers.insert(PROGRAM_HEADER, value);
--- a/crates/burdockroad-daemon/src/calls/completion.rs
+++ b/crates/burdockroad-daemon/src/calls/completion.rs
@@ -111,7 +111,7 @@
 
     /// Returns the request body to send to the engine.
     ///
-    /// It always requests a stream with usage, whatever the caller requested. Otherwise the number of
+    /// The body requests a stream with usage even if the caller did not. Otherwise the number of
     /// generated tokens would be unknown when a response is truncated.
     pub fn engine_body(&self, prompt: &[String], max_tokens: u64) -> Bytes {
         let mut fields = self.fields.clone();
@@ -292,7 +292,7 @@
 
     /// Returns the number of content deltas received so far.
     ///
-    /// Engines send one delta per token, and a resume request gives this number as its position.
+    /// Engines send one delta per token, so a resume request states this number as the token position.
     pub fn content_deltas(&self) -> u64 {
         self.content_deltas
     }
@@ -302,8 +302,8 @@
         self.usage
     }
 
-    /// Returns the response to record in the journal: the body without its message, and the message.
-    pub fn answer(&self) -> CallResponse {
+    /// Returns the response to record in the journal, with the message beside the body, not in it.
+    pub fn response(&self) -> CallResponse {
         let usage = self.usage.unwrap_or_default();
         let body = json!({
             "id": self.id,
@@ -370,9 +370,9 @@
 }
 
 /// Returns the complete `chat.completion` object of a recorded response.
-pub fn json_body(answer: &CallResponse) -> Bytes {
-    let parsed: Result<Value, _> = serde_json::from_slice(&answer.body);
-    let message = answer
+pub fn json_body(response: &CallResponse) -> Bytes {
+    let parsed: Result<Value, _> = serde_json::from_slice(&response.body);
+    let message = response
         .message
         .as_deref()
         .and_then(|text| serde_json::from_str::<Value>(text).ok());
@@ -381,14 +381,14 @@
             body["choices"][0]["message"] = message;
             Bytes::from(body.to_string())
         }
-        _ => Bytes::from(answer.body.clone()),
+        _ => Bytes::from(response.body.clone()),
     }
 }
 
 /// Returns the events of a recorded response, for a caller that requested a stream.
-pub fn stream_body(answer: &CallResponse, include_usage: bool) -> Bytes {
-    let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-    let mut delta: Value = answer
+pub fn stream_body(response: &CallResponse, include_usage: bool) -> Bytes {
+    let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+    let mut delta: Value = response
         .message
         .as_deref()
         .and_then(|text| serde_json::from_str(text).ok())
--- a/crates/burdockroad-daemon/src/calls/program_call.rs
+++ b/crates/burdockroad-daemon/src/calls/program_call.rs
@@ -37,7 +37,7 @@
     pub number: CallNumber,
 }
 
-/// Whether an attempt ended by itself or was interrupted; an interrupted call is not retried.
+/// Whether an attempt ended by itself or was interrupted. An interrupted call is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptStatus {
     Interrupted,
@@ -71,7 +71,7 @@
         let request = call_request(&plan, &position);
         match self.programs.start_call(request).await? {
             CallDisposition::Attach(log) => Ok(log.reader()),
-            CallDisposition::Answered(answer) => Ok(replay_response(&plan, &answer).reader()),
+            CallDisposition::Answered(response) => Ok(replay_response(&plan, &response).reader()),
             CallDisposition::Run {
                 call,
                 usage,
@@ -147,11 +147,11 @@
             endpoint_id: slot.endpoint_id.clone(),
             max_tokens: self.max_output_tokens(&call.plan.payload),
         };
-        let sent = self
+        let send_result = self
             .programs
             .send(call.position.program_id.clone(), placement)
             .await;
-        let (sending, appended) = sent.map_err(|refusal| AttemptError::Final(refusal.into()))?;
+        let (prepared, appended) = send_result.map_err(|refusal| AttemptError::Final(refusal.into()))?;
         if let Err(problem) = wait_durable(appended).await {
             guard.release(SlotReport::default());
             return Err(AttemptError::Final(self.settle_not_run(call, problem).await));
@@ -161,17 +161,17 @@
             plan: &call.plan,
             slot: &slot,
             program_id: Some(&call.position.program_id).filter(|_| call.plan.keeps_prefix),
-            prompt: &sending.prompt,
-            max_tokens: sending.reserved_tokens,
+            prompt: &prepared.prompt,
+            max_tokens: prepared.reserved_tokens,
             attained_tokens: call.usage.attained_tokens,
             log: &call.log,
         };
-        let deadline = call.plan.deadline.min(Instant::now() + sending.time_left);
+        let deadline = call.plan.deadline.min(Instant::now() + prepared.time_left);
         let end = tokio::select! {
             end = self.attempt(&attempt) => end,
             problem = self.wait_for_stop(call, stop, deadline) => {
                 status = AttemptStatus::Interrupted;
-                interrupted_attempt(problem, sending.reserved_tokens)
+                interrupted_attempt(problem, prepared.reserved_tokens)
             }
         };
         self.record_first_token(&call.plan, &end.report);
@@ -234,7 +234,9 @@
         }
     }
 
-    /// Settles a call whose intent could not be made durable as not run, and returns the problem.
+    /// Records that a call did not run because its intent could not be made durable.
+    ///
+    /// Returns `problem`, which states why.
     async fn settle_not_run(&self, call: &ProgramCall, problem: Problem) -> Problem {
         let settlement = Settlement {
             program_id: call.position.program_id.clone(),
@@ -276,7 +278,7 @@
 
     /// Reopens the call for another attempt.
     ///
-    /// Returns `None` if the program no longer accepts it.
+    /// Returns `None` if the program no longer accepts the call.
     async fn reopen(&self, call: &ProgramCall) -> Option<RunningCall> {
         let request = call_request(&call.plan, &call.position);
         self.programs.reopen(request, Arc::clone(&call.log)).await
@@ -329,7 +331,7 @@
 
 fn outcome(plan: &CallPlan, end: &AttemptEnd) -> Outcome {
     let failure = match &end.result {
-        Ok(response) => return Outcome::Answered(response.answer.clone()),
+        Ok(response) => return Outcome::Answered(response.call_response.clone()),
         Err(failure) => failure,
     };
     let reason = failure.problem.detail.clone();
@@ -385,14 +387,14 @@
 }
 
 /// Returns a recorded response in the format that the caller requested.
-fn replay_response(plan: &CallPlan, answer: &CallResponse) -> Arc<ResponseLog> {
+fn replay_response(plan: &CallPlan, response: &CallResponse) -> Arc<ResponseLog> {
     let CallPayload::Completion(request) = &plan.payload else {
-        let head = Head::new(answer.status, &answer.content_type);
-        return ResponseLog::complete(head, Bytes::from(answer.body.clone()));
+        let head = Head::new(response.status, &response.content_type);
+        return ResponseLog::complete(head, Bytes::from(response.body.clone()));
     };
     if request.stream {
         let head = Head::new(200, EVENT_STREAM_CONTENT_TYPE);
-        return ResponseLog::complete(head, stream_body(answer, request.include_usage));
+        return ResponseLog::complete(head, stream_body(response, request.include_usage));
     }
-    ResponseLog::complete(Head::new(200, JSON_CONTENT_TYPE), json_body(answer))
+    ResponseLog::complete(Head::new(200, JSON_CONTENT_TYPE), json_body(response))
 }
--- a/crates/burdockroad-daemon/src/calls/service.rs
+++ b/crates/burdockroad-daemon/src/calls/service.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, Method, header};
 
-/// Request headers that apply to one connection, or that burdockroad sets itself.
+/// Request headers that carry credentials, apply to one connection, or are set by burdockroad itself.
 const STRIPPED_REQUEST_HEADERS: [HeaderName; 11] = [
     header::AUTHORIZATION,
     header::CONNECTION,
@@ -57,11 +57,11 @@
     let Some(key) = key.filter(|key| !key.is_empty()) else {
         return kept;
     };
-    let leaking = kept
+    let headers_with_key = kept
         .iter()
         .filter(|(_, value)| contains(value.as_bytes(), key.as_bytes()));
-    let leaking: Vec<HeaderName> = leaking.map(|(name, _)| name.clone()).collect();
-    for name in leaking {
+    let headers_with_key: Vec<HeaderName> = headers_with_key.map(|(name, _)| name.clone()).collect();
+    for name in headers_with_key {
         kept.remove(name);
     }
     kept
--- a/crates/burdockroad-daemon/src/calls/single_call.rs
+++ b/crates/burdockroad-daemon/src/calls/single_call.rs
@@ -1,6 +1,7 @@
 //! Calls outside a program.
 //!
-//! These calls are not journaled, because a caller cannot retrieve their response later.
+//! These calls have no call number or idempotency key by which a caller could request their response
+//! again, so they are not journaled.
 
 use std::sync::Arc;
 
@@ -147,7 +148,8 @@
 
 /// Returns whether a failed call may be retried at another endpoint.
 ///
-/// It may if none of its response was forwarded, and if it is idempotent or certainly did not run.
+/// This requires that none of its response was forwarded, and that the call is idempotent or certainly
+/// did not run.
 pub(super) fn may_retry(plan: &CallPlan, failure: &Failure, log: &ResponseLog) -> bool {
     let safe_to_retry = plan.idempotent || failure.problem.ran == Ran::No;
     failure.retryable && safe_to_retry && !log.has_started()
