--- a/crates/burdockroad-daemon/src/dispatch.rs
+++ b/crates/burdockroad-daemon/src/dispatch.rs
@@ -1,8 +1,8 @@
 //! Scheduling of calls onto slots at endpoints.
 //!
 //! The owner of a pool's partition grants the pool's slots. A host that cannot reach the owner grants
-//! its own share of them. While both grant slots, endpoints may be overloaded, but no guarantee is
-//! violated.
+//! its own share of them. While both grant slots, an endpoint may receive more calls than it has
+//! slots. This can overload it, but correctness does not depend on the number of slots.
 
 mod actor;
 mod dispatcher;
@@ -97,7 +97,8 @@
     pub cached_tokens: u64,
     /// Generated tokens.
     pub output_tokens: u64,
-    /// Time from sending the call to the first byte of the response.
+    /// Time from sending the call to the first event of a completion's stream, or to the head of a
+    /// service's response.
     pub first_token: Option<Duration>,
     /// Whether the endpoint failed.
     pub failed: bool,
@@ -106,7 +107,7 @@
 /// The refusal of a slot request. The call did not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRefusal {
-    /// Reason, in words that are shown to the caller.
+    /// Reason that is shown to the caller.
     pub reason: String,
     /// Delay after which a retry may succeed.
     pub retry_after: Duration,
--- a/crates/burdockroad-daemon/src/dispatch/actor.rs
+++ b/crates/burdockroad-daemon/src/dispatch/actor.rs
@@ -83,7 +83,7 @@
     Refused(SlotRefusal),
 }
 
-/// A slot on its way to its requester; dropping the offer releases the slot.
+/// A granted slot that its requester has not accepted yet; dropping the offer releases the slot.
 pub(super) struct OfferedSlot {
     slot: Option<Slot>,
     actor: ActorRef<PoolMessage>,
--- a/crates/burdockroad-daemon/src/dispatch/dispatcher.rs
+++ b/crates/burdockroad-daemon/src/dispatch/dispatcher.rs
@@ -40,8 +40,8 @@
 /// Timeout of one attempt to return a slot.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Retry delay that a caller is given when this host cannot grant slots.
-const STOPPED_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Retry delay for a call when this host cannot grant slots, or when its route has no endpoint set.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The dependencies of [`PoolDispatcher`].
 #[derive(Clone, Debug)]
@@ -71,14 +71,18 @@
 /// The owner of a pool, from which slots are acquired.
 enum Owner {
     Local,
-    Peer { process: Process, address: String },
+    Peer {
+        process: Process,
+        address: String,
+    },
+    /// The ownership map names no owner, or its process is not live.
     Unknown,
 }
 
 /// A guard that cancels a slot request at the pool's owner when dropped without being disarmed.
 ///
-/// Closing the connection is not enough: the owner may have sent a slot in its response by then, and
-/// would keep that slot granted until its lease expires.
+/// Closing the connection is not enough: the owner may already have granted a slot and sent its
+/// response, and the slot would then stay granted until its lease expires.
 struct CancelOnDrop {
     clients: Arc<PeerClients>,
     address: String,
@@ -137,7 +141,7 @@
             Owner::Unknown => AcquireOutcome::NotOwner,
         };
         let outcome = match outcome {
-            // The pool's owner is unknown or unreachable.
+            // The pool's owner is unknown or unreachable, so this host grants from its own share.
             AcquireOutcome::NotOwner => {
                 self.acquire_local(pool_id, request, self.own_requester(), SlotSource::Share)
                     .await
@@ -194,8 +198,8 @@
 
     /// Requests a slot from the pool's owner at another host.
     ///
-    /// The request ends when the owner responds, when it becomes unreachable, or at the request's
-    /// deadline plus [`RESPONSE_GRACE`].
+    /// The wait ends when the owner responds or becomes unreachable, or [`RESPONSE_GRACE`] after the
+    /// request's deadline.
     async fn acquire_remote(
         &self,
         pool_id: &PoolId,
@@ -207,11 +211,11 @@
             return AcquireOutcome::NotOwner;
         };
         let request_id = rand::random::<RequestId>().max(1);
-        let message = messages::to_acquire(&self.own_process(), pool_id, request, request_id);
+        let message = messages::acquire_request(&self.own_process(), pool_id, request, request_id);
         let cancel_on_drop = CancelOnDrop {
             clients: Arc::clone(&self.parts.clients),
             address: address.to_owned(),
-            request: Some(messages::to_cancel(&self.own_process(), pool_id, request_id)),
+            request: Some(messages::cancel_request(&self.own_process(), pool_id, request_id)),
         };
         let response = tokio::select! {
             response = client.acquire_slot(message) => response,
@@ -224,7 +228,7 @@
             return AcquireOutcome::NotOwner;
         };
         cancel_on_drop.disarm();
-        let outcome = messages::from_response(pool_id, response.into_inner());
+        let outcome = messages::to_outcome(pool_id, response.into_inner());
         if let AcquireOutcome::Slot(slot) = &outcome {
             self.remote_slots()
                 .insert((pool_id.clone(), slot.slot_id), address.to_owned());
@@ -295,7 +299,7 @@
         }
         Err(first_refusal.unwrap_or_else(|| SlotRefusal {
             reason: "the route has no endpoint set".to_owned(),
-            retry_after: STOPPED_RETRY_AFTER,
+            retry_after: UNAVAILABLE_RETRY_AFTER,
         }))
     }
 
@@ -311,7 +315,7 @@
             self.actor.send_message(message).unwrap_or_default();
             return;
         };
-        let request = messages::to_release(&self.own_process(), &slot, &report);
+        let request = messages::release_request(&self.own_process(), &slot, &report);
         tokio::spawn(release_remote(Arc::clone(&self.parts.clients), address, request));
     }
 }
@@ -320,11 +324,11 @@
 impl SlotHandler for PoolDispatcher {
     async fn acquire(&self, request: AcquireSlotRequest) -> AcquireSlotResponse {
         let requester = SlotRequester {
-            process: messages::process(request.from.as_ref()),
+            process: messages::to_process(request.from.as_ref()),
             request_id: request.request_id,
         };
         let pool_id = request.pool.clone();
-        let request = messages::from_acquire(request);
+        let request = messages::to_slot_request(request);
         match self
             .acquire_local(&pool_id, &request, requester, SlotSource::Owner)
             .await
@@ -353,7 +357,7 @@
     let pool_id = request.pool.clone();
     if request.given_up_request_id != 0 {
         let requester = SlotRequester {
-            process: messages::process(request.from.as_ref()),
+            process: messages::to_process(request.from.as_ref()),
             request_id: request.given_up_request_id,
         };
         return PoolMessage::Cancel { pool_id, requester };
@@ -361,7 +365,7 @@
     PoolMessage::Release {
         pool_id,
         slot_id: request.slot_id,
-        report: Some(messages::from_release(request)),
+        report: Some(messages::to_report(request)),
     }
 }
 
@@ -388,7 +392,7 @@
 fn unavailable() -> SlotRefusal {
     SlotRefusal {
         reason: "this host cannot grant slots at present".to_owned(),
-        retry_after: STOPPED_RETRY_AFTER,
+        retry_after: UNAVAILABLE_RETRY_AFTER,
     }
 }
 
--- a/crates/burdockroad-daemon/src/dispatch/messages.rs
+++ b/crates/burdockroad-daemon/src/dispatch/messages.rs
@@ -15,9 +15,9 @@
 };
 
 /// Retry delay after an owner's response without a result.
-const EMPTY_RETRY_AFTER: Duration = Duration::from_secs(1);
+const EMPTY_RESPONSE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The id of a slot request, unique at the host that sent it; 0 for requests at the owner itself.
+/// The id of a slot request, unique at the host that sent it; 0 for a request to the host's own actor.
 pub(super) type RequestId = u64;
 
 /// The outcome of a slot request.
@@ -29,7 +29,7 @@
     NotOwner,
 }
 
-pub(super) fn to_acquire(
+pub(super) fn acquire_request(
     from: &Process,
     pool_id: &str,
     request: &SlotRequest,
@@ -53,7 +53,7 @@
     }
 }
 
-pub(super) fn from_acquire(request: AcquireSlotRequest) -> SlotRequest {
+pub(super) fn to_slot_request(request: AcquireSlotRequest) -> SlotRequest {
     SlotRequest {
         pool_ids: vec![request.pool],
         account_id: request.account_id,
@@ -90,7 +90,7 @@
     }
 }
 
-pub(super) fn from_response(pool_id: &str, response: AcquireSlotResponse) -> AcquireOutcome {
+pub(super) fn to_outcome(pool_id: &str, response: AcquireSlotResponse) -> AcquireOutcome {
     match response.result {
         Some(acquire_slot_response::Result::Slot(slot)) => AcquireOutcome::Slot(Slot {
             slot_id: slot.slot_id,
@@ -107,12 +107,12 @@
         }),
         None => AcquireOutcome::Refused(SlotRefusal {
             reason: "the pool's owner sent a response without a result".to_owned(),
-            retry_after: EMPTY_RETRY_AFTER,
+            retry_after: EMPTY_RESPONSE_RETRY_AFTER,
         }),
     }
 }
 
-pub(super) fn to_release(from: &Process, slot: &Slot, report: &SlotReport) -> ReleaseSlotRequest {
+pub(super) fn release_request(from: &Process, slot: &Slot, report: &SlotReport) -> ReleaseSlotRequest {
     ReleaseSlotRequest {
         from: Some(host_ref(from)),
         pool: slot.pool_id.clone(),
@@ -127,7 +127,7 @@
 }
 
 /// Returns the message that cancels a request at a pool's owner.
-pub(super) fn to_cancel(from: &Process, pool_id: &str, request_id: RequestId) -> ReleaseSlotRequest {
+pub(super) fn cancel_request(from: &Process, pool_id: &str, request_id: RequestId) -> ReleaseSlotRequest {
     ReleaseSlotRequest {
         from: Some(host_ref(from)),
         pool: pool_id.to_owned(),
@@ -136,7 +136,7 @@
     }
 }
 
-pub(super) fn from_release(request: &ReleaseSlotRequest) -> Report {
+pub(super) fn to_report(request: &ReleaseSlotRequest) -> Report {
     Report {
         prompt_tokens: request.prompt_tokens,
         cached_tokens: request.cached_tokens,
@@ -146,7 +146,7 @@
     }
 }
 
-pub(super) fn process(from: Option<&HostRef>) -> Process {
+pub(super) fn to_process(from: Option<&HostRef>) -> Process {
     from.map(|host| Process {
         host_id: host.host_id.clone(),
         incarnation: host.incarnation,
--- a/crates/burdockroad-daemon/src/dispatch/polling.rs
+++ b/crates/burdockroad-daemon/src/dispatch/polling.rs
@@ -124,7 +124,7 @@
     let events_url = format!("http://{address}/cache/events?since={since}");
     let (load, events) = tokio::join!(get(client, load_url), get(client, events_url));
     let Some(load) = load else {
-        // The endpoint may return as a new process with an empty cache and a new event sequence.
+        // The endpoint may be restarted as a new process with an empty cache and a new event sequence.
         return PollResult {
             load: None,
             events: vec![CacheEvent::Cleared],
--- a/crates/burdockroad-daemon/src/dispatch/pools.rs
+++ b/crates/burdockroad-daemon/src/dispatch/pools.rs
@@ -30,8 +30,8 @@
 /// Time after which a slot that was not released is reclaimed.
 const SLOT_LEASE: Duration = Duration::from_mins(15);
 
-/// Retry delay for a request that names a pool which the document does not contain.
-const UNKNOWN_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Retry delay for a request for a pool that the document does not contain.
+const UNKNOWN_POOL_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 type SlotReply = RpcReplyPort<Result<OfferedSlot, AcquireError>>;
 
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 struct PoolRow {
     pool: Pool,
-    /// Whether this host grants all slots of the pool, as its owner, or only its own share.
+    /// Whether this host owns the pool and grants all its slots; if not, it grants only its own share.
     is_owner: bool,
     addresses: BTreeMap<EndpointId, String>,
     waiting: HashMap<CallId, WaitingRequest>,
@@ -86,8 +86,8 @@
         table
     }
 
-    /// Applies changes of endpoint sets, owners and peers, and cleans up after hosts and callers that
-    /// are gone.
+    /// Applies changes of endpoint sets, owners and peers, reclaims slots whose process is no longer
+    /// live or whose lease has expired, and removes requests whose requesters no longer wait.
     pub(super) fn refresh(&mut self) {
         let ownership = Arc::clone(&self.parts.ownership.borrow());
         let peers = Arc::clone(&self.parts.peers.borrow());
@@ -126,7 +126,7 @@
             refuse(
                 reply,
                 "the endpoint set does not exist".to_owned(),
-                UNKNOWN_RETRY_AFTER,
+                UNKNOWN_POOL_RETRY_AFTER,
             );
             return;
         };
@@ -280,7 +280,7 @@
             if !is_configured {
                 row.refuse_all(&AcquireError::Refused(SlotRefusal {
                     reason: "the endpoint set does not exist".to_owned(),
-                    retry_after: UNKNOWN_RETRY_AFTER,
+                    retry_after: UNKNOWN_POOL_RETRY_AFTER,
                 }));
             }
             is_configured
--- a/crates/burdockroad-daemon/src/quota/escrow.rs
+++ b/crates/burdockroad-daemon/src/quota/escrow.rs
@@ -34,8 +34,8 @@
 
 /// A rate limiter that enforces each account's rate and burst across all hosts.
 ///
-/// One actor contains the buckets of the accounts that this host owns, and the tokens of any account
-/// that were granted to this host.
+/// One actor contains the buckets that this host owns, and the tokens that were granted to this host
+/// from all buckets.
 pub struct EscrowQuota {
     actor: ActorRef<QuotaMessage>,
 }
@@ -54,7 +54,7 @@
         request: GrantRequest,
         reply: RpcReplyPort<GrantResponse>,
     },
-    /// Reports the outcome of a token request to the owner of an account.
+    /// Reports the outcome of a token request that this host sent to the owner of an account.
     GrantOutcome(GrantOutcome),
     /// Signals that a scheduled time has been reached.
     Wake(Instant),
--- a/crates/burdockroad-daemon/src/quota/table.rs
+++ b/crates/burdockroad-daemon/src/quota/table.rs
@@ -1,4 +1,4 @@
-//! The state of the quota actor: buckets that this host owns, and tokens that were granted to it.
+//! The state of the quota actor: buckets that this host owns, and tokens granted to this host.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -26,7 +26,7 @@
 };
 
 /// Retry delay for a call of an account that the document does not contain.
-const UNKNOWN_RETRY_AFTER: Duration = Duration::from_secs(5);
+const UNKNOWN_ACCOUNT_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 type AdmitReply = RpcReplyPort<Result<(), QuotaRefusal>>;
 
@@ -98,7 +98,7 @@
 
     pub(super) fn admit(&mut self, account_id: &AccountId, deadline: Instant, reply: AdmitReply) {
         let Some(limits) = self.parts.limits.limits(account_id) else {
-            send_reply(reply, Err(refusal(false, UNKNOWN_RETRY_AFTER)));
+            send_reply(reply, Err(refusal(false, UNKNOWN_ACCOUNT_RETRY_AFTER)));
             return;
         };
         let waiter_id = self.next_waiter_id;
@@ -120,8 +120,8 @@
 
     /// Grants tokens to another host.
     pub(super) fn grant(&mut self, request: &GrantRequest) -> GrantResponse {
-        let holder_id = holder_id(request.from.as_ref());
-        // A requester with a newer ownership map may already have a newer owner in it.
+        let holder_id = holder_id_of_host(request.from.as_ref());
+        // The requester's newer ownership map may assign the account to another owner.
         let map_is_outdated = request.ownership_version > self.view.version;
         let token_request = grant_client::from_request(request);
         match (!map_is_outdated)
@@ -178,9 +178,9 @@
     fn request_tokens(&mut self, account_id: &AccountId, token_request: &TokenRequest) {
         let partition = partition_of(account_id);
         if self.view.owns(partition) {
-            let own_id = self.own_id();
+            let own_holder_id = self.own_holder_id();
             let grant = self
-                .grant_from_bucket(account_id, &own_id, token_request)
+                .grant_from_bucket(account_id, &own_holder_id, token_request)
                 .map(|(grant, _)| grant);
             self.apply_grant(account_id, token_request.sequence, grant);
             return;
@@ -282,8 +282,8 @@
         (peer.process == *owner).then(|| peer.address.clone())
     }
 
-    fn own_id(&self) -> HolderId {
-        process_id(&self.view.me)
+    fn own_holder_id(&self) -> HolderId {
+        holder_id_of_process(&self.view.me)
     }
 }
 
@@ -314,11 +314,11 @@
     reply.send(outcome).unwrap_or_default();
 }
 
-fn holder_id(from: Option<&HostRef>) -> HolderId {
+fn holder_id_of_host(from: Option<&HostRef>) -> HolderId {
     from.map(|host| format!("{}/{:016x}", host.host_id, host.incarnation))
         .unwrap_or_default()
 }
 
-fn process_id(process: &Process) -> HolderId {
+fn holder_id_of_process(process: &Process) -> HolderId {
     format!("{}/{:016x}", process.host_id, process.incarnation)
 }
