--- a/crates/burdockroad-daemon/src/edge.rs
+++ b/crates/burdockroad-daemon/src/edge.rs
@@ -57,7 +57,7 @@
     pub body: Bytes,
     /// Requested operation.
     pub operation: Operation,
-    /// Id of the program that the request creates.
+    /// Id of the program that the request creates: a new program, or that of an idempotency key.
     pub new_program_id: Option<ProgramId>,
     /// Time by which the response must be complete.
     pub deadline: Instant,
@@ -187,7 +187,7 @@
     Ok(partition)
 }
 
-/// Returns the id of the program for an idempotency key, which is the same at every host.
+/// Returns the id of the program for an idempotency key. Every host computes the same id.
 fn idempotency_program_id(account_id: &str, key: &str) -> ProgramId {
     let hash = sha256_hex(&format!("{account_id}\0{key}"));
     program_id(partition_of(&hash), &format!("k{}", &hash[..PROGRAM_ID_DIGITS]))
--- a/crates/burdockroad-daemon/src/edge/program_json.rs
+++ b/crates/burdockroad-daemon/src/edge/program_json.rs
@@ -70,7 +70,7 @@
     match detail {
         Detail::None => {}
         Detail::Reason(reason) => call_json["reason"] = reason.into(),
-        Detail::CallResponse(value) => call_json["answer"] = value,
+        Detail::Response(value) => call_json["answer"] = value,
     }
     call_json
 }
@@ -79,23 +79,23 @@
 enum Detail {
     None,
     Reason(String),
-    CallResponse(Value),
+    Response(Value),
 }
 
 fn outcome(outcome: Option<&Outcome>) -> (&'static str, Detail) {
     match outcome {
         None => ("running", Detail::None),
-        Some(Outcome::Answered(answer)) => ("answered", Detail::CallResponse(response_json(answer))),
+        Some(Outcome::Answered(response)) => ("answered", Detail::Response(response_json(response))),
         Some(Outcome::NotRun) => ("not_run", Detail::None),
         Some(Outcome::Failed { reason }) => ("failed", Detail::Reason(reason.clone())),
         Some(Outcome::Unknown { reason }) => ("outcome_unknown", Detail::Reason(reason.clone())),
     }
 }
 
-fn response_json(answer: &CallResponse) -> Value {
-    match &answer.message {
+fn response_json(response: &CallResponse) -> Value {
+    match &response.message {
         Some(message) => json_or_text(message.as_bytes()),
-        None => json!({ "status": answer.status, "body": json_or_text(&answer.body) }),
+        None => json!({ "status": response.status, "body": json_or_text(&response.body) }),
     }
 }
 
--- a/crates/burdockroad-daemon/src/edge/serve.rs
+++ b/crates/burdockroad-daemon/src/edge/serve.rs
@@ -132,7 +132,7 @@
             .await
     }
 
-    /// Returns the program for an idempotency key, which consists of the one call with that key.
+    /// Returns the program to create for an idempotency key; the call with that key is its only one.
     fn idempotency_program(&self, request: &EdgeRequest, program_id: ProgramId) -> NewProgram {
         let defaults = self.in_force.borrow().document.budget_defaults.clone();
         let budget = Budget {
@@ -200,7 +200,8 @@
 }
 
 impl EdgeRequest {
-    /// Returns a number that is the same for all calls of a program and pseudo-random across programs.
+    /// Returns the seed for the selection of a site, which is equal for all calls of a program and
+    /// pseudo-random across programs.
     fn site_seed(&self) -> u64 {
         let position = self.operation.call.position.as_ref().map(|(id, _)| id);
         match position.or(self.new_program_id.as_ref()) {
@@ -237,8 +238,8 @@
 /// Returns the pools of a route, those of a preferred site first.
 ///
 /// The preferred site is selected by the sites' weights and by `seed`, which depends on the program
-/// alone. All calls of a program therefore prefer the same site until the weights change, and then
-/// only a share of the programs moves.
+/// alone. All calls of a program therefore prefer the same site until the weights change. A change of
+/// the weights moves only some of the programs to another site.
 fn preferred_pools(document: &Document, route: &Route, seed: u64) -> Vec<String> {
     let site = pick_site(document, route, seed);
     let mut pools = route.endpoint_sets.clone();
--- a/crates/burdockroad-daemon/src/http/intake.rs
+++ b/crates/burdockroad-daemon/src/http/intake.rs
@@ -43,7 +43,7 @@
     let caller = find_caller(in_force, &operation, key.as_deref())?;
     let body = read_body(body, limits).await?;
     check_model_access(in_force, &operation, &caller, &body)?;
-    Ok(remove_key(
+    Ok(build_edge_request(
         &parts,
         caller,
         operation,
@@ -53,7 +53,8 @@
     ))
 }
 
-fn remove_key(
+/// Builds the request to serve, without the caller's key.
+fn build_edge_request(
     parts: &Parts,
     caller: Caller,
     operation: Operation,
@@ -132,7 +133,7 @@
     )
 }
 
-/// Returns whether a request without a key may be allowed, judging by its path alone.
+/// Returns whether a request without a key may be allowed, as far as its path determines this.
 fn may_use_open_route(in_force: &InForce, operation: &Operation) -> bool {
     let mut routes = in_force
         .document
--- a/crates/burdockroad-daemon/src/http/operation.rs
+++ b/crates/burdockroad-daemon/src/http/operation.rs
@@ -18,7 +18,7 @@
 /// Header with a key by which retries of a call outside a program are detected.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Maximum duration that a budget may allow; the state of a program without an end would never be
+/// Maximum duration that a budget may allow. Without it, the state of a program might never be
 /// removed.
 const PROGRAM_DURATION_MAX: Duration = Duration::from_hours(30 * 24);
 
@@ -210,7 +210,7 @@
 pub struct NewProgramRequest {
     /// Budget of a new root program.
     pub budget: Option<BudgetRequest>,
-    /// Program that the new one is a sub-agent of.
+    /// Parent of the new program, which is then a sub-agent.
     pub parent: Option<ProgramId>,
 }
 
--- a/crates/burdockroad-daemon/src/http/server.rs
+++ b/crates/burdockroad-daemon/src/http/server.rs
@@ -259,8 +259,8 @@
 
 fn problem_response(problem: &Problem) -> Response<ResponseBody> {
     let mut head = Head::new(problem.kind.status(), PROBLEM_CONTENT_TYPE);
-    if let Some(after_s) = problem.retry_after_s() {
-        head.headers.insert(header::RETRY_AFTER, after_s.into());
+    if let Some(retry_after_s) = problem.retry_after_s() {
+        head.headers.insert(header::RETRY_AFTER, retry_after_s.into());
     }
     if problem.kind == ProblemKind::InvalidKey {
         head.headers
--- a/crates/burdockroad-daemon/src/problem.rs
+++ b/crates/burdockroad-daemon/src/problem.rs
@@ -136,7 +136,7 @@
 }
 
 impl Problem {
-    /// Creates a problem for a request that did not run and that a retry does not help.
+    /// Creates a problem for a request that did not run and for which a retry does not help.
     pub fn new(kind: ProblemKind, detail: impl Into<String>) -> Self {
         Self {
             kind,
@@ -219,10 +219,10 @@
 }
 
 impl From<Rejection> for Problem {
-    fn from(cause: Rejection) -> Self {
-        match cause {
-            Rejection::Refused(cause) => cause.into(),
-            Rejection::NotRecordable(cause) => cause.into(),
+    fn from(rejection: Rejection) -> Self {
+        match rejection {
+            Rejection::Refused(refusal) => refusal.into(),
+            Rejection::NotRecordable(error) => error.into(),
         }
     }
 }
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -35,12 +35,12 @@
 /// Interval at which a release checks whether the partitions still have open calls.
 const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A client that removes cached prefixes of ended or moved programs from endpoints.
+/// A client that releases cached prefixes of ended or moved programs at endpoints.
 #[async_trait]
 pub trait PrefixReleaser: fmt::Debug + Send + Sync {
-    /// Requests that an endpoint remove a program's cached prefix.
+    /// Requests that an endpoint release a program's cached prefix.
     ///
-    /// Returns `true` if the endpoint has removed it, or if the endpoint itself no longer exists.
+    /// Returns `true` if the endpoint has released it, or if the endpoint itself no longer exists.
     async fn release(&self, cached_prefix: &CachedPrefix) -> bool;
 }
 
@@ -76,19 +76,19 @@
 pub enum Rejection {
     /// The program table refused it.
     Refused(Refusal),
-    /// The journal does not accept the record that must precede it.
+    /// The journal does not accept the record that must be written first.
     NotRecordable(JournalError),
 }
 
 impl From<Refusal> for Rejection {
-    fn from(cause: Refusal) -> Self {
-        Self::Refused(cause)
+    fn from(refusal: Refusal) -> Self {
+        Self::Refused(refusal)
     }
 }
 
 impl From<JournalError> for Rejection {
-    fn from(cause: JournalError) -> Self {
-        Self::NotRecordable(cause)
+    fn from(error: JournalError) -> Self {
+        Self::NotRecordable(error)
     }
 }
 
@@ -106,11 +106,11 @@
 pub enum ProgramsMessage {
     /// Creates a program.
     Create(NewProgram, RpcReplyPort<Result<Appended, Rejection>>),
-    /// Returns a copy of a program's tree.
+    /// Requests a copy of a program's tree.
     Get(AccountId, ProgramId, RpcReplyPort<Result<ProgramView, Refusal>>),
-    /// Returns whether the table contains a program.
+    /// Checks whether the table contains a program.
     Contains(ProgramId, RpcReplyPort<bool>),
-    /// Starts a call, or returns an earlier result of it.
+    /// Starts a call, or requests the result of an earlier attempt of it.
     StartCall(CallRequest, RpcReplyPort<Result<CallDisposition, Rejection>>),
     /// Reopens a call for another attempt, with the existing response log.
     ReopenCall(CallRequest, Arc<ResponseLog>, RpcReplyPort<Option<RunningCall>>),
@@ -126,27 +126,28 @@
     WithdrawCall(ProgramId),
     /// Ends a program.
     End(AccountId, ProgramId, RpcReplyPort<Result<Appended, Refusal>>),
-    /// Records that an endpoint removed a cached prefix.
+    /// Records that an endpoint released a cached prefix.
     PrefixReleased(CachedPrefix),
-    /// Runs the time-dependent parts of the table.
+    /// Ends programs that reached their time limit, releases cached prefixes, and removes trees whose
+    /// retention period has passed.
     Tick,
     /// Adds trees that this host has taken over.
-    Import(Vec<Tree>, RpcReplyPort<()>),
+    Adopt(Vec<Tree>, RpcReplyPort<()>),
     /// Stops accepting calls for partitions.
     Freeze(Vec<PartitionId>, RpcReplyPort<()>),
-    /// Returns the trees of partitions, or `None` while calls of them are open.
+    /// Requests the trees of partitions; the reply is `None` while any of their calls is open.
     Export(Vec<PartitionId>, RpcReplyPort<Option<Vec<Tree>>>),
     /// Accepts calls for partitions again.
     Thaw(Vec<PartitionId>),
     /// Removes the trees of partitions.
-    Evict(Vec<PartitionId>, RpcReplyPort<()>),
+    RemovePartitions(Vec<PartitionId>, RpcReplyPort<()>),
     /// Removes all trees.
     Clear(RpcReplyPort<()>),
     /// Appends full snapshots of trees to the journal.
     Snapshot(Vec<ProgramId>, RpcReplyPort<()>),
-    /// Returns the number of open calls.
+    /// Requests the number of open calls.
     OpenCalls(RpcReplyPort<usize>),
-    /// Returns all trees, for the operators' list of programs.
+    /// Requests all trees, for the operators' list of programs.
     List(RpcReplyPort<Vec<Tree>>),
 }
 
@@ -166,7 +167,7 @@
 pub struct ProgramsParts {
     /// Journal that changes are appended to.
     pub journal: Arc<dyn Journal>,
-    /// Client that removes cached prefixes from engines.
+    /// Client that releases cached prefixes at engines.
     pub releaser: Arc<dyn PrefixReleaser>,
     /// Partitions that this process owns.
     ///
@@ -233,7 +234,7 @@
 
     /// Returns whether this host has a program, whichever account it belongs to.
     ///
-    /// Returns `true` if the actor has stopped.
+    /// Also returns `true` if the actor has stopped and the table cannot be checked.
     pub async fn contains(&self, program_id: ProgramId) -> bool {
         self.call_actor(|port| ProgramsMessage::Contains(program_id, port))
             .await
@@ -303,7 +304,8 @@
         response.unwrap_or(Err(Refusal::NotOwner))
     }
 
-    /// Runs the time-dependent parts of the table.
+    /// Ends programs that reached their time limit, releases cached prefixes, and removes trees whose
+    /// retention period has passed.
     pub fn tick(&self) {
         self.cast(ProgramsMessage::Tick);
     }
@@ -313,7 +315,7 @@
         self.call_actor(ProgramsMessage::OpenCalls).await.unwrap_or(0)
     }
 
-    /// Returns the number of trees in the table, as of the last tick.
+    /// Returns the number of trees that the table contained at the last tick.
     pub fn owned_tree_count(&self) -> usize {
         self.tree_count.load(Ordering::Relaxed)
     }
@@ -343,7 +345,7 @@
 #[async_trait]
 impl Trees for ProgramsHandle {
     async fn adopt(&self, trees: Vec<Tree>) {
-        self.call_actor(|port| ProgramsMessage::Import(trees, port)).await;
+        self.call_actor(|port| ProgramsMessage::Adopt(trees, port)).await;
     }
 
     async fn release(&self, partitions: Vec<PartitionId>, timeout: Duration) -> Option<Vec<Tree>> {
@@ -373,7 +375,7 @@
     }
 
     async fn drop_partitions(&self, partitions: Vec<PartitionId>) {
-        self.call_actor(|port| ProgramsMessage::Evict(partitions, port))
+        self.call_actor(|port| ProgramsMessage::RemovePartitions(partitions, port))
             .await;
     }
 
--- a/crates/burdockroad-daemon/src/programs/actor.rs
+++ b/crates/burdockroad-daemon/src/programs/actor.rs
@@ -128,7 +128,7 @@
     /// Handles messages that move trees between hosts or journal segments.
     fn handle_transfer(&mut self, message: ProgramsMessage) {
         match message {
-            ProgramsMessage::Import(trees, port) => {
+            ProgramsMessage::Adopt(trees, port) => {
                 let records = self.table.adopt(trees, now());
                 self.append_detached(records);
                 reply(port, ());
@@ -139,7 +139,7 @@
             }
             ProgramsMessage::Export(partitions, port) => reply(port, self.export(&partitions)),
             ProgramsMessage::Thaw(partitions) => self.table.thaw(&partitions),
-            ProgramsMessage::Evict(partitions, port) => {
+            ProgramsMessage::RemovePartitions(partitions, port) => {
                 let records = self.table.remove_partitions(&partitions);
                 self.append_detached(records);
                 reply(port, ());
@@ -169,8 +169,8 @@
     /// Checks that this process still owns the partition of a program.
     ///
     /// A change made here after the partition has moved would be missing at its new owner. The result
-    /// of the check stays valid until the change is made: this actor handles one message at a time,
-    /// and a move starts with a message that freezes the partition.
+    /// of the check stays valid until the change is made, because this actor handles one message at a
+    /// time and a move starts with a message that freezes the partition.
     fn check_owned(&self, program_id: &ProgramId) -> Result<(), Refusal> {
         let partition = partition_of_program(program_id).ok_or(Refusal::UnknownProgram)?;
         let owned = self.parts.ownership.borrow().owns(partition);
@@ -239,7 +239,7 @@
                 })
             }
             CallDecision::Attach => Err(Refusal::NotOwner.into()),
-            CallDecision::Answered(answer) => Ok(CallDisposition::Answered(answer)),
+            CallDecision::Answered(response) => Ok(CallDisposition::Answered(response)),
         }
     }
 
@@ -344,9 +344,10 @@
         });
     }
 
-    /// Removes a cached prefix that calls of a fenced table may have left at an endpoint.
+    /// Releases a cached prefix that calls of a fenced process may have left at an endpoint.
     ///
-    /// The programs' new owner has no record of calls that were sent after it had replayed the journal.
+    /// The program's new owner cannot release it: calls that were sent after the new owner had replayed
+    /// the journal are not in its records.
     fn release_fenced_prefix(&self, cached_prefix: CachedPrefix) {
         let releaser = Arc::clone(&self.parts.releaser);
         tokio::spawn(async move {
