--- a/crates/burdockroad-daemon/src/journal/actor.rs
+++ b/crates/burdockroad-daemon/src/journal/actor.rs
@@ -204,7 +204,7 @@
             JournalMessage::SetTrees(trees) => self.trees = Some(trees),
             JournalMessage::PeersChanged => self.update_peers(),
             JournalMessage::Written(reply) => {
-                log_write(&self.parts.options.me, &reply);
+                log_write(&self.parts.options.owner, &reply);
                 self.writer.written(reply, now);
             }
             JournalMessage::ReadBack(reply) => self.writer.read_back(reply, now),
@@ -237,20 +237,20 @@
     }
 
     fn execute(&mut self, action: Action, myself: &ActorRef<JournalMessage>) {
-        let me = &self.parts.options.me;
+        let owner = &self.parts.options.owner;
         let store = Arc::clone(&self.parts.store);
         match action {
             Action::Complete { ticket, result } => self.complete_append(ticket, result),
             Action::Write { segment, value } => {
-                let (me, myself) = (me.clone(), myself.clone());
+                let (owner, myself) = (owner.clone(), myself.clone());
                 tokio::spawn(async move {
-                    let reply = write(&store, &me, segment, value).await;
+                    let reply = write(&store, &owner, segment, value).await;
                     // The cast fails only when the actor has stopped, and then the reply is not needed.
                     let _cast = myself.cast(JournalMessage::Written(reply));
                 });
             }
             Action::ReadBack { segment } => {
-                let (key, myself) = (keys::segment(me, segment), myself.clone());
+                let (key, myself) = (keys::segment(owner, segment), myself.clone());
                 tokio::spawn(async move {
                     let reply = read_back(&store, &key).await;
                     let _cast = myself.cast(JournalMessage::ReadBack(reply));
@@ -259,7 +259,7 @@
             Action::Replicate { to, copies } => self.replicate(to, copies, myself),
             Action::Snapshot { root_ids } => self.request_snapshots(root_ids),
             Action::Remove { from, to } => {
-                let (from, to) = (keys::segment(me, from), keys::segment(me, to));
+                let (from, to) = (keys::segment(owner, from), keys::segment(owner, to));
                 let myself = myself.clone();
                 tokio::spawn(async move {
                     let removed = store.delete_range(&from, &to).await.is_ok();
@@ -291,11 +291,11 @@
             .filter(|peer| peer.process == to)
             .map(|peer| peer.address.clone());
         let clients = Arc::clone(&self.parts.clients);
-        let (me, myself) = (self.parts.options.me.clone(), myself.clone());
+        let (owner, myself) = (self.parts.options.owner.clone(), myself.clone());
         tokio::spawn(async move {
             let session = copies.session;
             let reply = match address {
-                Some(address) => send_copies(&clients, &address, &me, &to, copies).await,
+                Some(address) => send_copies(&clients, &address, &owner, &to, copies).await,
                 None => TailReply::Failed,
             };
             let _cast = myself.cast(JournalMessage::Replicated {
@@ -320,13 +320,13 @@
             stored: self.writer.admit(Durability::Stored, now),
             fenced: self.writer.is_fenced(),
         };
-        let me = &self.parts.options.me;
+        let owner = &self.parts.options.owner;
         self.admission.send_if_modified(|published| {
             if admission.fenced && !published.fenced {
                 log::error!(
                     "event=journal_fenced host={} incarnation={:016x}",
-                    me.host_id,
-                    me.incarnation
+                    owner.host_id,
+                    owner.incarnation
                 );
             }
             let changed = *published != admission;
@@ -360,14 +360,14 @@
     }
 }
 
-async fn write(store: &SharedKeyValue, me: &Process, segment: SegmentNumber, value: Arc<[u8]>) -> WriteReply {
-    let key = keys::segment(me, segment);
+async fn write(store: &SharedKeyValue, owner: &Process, segment: SegmentNumber, value: Arc<[u8]>) -> WriteReply {
+    let key = keys::segment(owner, segment);
     let value = Bytes::from_owner(value);
     let started_at = Instant::now();
     let put = if segment == 1 {
         store.put(&key, value, Expected::Absent).await
     } else {
-        let predecessor = keys::segment(me, segment - 1);
+        let predecessor = keys::segment(owner, segment - 1);
         store.create_after(&key, value, &predecessor).await
     };
     metrics::histogram!("burdockroad_journal_write_seconds").record(started_at.elapsed().as_secs_f64());
@@ -394,12 +394,12 @@
 async fn send_copies(
     clients: &PeerClients,
     address: &str,
-    me: &Process,
+    owner: &Process,
     to: &Process,
     copies: TailBatch,
 ) -> TailReply {
     let request = ReplicateTailRequest {
-        writer: Some(host_ref(me)),
+        writer: Some(host_ref(owner)),
         to: Some(host_ref(to)),
         session: copies.session,
         position: copies.position,
@@ -433,7 +433,7 @@
     .collect()
 }
 
-fn log_write(me: &Process, reply: &WriteReply) {
+fn log_write(owner: &Process, reply: &WriteReply) {
     let outcome = match reply {
         WriteReply::Done => {
             metrics::counter!("burdockroad_journal_segments_total").increment(1);
@@ -444,5 +444,5 @@
         WriteReply::Unavailable { .. } => "unavailable",
         WriteReply::Ambiguous => "ambiguous",
     };
-    log::warn!("event=journal_write_failed host={} outcome={outcome}", me.host_id);
+    log::warn!("event=journal_write_failed host={} outcome={outcome}", owner.host_id);
 }
