--- a/crates/burdockroad-daemon/src/coordinator/worker.rs
+++ b/crates/burdockroad-daemon/src/coordinator/worker.rs
@@ -55,7 +55,7 @@
 /// Minimum time between the starts of two sweeps for orphaned journals.
 const ORPHAN_SWEEP_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Rendezvous key that selects the host which sweeps orphaned journals.
+/// Rendezvous key that selects the host that sweeps orphaned journals.
 const ORPHAN_SWEEP_KEY: &str = "leftovers";
 
 /// Commands from the coordinator to the worker.
@@ -70,7 +70,7 @@
     },
 }
 
-/// State of the worker: running takeovers, moves, sweeps and map refreshes.
+/// Worker with its running takeovers, rebalancing, sweep and map refresh.
 #[derive(Debug)]
 pub(super) struct Worker {
     membership: MembershipHandle,
@@ -85,8 +85,8 @@
     refresh: RepeatedTask,
     rebalance: RepeatedTask,
     sweep: RepeatedTask,
-    hosts: Vec<Member>,
-    hosts_changed_at: Instant,
+    live: Vec<Member>,
+    live_changed_at: Instant,
 }
 
 /// Task that is started repeatedly, with at most one run at a time.
@@ -151,8 +151,8 @@
             refresh: RepeatedTask::new(now),
             rebalance: RepeatedTask::new(now),
             sweep: RepeatedTask::new(now),
-            hosts: Vec::new(),
-            hosts_changed_at: now,
+            live: Vec::new(),
+            live_changed_at: now,
         }
     }
 
@@ -188,17 +188,17 @@
             return;
         }
         let now = Instant::now();
-        self.observe_hosts(snapshot, now);
+        self.observe_live(snapshot, now);
         self.refresh_map(snapshot, now);
         self.start_takeovers(snapshot, now);
         self.start_rebalance(snapshot, now);
         self.start_sweep(snapshot, now);
     }
 
-    fn observe_hosts(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
-        if self.hosts != snapshot.live {
-            self.hosts.clone_from(&snapshot.live);
-            self.hosts_changed_at = now;
+    fn observe_live(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
+        if self.live != snapshot.live {
+            self.live.clone_from(&snapshot.live);
+            self.live_changed_at = now;
         }
     }
 
@@ -213,17 +213,17 @@
         if !self.refresh.is_due(now, interval) {
             return;
         }
-        let may_create = snapshot.complete || now - self.started_at >= FIRST_MAP_WAIT;
+        let may_create = snapshot.all_listed_live || now - self.started_at >= FIRST_MAP_WAIT;
         let candidates = may_create.then(|| candidates(snapshot));
         let ownership = self.ownership.clone();
         self.refresh.start(now, refresh(ownership, candidates));
     }
 
     fn start_takeovers(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
-        let failed: BTreeSet<&Process> = snapshot.failed.iter().map(|failed| &failed.process).collect();
+        let dead: BTreeSet<&Process> = snapshot.dead.iter().map(|dead| &dead.process).collect();
         self.takeovers
-            .retain(|process, task| failed.contains(process) || task.is_running());
-        for DeadProcess { process, .. } in &snapshot.failed {
+            .retain(|process, task| dead.contains(process) || task.is_running());
+        for DeadProcess { process, .. } in &snapshot.dead {
             let delay = self.takeover_delay(process, snapshot);
             let task = self
                 .takeovers
@@ -239,17 +239,17 @@
         }
     }
 
-    fn takeover_delay(&self, failed: &Process, snapshot: &MembershipSnapshot) -> Duration {
+    fn takeover_delay(&self, dead: &Process, snapshot: &MembershipSnapshot) -> Duration {
         let me = self.ownership.me().host_id;
         let hosts = remaining_hosts(snapshot);
-        let rank = takeover_rank(failed, &me, hosts);
+        let rank = takeover_rank(dead, &me, hosts);
         TAKEOVER_RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
     fn start_rebalance(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
-        let hosts_settled = now - self.hosts_changed_at >= REBALANCE_SETTLE_TIME;
+        let live_settled = now - self.live_changed_at >= REBALANCE_SETTLE_TIME;
         let takeover_running = self.takeovers.values().any(RepeatedTask::is_running);
-        if !hosts_settled || takeover_running || !snapshot.failed.is_empty() {
+        if !live_settled || takeover_running || !snapshot.dead.is_empty() {
             return;
         }
         if !self.rebalance.is_due(now, REBALANCE_RETRY_DELAY) {
@@ -291,8 +291,8 @@
             return;
         }
         let me = self.ownership.me().host_id;
-        let first = rendezvous_order(ORPHAN_SWEEP_KEY, remaining_hosts(snapshot)).first() == Some(&me);
-        if !first {
+        let is_selected = rendezvous_order(ORPHAN_SWEEP_KEY, remaining_hosts(snapshot)).first() == Some(&me);
+        if !is_selected {
             return;
         }
         let live: BTreeSet<Process> = snapshot
@@ -306,7 +306,7 @@
         });
     }
 
-    /// Drops all owned state and resumes as a new process.
+    /// Drops all state that this process owned, and resumes under a new incarnation.
     async fn rejoin(&mut self) {
         let former = self.ownership.me();
         log::warn!(
@@ -333,8 +333,8 @@
     /// Hands off all partitions within `timeout`. Returns the number of partitions that remain.
     async fn leave(&mut self, timeout: Duration) -> usize {
         let deadline = Instant::now() + timeout;
-        // A running handoff is not cancelled, because it may have copied the trees without having changed
-        // the map yet.
+        // A running handoff is not cancelled, because it may have copied the trees already while the map
+        // still names this process.
         if let Some(task) = self.rebalance.task.take() {
             let _ = tokio::time::timeout_at(deadline, task).await;
         }
@@ -387,7 +387,7 @@
         .collect()
 }
 
-/// Returns the live hosts that are not leaving, or all live hosts when every one is leaving.
+/// Returns the live hosts that are not leaving, or all live hosts when all of them are leaving.
 fn remaining_hosts(snapshot: &MembershipSnapshot) -> Vec<HostId> {
     let ids = |members: Vec<&Member>| {
         members
@@ -417,13 +417,13 @@
     }
 }
 
-async fn take_over(takeover: Takeover, membership: MembershipHandle, failed: Process) {
-    match takeover.take_over(&failed).await {
+async fn take_over(takeover: Takeover, membership: MembershipHandle, dead: Process) {
+    match takeover.take_over(&dead).await {
         Ok(_) => membership.send_heartbeats(),
         Err(cause) => log::warn!(
             "event=takeover_failed from={} incarnation={:016x} reason=\"{cause}\"",
-            failed.host_id,
-            failed.incarnation
+            dead.host_id,
+            dead.incarnation
         ),
     }
 }
@@ -446,7 +446,8 @@
 
 /// Hands off partitions together, or one by one when some of them have running calls.
 async fn move_chunk(handoff: &Handoff, partitions: &[PartitionId], to: &Member, timeout: Duration) {
-    // The other half of the timeout is reserved for handing off the partitions without running calls.
+    // The other half of the timeout is reserved for handing off one by one those partitions that have no
+    // running calls.
     match handoff.hand_off(partitions, to, timeout / 2).await {
         Err(HandoffError::Busy) if partitions.len() > 1 => {}
         outcome => {
--- a/crates/burdockroad-daemon/src/daemon/journals.rs
+++ b/crates/burdockroad-daemon/src/daemon/journals.rs
@@ -1,4 +1,4 @@
-//! Journals of this process, one for each incarnation, and recovery of the journals of failed processes.
+//! Journals of this process, one for each incarnation, and recovery of the journals of dead processes.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError, Weak},
@@ -13,7 +13,7 @@
     coordinator::JournalFactory,
     journal::{
         Journal, JournalError, JournalParts, RecoveredJournal, RecoveredTail, Recovery,
-        RecoveryError as StoredError, StoreJournal, StoreRecovery, TailStore, Trees, writer_options,
+        RecoveryError as StoreRecoveryError, StoreJournal, StoreRecovery, TailStore, Trees, writer_options,
     },
     ownership::PeersReceiver,
     peer::PeerClients,
@@ -41,7 +41,7 @@
     pub(super) cleanup: Mutex<CleanupLink>,
 }
 
-/// Trees and open journal, which must be connected before the journal can remove old segments.
+/// Trees and open journal. The journal can remove old segments only after it is connected to the trees.
 #[derive(Debug, Default)]
 pub(super) struct CleanupLink {
     trees: Option<Weak<dyn Trees>>,
@@ -101,10 +101,13 @@
 }
 
 impl RetryingRecovery {
-    async fn seal_and_read_with_retries(&self, failed: &Process) -> Result<RecoveredJournal, StoredError> {
+    async fn seal_and_read_with_retries(
+        &self,
+        dead: &Process,
+    ) -> Result<RecoveredJournal, StoreRecoveryError> {
         let deadline = Instant::now() + TAIL_TIMEOUT;
         loop {
-            let recovered = self.recovery.seal_and_read(failed).await?;
+            let recovered = self.recovery.seal_and_read(dead).await?;
             if recovered.tail != RecoveredTail::Unreached || Instant::now() >= deadline {
                 return Ok(recovered);
             }
@@ -117,22 +120,22 @@
 impl JournalRecovery for RetryingRecovery {
     async fn seal_and_read(
         &self,
-        failed: &Process,
+        dead: &Process,
         _successor: &Process,
     ) -> Result<Vec<Record>, RecoveryError> {
-        let recovered = self.seal_and_read_with_retries(failed).await?;
+        let recovered = self.seal_and_read_with_retries(dead).await?;
         if matches!(recovered.tail, RecoveredTail::Unreached | RecoveredTail::Lost) {
             log::error!(
                 "event=tail_lost host={} incarnation={:016x}",
-                failed.host_id,
-                failed.incarnation
+                dead.host_id,
+                dead.incarnation
             );
         }
         Ok(recovered.records)
     }
 
-    async fn remove(&self, failed: &Process) -> Result<(), RecoveryError> {
-        Ok(self.recovery.remove(failed).await?)
+    async fn remove(&self, dead: &Process) -> Result<(), RecoveryError> {
+        Ok(self.recovery.remove(dead).await?)
     }
 
     async fn writers(&self) -> Result<Vec<Process>, RecoveryError> {
@@ -140,11 +143,11 @@
     }
 }
 
-impl From<StoredError> for RecoveryError {
-    fn from(cause: StoredError) -> Self {
+impl From<StoreRecoveryError> for RecoveryError {
+    fn from(cause: StoreRecoveryError) -> Self {
         match cause {
-            StoredError::Store(cause) => Self::Store(cause),
-            damaged @ StoredError::Damaged { .. } => {
+            StoreRecoveryError::Store(cause) => Self::Store(cause),
+            damaged @ StoreRecoveryError::Damaged { .. } => {
                 Self::Damaged(burdockroad::Error::new(damaged.to_string()))
             }
         }
--- a/crates/burdockroad-daemon/src/journal.rs
+++ b/crates/burdockroad-daemon/src/journal.rs
@@ -20,7 +20,7 @@
 use crate::{ownership::Process, platform::StoreError};
 pub use burdockroad::journal::{Durability, JournalError};
 
-/// Append-only journal, which keeps records in the order of the calls.
+/// Append-only journal of the records of this process.
 pub trait Journal: fmt::Debug + Send + Sync {
     /// Queues records and resolves once they have the requested durability.
     ///
@@ -46,18 +46,18 @@
 /// Receiver that resolves once the appended records are durable, or could not be made durable in time.
 pub type Appended = oneshot::Receiver<Result<(), JournalError>>;
 
-/// Access to the journals of failed processes.
+/// Access to the journals of dead processes.
 #[async_trait]
 pub trait Recovery: fmt::Debug + Send + Sync {
     /// Seals the journal of a process against its writer and returns all its available records.
     ///
-    /// Sealing is idempotent, even by another successor. After an error the state of the journal is
+    /// Sealing is idempotent, even if another successor repeats it. After an error the state of the journal is
     /// unknown, and the caller retries.
     ///
     /// # Errors
     ///
     /// Fails when the key-value service is unreachable or a segment is damaged.
-    async fn seal_and_read(&self, failed: &Process) -> Result<RecoveredJournal, RecoveryError>;
+    async fn seal_and_read(&self, dead: &Process) -> Result<RecoveredJournal, RecoveryError>;
 
     /// Removes a sealed journal, once another journal contains all of its records that are still needed.
     ///
@@ -66,7 +66,7 @@
     /// # Errors
     ///
     /// Fails when the key-value service is unreachable. A later call removes the rest.
-    async fn remove(&self, failed: &Process) -> Result<(), RecoveryError>;
+    async fn remove(&self, dead: &Process) -> Result<(), RecoveryError>;
 
     /// Lists the processes that have a journal, including this one.
     ///
@@ -136,10 +136,11 @@
     }
 }
 
-/// Interface of the journal and of partition ownership to the program trees in a host's memory.
+/// Program trees in a host's memory, as the journal, handoffs and takeovers use them.
 #[async_trait]
 pub trait Trees: fmt::Debug + Send + Sync {
-    /// Adopts trees that are durable in this host's journal. A newer copy of a tree is retained.
+    /// Adopts trees that are durable in this host's journal. A tree in memory is replaced only by a newer
+    /// copy.
     async fn adopt(&self, trees: Vec<Tree>);
 
     /// Stops accepting calls for partitions, waits up to `timeout` for running calls, and returns the
--- a/crates/burdockroad-daemon/src/journal/recovery.rs
+++ b/crates/burdockroad-daemon/src/journal/recovery.rs
@@ -1,4 +1,4 @@
-//! Sealing, reading and removal of the journals of failed processes.
+//! Sealing, reading and removal of the journals of dead processes.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -37,7 +37,8 @@
     tails: Arc<TailStore>,
 }
 
-/// Sealed copies of a tail, and the outcome of sealing at the peer that was to have them.
+/// Sealed copies of a tail, and the outcome of sealing it at the tail peer, to which the writer replicated
+/// its latest records.
 #[derive(Debug)]
 struct SealedTails {
     copies: Vec<TailCopy>,
@@ -60,36 +61,38 @@
         }
     }
 
-    /// Writes a seal after the newest segment, unless there is one, and returns its number.
+    /// Writes a seal after the newest segment, unless the journal is sealed already. Returns the segment number
+    /// of the seal, or `None` when the journal has no segments.
     ///
     /// A journal without segments was never open or has been removed, and is not sealed. Its writer owns
     /// no partitions, and cannot write after its journal was removed.
-    async fn seal(&self, failed: &Process) -> Result<Option<SegmentNumber>, RecoveryError> {
+    async fn seal(&self, dead: &Process) -> Result<Option<SegmentNumber>, RecoveryError> {
         loop {
-            let listed = self.store.list(&keys::prefix(failed), Listing::Keys).await?;
+            let listed = self.store.list(&keys::prefix(dead), Listing::Keys).await?;
             let newest = listed.last().and_then(|entry| keys::parse(&entry.key));
             let Some((_, newest)) = newest else {
                 return Ok(None);
             };
-            if let Some(StoredSegment::Seal(_)) = self.read(failed, newest).await? {
+            if let Some(StoredSegment::Seal(_)) = self.read(dead, newest).await? {
                 return Ok(Some(newest));
             }
-            if self.try_seal(failed, newest).await? {
+            if self.try_seal(dead, newest).await? {
                 return Ok(Some(newest + 1));
             }
         }
     }
 
-    /// Writes a seal after a segment that still exists, and returns whether it did. Returns false when
-    /// another value is stored there or the outcome is unknown.
+    /// Writes a seal directly after the segment `newest`, and returns whether it was written. Returns false
+    /// when `newest` no longer exists, when another value is stored at the next number, or when the outcome is
+    /// unknown.
     ///
-    /// The existence of the segment is checked in the same transaction. Otherwise a successor that was
+    /// The existence of `newest` is checked in the same transaction. Otherwise a successor that was
     /// paused could write the seal at a number that the writer has already passed and cleaned up.
-    async fn try_seal(&self, failed: &Process, newest: SegmentNumber) -> Result<bool, RecoveryError> {
+    async fn try_seal(&self, dead: &Process, newest: SegmentNumber) -> Result<bool, RecoveryError> {
         let seal = StoredSegment::Seal(Seal {
             successor: self.tails.process(),
         });
-        let (key, predecessor) = (keys::segment(failed, newest + 1), keys::segment(failed, newest));
+        let (key, predecessor) = (keys::segment(dead, newest + 1), keys::segment(dead, newest));
         match self.store.create_after(&key, encode(&seal), &predecessor).await {
             Ok(Put::Done(_)) => Ok(true),
             Ok(Put::Conflict(_)) | Err(StoreError::Ambiguous { .. }) => Ok(false),
@@ -98,8 +101,8 @@
     }
 
     /// Reads the segments before a seal, in order.
-    async fn segments(&self, failed: &Process, seal: SegmentNumber) -> Result<Vec<Segment>, RecoveryError> {
-        let listed = self.store.list(&keys::prefix(failed), Listing::Keys).await?;
+    async fn segments(&self, dead: &Process, seal: SegmentNumber) -> Result<Vec<Segment>, RecoveryError> {
+        let listed = self.store.list(&keys::prefix(dead), Listing::Keys).await?;
         let numbers: Vec<_> = listed
             .iter()
             .filter_map(|entry| keys::parse(&entry.key))
@@ -107,9 +110,9 @@
             .filter(|&number| number < seal)
             .collect();
         if let Some(missing) = first_missing(&numbers, seal) {
-            return Err(damaged(keys::segment(failed, missing), "the segment is missing"));
+            return Err(damaged(keys::segment(dead, missing), "the segment is missing"));
         }
-        let reads: Vec<_> = numbers.iter().map(|&number| self.read(failed, number)).collect();
+        let reads: Vec<_> = numbers.iter().map(|&number| self.read(dead, number)).collect();
         let read: Vec<_> = stream::iter(reads)
             .buffered(CONCURRENT_READS_MAX)
             .try_collect()
@@ -120,7 +123,7 @@
                 Some(StoredSegment::Group(segment)) => segments.push(segment),
                 Some(StoredSegment::Seal(_)) => {
                     return Err(damaged(
-                        keys::segment(failed, number),
+                        keys::segment(dead, number),
                         "a seal precedes another seal",
                     ));
                 }
@@ -134,31 +137,30 @@
 
     async fn read(
         &self,
-        failed: &Process,
+        dead: &Process,
         number: SegmentNumber,
     ) -> Result<Option<StoredSegment>, RecoveryError> {
-        let stored = self.store.get(&keys::segment(failed, number)).await?;
+        let stored = self.store.get(&keys::segment(dead, number)).await?;
         stored.as_ref().map(decode).transpose()
     }
 
-    /// Seals the tail at this process, at the peer that was to have copies, and at all other peers that
-    /// respond.
-    async fn seal_tails(&self, failed: &Process, tail_peer: Option<&Process>) -> SealedTails {
+    /// Seals the tail at this process and at all peers that respond, and reports the outcome at the tail peer.
+    async fn seal_tails(&self, dead: &Process, tail_peer: Option<&Process>) -> SealedTails {
         let view = Arc::clone(&self.peers.borrow());
         let others: Vec<_> = view
             .peers
             .values()
-            .filter(|peer| peer.process != *failed)
+            .filter(|peer| peer.process != *dead)
             .cloned()
             .collect();
-        let requests = others.iter().map(|peer| self.seal_tail_at(peer, failed));
+        let requests = others.iter().map(|peer| self.seal_tail_at(peer, dead));
         let mut responses: BTreeMap<Process, TailCopy> =
             join_all(requests).await.into_iter().flatten().collect();
-        responses.insert(self.tails.process(), self.tails.seal_local(failed));
+        responses.insert(self.tails.process(), self.tails.seal_local(dead));
         let outcome = match tail_peer {
             None => RecoveredTail::NotKept,
             Some(tail_peer) if responses.contains_key(tail_peer) => RecoveredTail::Sealed,
-            // A host that responds as another process has lost the copies of the earlier process.
+            // The host responded as another process, so the copies of its earlier process are lost.
             Some(tail_peer) if responses.keys().any(|other| other.host_id == tail_peer.host_id) => {
                 RecoveredTail::Lost
             }
@@ -170,9 +172,9 @@
         }
     }
 
-    async fn seal_tail_at(&self, peer: &PeerView, failed: &Process) -> Option<(Process, TailCopy)> {
+    async fn seal_tail_at(&self, peer: &PeerView, dead: &Process) -> Option<(Process, TailCopy)> {
         let request = SealTailRequest {
-            writer: Some(host_ref(failed)),
+            writer: Some(host_ref(dead)),
             successor: Some(host_ref(&self.tails.process())),
         };
         let mut client = self.clients.get(&peer.address).ok()?;
@@ -188,23 +190,23 @@
 
 #[async_trait]
 impl Recovery for StoreRecovery {
-    async fn seal_and_read(&self, failed: &Process) -> Result<RecoveredJournal, RecoveryError> {
-        let Some(seal) = self.seal(failed).await? else {
+    async fn seal_and_read(&self, dead: &Process) -> Result<RecoveredJournal, RecoveryError> {
+        let Some(seal) = self.seal(dead).await? else {
             return Ok(RecoveredJournal {
                 records: Vec::new(),
                 tail_count: 0,
                 tail: RecoveredTail::NotKept,
             });
         };
-        let segments = self.segments(failed, seal).await?;
+        let segments = self.segments(dead, seal).await?;
         let tail_peer = segments.last().and_then(|segment| segment.tail_peer.as_ref());
-        let tails = self.seal_tails(failed, tail_peer).await;
+        let tails = self.seal_tails(dead, tail_peer).await;
         let joined = join(&segments, &tails.copies)
-            .map_err(|cause| damaged(keys::prefix(failed), &cause.to_string()))?;
+            .map_err(|cause| damaged(keys::prefix(dead), &cause.to_string()))?;
         log::info!(
             "event=journal_sealed host={} incarnation={:016x} seal={seal} segments={} records={} from_copies={} tail={:?}",
-            failed.host_id,
-            failed.incarnation,
+            dead.host_id,
+            dead.incarnation,
             segments.len(),
             joined.records.len(),
             joined.tail_count,
@@ -217,30 +219,30 @@
         })
     }
 
-    async fn remove(&self, failed: &Process) -> Result<(), RecoveryError> {
-        let listed = self.store.list(&keys::prefix(failed), Listing::Keys).await?;
+    async fn remove(&self, dead: &Process) -> Result<(), RecoveryError> {
+        let listed = self.store.list(&keys::prefix(dead), Listing::Keys).await?;
         let numbers = listed.iter().filter_map(|entry| keys::parse(&entry.key));
         let Some(newest) = numbers.map(|(_, number)| number).max() else {
             return Ok(());
         };
         if !matches!(
-            self.read(failed, newest).await?,
+            self.read(dead, newest).await?,
             Some(StoredSegment::Seal(_)) | None
         ) {
             return Err(damaged(
-                keys::segment(failed, newest),
+                keys::segment(dead, newest),
                 "the newest segment is not a seal",
             ));
         }
-        let (first, seal) = (keys::segment(failed, 0), keys::segment(failed, newest));
-        // The writer cannot create another segment without its last one. Only after that removal is it safe
-        // to delete the seal.
+        let (first, seal) = (keys::segment(dead, 0), keys::segment(dead, newest));
+        // The seal is deleted last. Once the segment before it is removed, the writer cannot create another
+        // segment.
         self.store.delete_range(&first, &seal).await?;
         self.store.delete(&seal).await?;
         log::info!(
             "event=journal_removed host={} incarnation={:016x}",
-            failed.host_id,
-            failed.incarnation
+            dead.host_id,
+            dead.incarnation
         );
         Ok(())
     }
--- a/crates/burdockroad-daemon/src/lib.rs
+++ b/crates/burdockroad-daemon/src/lib.rs
@@ -10,7 +10,7 @@
 //! [`daemon`] assembles the components. A request arrives through [`http`], is routed to the owner of
 //! its program by [`edge`], and runs in [`calls`], which enforces the limits of [`programs`] and writes
 //! the response to an [`answer`]. [`coordinator`] makes the host part of the fleet: [`membership`]
-//! tracks which hosts are live, [`takeover`] takes over the partitions of failed processes, and
+//! tracks which hosts are live, [`takeover`] takes over the partitions of dead processes, and
 //! [`handoff`] moves partitions between running processes.
 
 pub mod admin;
--- a/crates/burdockroad-daemon/src/membership/actor.rs
+++ b/crates/burdockroad-daemon/src/membership/actor.rs
@@ -20,7 +20,7 @@
     config_watch::DocumentGossip,
     membership::{
         lease::Lease,
-        wire::{host_ref, process_of, request_sighting, response_sighting},
+        wire::{host_ref, process_of, report_from_request, report_from_response},
     },
     ownership::{OwnershipReceiver, PeerView, PeersReceiver, PeersView},
     peer::{HeartbeatHandler, PeerClients},
@@ -46,7 +46,7 @@
     pub clients: Arc<PeerClients>,
     /// The ownership map, whose version heartbeats carry.
     pub ownership: OwnershipReceiver,
-    /// Source of the configuration document's version and age, which heartbeats carry.
+    /// Source and receiver of the document freshness that heartbeats carry.
     pub document: Arc<dyn DocumentGossip>,
 }
 
@@ -54,11 +54,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipSnapshot {
     /// Removed or unresponsive processes that own partitions and may be taken over.
-    pub failed: Vec<DeadProcess>,
+    pub dead: Vec<DeadProcess>,
     /// This process and those whose last report is within the suspicion time.
     pub live: Vec<Member>,
     /// Whether the host list was read and every host on it is live.
-    pub complete: bool,
+    pub all_listed_live: bool,
     /// Highest version of the ownership map that a peer has reported.
     pub ownership_version: u64,
 }
@@ -227,7 +227,7 @@
             Message::ReadHostList => read_host_list(&state.arguments, &myself),
             Message::HostListRead(hosts) => state.on_host_list(hosts, &myself),
             Message::Heartbeat { request, reply } => {
-                let response = state.heartbeat(&request);
+                let response = state.on_heartbeat(&request);
                 // The requester may have timed out.
                 let _ = reply.send(response);
             }
@@ -277,7 +277,7 @@
     }
 
     fn send_heartbeat(&self, target: Target, myself: ActorRef<Message>) {
-        let request = self.request();
+        let request = self.heartbeat_request();
         let clients = Arc::clone(&self.arguments.clients);
         tokio::spawn(async move {
             let sent_at = Instant::now();
@@ -292,7 +292,7 @@
         });
     }
 
-    fn request(&self) -> HeartbeatRequest {
+    fn heartbeat_request(&self) -> HeartbeatRequest {
         let me = self.table.me();
         HeartbeatRequest {
             from: Some(host_ref(&me.process)),
@@ -305,8 +305,8 @@
         }
     }
 
-    fn heartbeat(&mut self, request: &HeartbeatRequest) -> HeartbeatResponse {
-        if let Some(report) = request_sighting(request) {
+    fn on_heartbeat(&mut self, request: &HeartbeatRequest) -> HeartbeatResponse {
+        if let Some(report) = report_from_request(request) {
             self.observe(report, request.ownership_version);
         }
         let me = self.table.me();
@@ -330,7 +330,7 @@
         let Some(response) = response else {
             return;
         };
-        let Some(report) = response_sighting(response, &target.address) else {
+        let Some(report) = report_from_response(response, &target.address) else {
             return;
         };
         let process = report.member.process.clone();
@@ -399,9 +399,9 @@
         live.push(self.table.me().clone());
         self.publish_peers(members);
         self.outputs.snapshot.send_replace(Arc::new(MembershipSnapshot {
-            failed: self.table.dead(now),
+            dead: self.table.dead(now),
             live,
-            complete: self.host_list_read && self.table.all_listed_live(now),
+            all_listed_live: self.host_list_read && self.table.all_listed_live(now),
             ownership_version: self.ownership_version,
         }));
     }
--- a/crates/burdockroad-daemon/src/membership/lease.rs
+++ b/crates/burdockroad-daemon/src/membership/lease.rs
@@ -9,7 +9,7 @@
 
 use crate::quota::OwnerLease;
 
-/// Lease of this process, which responses to its heartbeats extend.
+/// Lease of this process. Responses to its heartbeats extend the lease.
 #[derive(Debug)]
 pub struct Lease {
     expires_at: Mutex<Result<Option<Instant>, TooFewAcknowledgements>>,
--- a/crates/burdockroad-daemon/src/membership/wire.rs
+++ b/crates/burdockroad-daemon/src/membership/wire.rs
@@ -22,8 +22,8 @@
     }
 }
 
-/// Returns the sighting of a heartbeat's sender, or `None` when the heartbeat has no sender.
-pub(super) fn request_sighting(request: &HeartbeatRequest) -> Option<HeartbeatReport> {
+/// Converts a heartbeat request to a report. Returns `None` when the request does not name its sender.
+pub(super) fn report_from_request(request: &HeartbeatRequest) -> Option<HeartbeatReport> {
     Some(HeartbeatReport {
         member: Member {
             process: process_of(request.from.as_ref()?),
@@ -35,8 +35,9 @@
     })
 }
 
-/// Returns the sighting of a heartbeat response's sender, or `None` when the response has no sender.
-pub(super) fn response_sighting(response: &HeartbeatResponse, address: &str) -> Option<HeartbeatReport> {
+/// Converts a heartbeat response to a report of the peer at `address`. Returns `None` when the response does
+/// not name its sender.
+pub(super) fn report_from_response(response: &HeartbeatResponse, address: &str) -> Option<HeartbeatReport> {
     Some(HeartbeatReport {
         member: Member {
             process: process_of(response.from.as_ref()?),
--- a/crates/burdockroad-daemon/src/takeover.rs
+++ b/crates/burdockroad-daemon/src/takeover.rs
@@ -1,6 +1,6 @@
-//! Takeover of the partitions of a failed process.
+//! Takeover of the partitions of a dead process.
 //!
-//! A takeover seals and reads the failed process's journal, makes its trees durable in this process's
+//! A takeover seals and reads the dead process's journal, makes its trees durable in this process's
 //! journal, *then* changes the ownership map, *then* removes the old journal. This order makes every
 //! step safe to repeat, by this process or another. Until the map changes, the old journal is
 //! authoritative; afterwards this process's journal is. Copies anywhere else are ignored.
@@ -30,7 +30,7 @@
 /// Maximum number of attempts at a takeover when the map changes concurrently.
 const ATTEMPTS_MAX: u32 = 8;
 
-/// Takeover of the partitions of failed processes.
+/// Takeover of the partitions of dead processes.
 #[derive(Clone, Debug)]
 pub struct Takeover {
     /// Handle of the ownership map.
@@ -55,7 +55,7 @@
 pub enum TakeoverError {
     /// The ownership map was not changed.
     Ownership(ChangeError),
-    /// The journal of the failed process could not be sealed, read or removed.
+    /// The journal of the dead process could not be sealed, read or removed.
     Recovery(RecoveryError),
     /// The copied trees could not be made durable in this process's journal.
     Stage(StageError),
@@ -98,20 +98,20 @@
 }
 
 impl Takeover {
-    /// Takes over all partitions of a failed process. Does nothing when it owns none.
+    /// Takes over all partitions of a dead process. Does nothing when that process owns none.
     ///
     /// # Errors
     ///
     /// Fails when the key-value service is unreachable, when this process is itself fenced, or when the map
     /// keeps changing concurrently.
-    pub async fn take_over(&self, failed: &Process) -> Result<TakeoverSummary, TakeoverError> {
+    pub async fn take_over(&self, dead: &Process) -> Result<TakeoverSummary, TakeoverError> {
         let me = self.ownership.me();
         for _ in 0..ATTEMPTS_MAX {
             self.ownership.refresh().await?;
-            if self.ownership.map().partitions_of(failed).is_empty() {
+            if self.ownership.map().partitions_of(dead).is_empty() {
                 return Ok(TakeoverSummary::default());
             }
-            match self.move_to(&me, failed).await {
+            match self.attempt_takeover(&me, dead).await {
                 Err(TakeoverError::Ownership(ChangeError::Conflict)) => {}
                 outcome => return outcome,
             }
@@ -121,28 +121,28 @@
 
     /// Removes the journal of a process that owns no partitions.
     ///
-    /// Another process may be about to hand partitions off to it. Once its journal is sealed, the process
-    /// cannot accept a handoff. The change of the map then fails any handoff that it accepted earlier.
-    /// Only after both is the journal removed.
+    /// Another process may be about to hand partitions off to that process. Once its journal is sealed, it
+    /// cannot accept a handoff. A change of the map without moves then makes any handoff fail that it accepted
+    /// earlier. The journal is removed only after both steps.
     ///
     /// # Errors
     ///
     /// Fails as [`take_over`](Self::take_over) does, and also when the map changed concurrently.
-    pub async fn remove_orphaned(&self, failed: &Process) -> Result<(), TakeoverError> {
+    pub async fn remove_orphaned(&self, writer: &Process) -> Result<(), TakeoverError> {
         let me = self.ownership.me();
         self.ownership.refresh().await?;
-        if self.ownership.map().partitions_of(failed).is_empty() {
-            self.move_to(&me, failed).await?;
+        if self.ownership.map().partitions_of(writer).is_empty() {
+            self.attempt_takeover(&me, writer).await?;
         }
         Ok(())
     }
 
     /// Attempts the takeover once, based on the current local copy of the map.
-    async fn move_to(&self, me: &Process, failed: &Process) -> Result<TakeoverSummary, TakeoverError> {
+    async fn attempt_takeover(&self, me: &Process, dead: &Process) -> Result<TakeoverSummary, TakeoverError> {
         let map = self.ownership.map();
-        let moves = takeover_moves(&map, failed, me);
+        let moves = takeover_moves(&map, dead, me);
         let partitions: BTreeSet<PartitionId> = moves.iter().map(|step| step.partition).collect();
-        let records = self.recovery.seal_and_read(failed, me).await?;
+        let records = self.recovery.seal_and_read(dead, me).await?;
         self.ensure_unchanged(map.version).await?;
         // Trees of other partitions in the journal were handed off, or were copies that never became
         // authoritative.
@@ -168,19 +168,19 @@
         log::info!(
             "event=taken_over host={} from={} incarnation={:016x} partitions={} trees={}",
             me.host_id,
-            failed.host_id,
-            failed.incarnation,
+            dead.host_id,
+            dead.incarnation,
             summary.partitions,
             summary.trees,
         );
         metrics::counter!("burdockroad_takeovers_total").increment(1);
-        self.remove(failed).await;
+        self.remove(dead).await;
         Ok(summary)
     }
 
     /// Fails when the map has changed since `version`.
     ///
-    /// Before its journal was sealed, the failed process may have handed a partition off to this process
+    /// Before its journal was sealed, the dead process may have handed a partition off to this process
     /// and recorded that it dropped the trees. The records read from the journal then lack these trees and
     /// must not replace the copies that the handoff staged here. If the map is unchanged, no tree was
     /// dropped.
@@ -206,11 +206,11 @@
     }
 
     /// Removes a journal that is no longer needed. On failure a later orphan sweep removes it.
-    async fn remove(&self, failed: &Process) {
-        if let Err(cause) = self.recovery.remove(failed).await {
+    async fn remove(&self, dead: &Process) {
+        if let Err(cause) = self.recovery.remove(dead).await {
             log::warn!(
                 "event=journal_not_removed host={} reason=\"{cause}\"",
-                failed.host_id
+                dead.host_id
             );
         }
     }
@@ -220,7 +220,7 @@
     let mut replay = Replay::new();
     for record in records {
         let root_id = record.root_id.clone();
-        // A gap occurs where a replica was lost together with its writer. The records before it are kept.
+        // A gap occurs where a replica was lost together with its writer. The records before the gap are kept.
         if let Err(cause) = replay.apply(record) {
             log::error!("event=record_not_replayed program={root_id} reason=\"{cause}\"");
         }
--- a/crates/burdockroad-daemon/src/takeover/recovery.rs
+++ b/crates/burdockroad-daemon/src/takeover/recovery.rs
@@ -18,18 +18,14 @@
     /// # Errors
     ///
     /// Fails when the key-value service is unreachable or the journal is damaged.
-    async fn seal_and_read(
-        &self,
-        failed: &Process,
-        successor: &Process,
-    ) -> Result<Vec<Record>, RecoveryError>;
+    async fn seal_and_read(&self, dead: &Process, successor: &Process) -> Result<Vec<Record>, RecoveryError>;
 
     /// Removes a sealed journal.
     ///
     /// # Errors
     ///
     /// Fails when the key-value service is unreachable.
-    async fn remove(&self, failed: &Process) -> Result<(), RecoveryError>;
+    async fn remove(&self, dead: &Process) -> Result<(), RecoveryError>;
 
     /// Returns the processes that have a journal.
     ///
