--- a/crates/burdockroad-daemon/src/config_watch.rs
+++ b/crates/burdockroad-daemon/src/config_watch.rs
@@ -29,13 +29,14 @@
 
 /// Exchange of the document's freshness between hosts through heartbeats.
 pub trait DocumentGossip: fmt::Debug + Send + Sync {
-    /// Returns the version and age that this host attests to, which each heartbeat and each heartbeat
-    /// response carries.
+    /// Returns the version of the document in force and the age of its newest confirmation. Each heartbeat
+    /// and each heartbeat response carries both.
     fn document_freshness(&self) -> DocumentFreshness;
 
     /// Records the freshness in a peer's response to a heartbeat that this host sent at `requested_at`.
     ///
-    /// Heartbeats that peers send do not count, because this host cannot determine their age.
+    /// The freshness in heartbeats that peers send is ignored, because this host cannot determine the age of
+    /// a heartbeat.
     fn observe_peer(
         &self,
         host_id: &HostId,
@@ -44,14 +45,14 @@
         freshness: &DocumentFreshness,
     );
 
-    /// Records the platform's host list each time it was read.
+    /// Records the platform's host list. Called after each read of the list.
     fn observe_list(&self, hosts: &[ListedHost]);
 }
 
-/// Receiver of the stored document from an operator's tool.
+/// Handler of documents that an operator's tool sends to this host.
 ///
-/// The store may be unreachable for all hosts but reachable for the tool. The tool then sends the
-/// document that it has just stored. A host that can confirm its own document ignores such a document.
+/// The store may be unreachable for all hosts but reachable for the tool. The tool then sends the hosts
+/// the document that it has just stored. A host that can confirm its own document ignores it.
 pub trait DocumentOffer: fmt::Debug + Send + Sync {
     /// Puts a document in force if it is newer and this host cannot confirm its own. Returns the version
     /// that is in force afterwards.
@@ -93,7 +94,7 @@
         Arc::<Shared>::clone(&self.shared)
     }
 
-    /// Returns the receiver of documents from operators' tools.
+    /// Returns the handler of documents that operators' tools send.
     pub fn offer(&self) -> Arc<dyn DocumentOffer> {
         Arc::<Shared>::clone(&self.shared)
     }
--- a/crates/burdockroad-daemon/src/config_watch/in_force.rs
+++ b/crates/burdockroad-daemon/src/config_watch/in_force.rs
@@ -29,7 +29,7 @@
     pub text: String,
     /// Parsed document.
     pub document: Document,
-    /// Valid keys of the document.
+    /// API keys that the document contains and that are not withdrawn.
     pub keys: KeyTable,
     tracker: Option<SharedTracker>,
 }
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Returns whether keys may be accepted now, that is, whether the document is current or cannot be
-    /// changed by anyone.
+    /// Returns whether keys may be accepted now. This requires that the document is confirmed, or that no
+    /// host can confirm it, so that it cannot have been changed.
     pub fn accepts_keys(&self) -> bool {
         self.is_loaded() && self.freshness() != Freshness::CutOff
     }
--- a/crates/burdockroad-daemon/src/config_watch/shared.rs
+++ b/crates/burdockroad-daemon/src/config_watch/shared.rs
@@ -31,6 +31,7 @@
     Operator,
 }
 
+/// Document in force with its freshness, and the clients with which the tasks update it.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) store: SharedKeyValue,
@@ -62,7 +63,7 @@
     }
 
     /// Puts a document in force if its version is higher than the one in force.
-    pub(super) fn offer(&self, versioned: VersionedDocument, source: Source) {
+    pub(super) fn put_in_force(&self, versioned: VersionedDocument, source: Source) {
         let version = versioned.version;
         let in_force = InForce::tracked(versioned, Arc::clone(&self.tracker));
         // The lock is held until the document is published, so that versions are published in order.
@@ -89,11 +90,12 @@
         self.tracker().attestation_age(Instant::now())
     }
 
-    pub(super) fn decide(&self) -> Freshness {
+    pub(super) fn freshness(&self) -> Freshness {
         self.tracker().decide(Instant::now())
     }
 
-    /// Returns the address of a peer that has a higher version.
+    /// Returns the address of the peer to fetch the document from, or `None` when no peer with a known address
+    /// has a higher version.
     pub(super) fn peer_to_fetch_from(&self) -> Option<String> {
         let host_id = self.tracker().peer_to_fetch_from(Instant::now()).cloned()?;
         self.addresses().get(&host_id).cloned()
@@ -145,8 +147,8 @@
 
 impl DocumentOffer for Shared {
     fn offer_document(&self, versioned: VersionedDocument) -> DocumentVersion {
-        if self.decide() != Freshness::Fresh {
-            self.offer(versioned, Source::Operator);
+        if self.freshness() != Freshness::Fresh {
+            self.put_in_force(versioned, Source::Operator);
         }
         self.version()
     }
--- a/crates/burdockroad-daemon/src/config_watch/tasks.rs
+++ b/crates/burdockroad-daemon/src/config_watch/tasks.rs
@@ -55,7 +55,7 @@
     while let Some(event) = events.recv().await {
         match event {
             WatchEvent::Changed(Some(entry)) => {
-                take(shared, &entry);
+                put_entry_in_force(shared, &entry);
             }
             WatchEvent::Changed(None) => {
                 log::error!("event=document_removed version_kept={}", shared.version());
@@ -82,7 +82,7 @@
     }
 }
 
-/// Document version with the store revision that it was read at.
+/// Confirmed document version, with the store revision of the value that contains it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ConfirmedRevision {
     version: DocumentVersion,
@@ -106,13 +106,14 @@
     Ok(())
 }
 
-/// Reads the document and confirms its version. Returns `None` when there is no usable document.
+/// Reads the document, puts it in force if it is newer, and confirms its version. Returns `None` when the
+/// store has no valid document.
 async fn read(shared: &Shared) -> Result<Option<ConfirmedRevision>, StoreError> {
     let requested_at = Instant::now();
     let Some(entry) = shared.store.get(DOCUMENT_KEY).await? else {
         return Ok(None);
     };
-    let version = take(shared, &entry);
+    let version = put_entry_in_force(shared, &entry);
     if let Some(version) = version {
         shared.confirm(version, requested_at);
     }
@@ -122,8 +123,9 @@
     }))
 }
 
-/// Puts a stored document in force if it is newer, and returns its version.
-fn take(shared: &Shared, entry: &Entry) -> Option<DocumentVersion> {
+/// Puts a stored document in force if it is newer than the current one. Returns its version, or `None` when
+/// the stored document is not valid.
+fn put_entry_in_force(shared: &Shared, entry: &Entry) -> Option<DocumentVersion> {
     match VersionedDocument::from_bytes(&entry.value) {
         Ok(versioned) => {
             let version = versioned.version;
@@ -133,7 +135,7 @@
                     shared.version()
                 );
             }
-            shared.offer(versioned, Source::Store);
+            shared.put_in_force(versioned, Source::Store);
             Some(version)
         }
         Err(error) => {
@@ -167,7 +169,7 @@
     match request_document(shared, address).await {
         Ok(versioned) => {
             let is_higher = versioned.version > shared.version();
-            shared.offer(versioned, Source::Peer);
+            shared.put_in_force(versioned, Source::Peer);
             is_higher
         }
         Err(reason) => {
@@ -198,7 +200,7 @@
 }
 
 fn report_freshness(last_reported: &mut Freshness, shared: &Shared) {
-    let freshness = shared.decide();
+    let freshness = shared.freshness();
     let fresh = if freshness == Freshness::Fresh { 1.0 } else { 0.0 };
     metrics::gauge!("burdockroad_document_fresh").set(fresh);
     if freshness == *last_reported {
