--- a/crates/burdockroad-daemon/src/coordinator.rs
+++ b/crates/burdockroad-daemon/src/coordinator.rs
@@ -65,7 +65,7 @@
     pub trees: Arc<dyn Trees>,
     /// Connections to peers.
     pub clients: Arc<PeerClients>,
-    /// Source of the configuration document's version and age, which heartbeats carry.
+    /// Source and receiver of the document freshness that heartbeats carry.
     pub document: Arc<dyn DocumentGossip>,
 }
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// Membership, partition ownership, takeovers and handoffs of this host, until shutdown.
+/// Participation of this host in the fleet: membership, partition ownership, takeovers and handoffs.
 #[derive(Debug)]
 pub struct Coordinator {
     ownership: OwnershipHandle,
@@ -112,7 +112,7 @@
         let lease = options.views.lease();
         let ownership = start_ownership(&options, &me, &staging, &fenced).await?;
         let membership = start_membership(&options, &me, &ownership).await?;
-        let (commands, received) = mpsc::channel(1);
+        let (commands, command_receiver) = mpsc::channel(1);
         let takeover = Takeover {
             ownership: ownership.clone(),
             staging: Arc::clone(&staging),
@@ -140,7 +140,7 @@
             journal,
             lease,
             commands,
-            worker: tokio::spawn(worker.run(received)),
+            worker: tokio::spawn(worker.run(command_receiver)),
         })
     }
 
@@ -159,7 +159,7 @@
         Arc::clone(&self.lease)
     }
 
-    /// Returns the journal of this process, which stays valid across incarnations.
+    /// Returns the handle of this process's journal. The handle stays valid across incarnations.
     pub fn journal(&self) -> Arc<JournalHandle> {
         Arc::clone(&self.journal)
     }
--- a/crates/burdockroad-daemon/src/coordinator/journal_handle.rs
+++ b/crates/burdockroad-daemon/src/coordinator/journal_handle.rs
@@ -14,10 +14,11 @@
 /// Backoff before a journal is opened under another incarnation.
 const REOPEN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Factory of journals.
+/// Opens one journal for each incarnation of this process.
 #[async_trait]
 pub trait JournalFactory: fmt::Debug + Send + Sync {
-    /// Opens the journal of a new process. Returns once the process can be fenced permanently.
+    /// Opens the journal of a new process. Returns once another process can seal the journal, which fences
+    /// the new process permanently.
     ///
     /// # Errors
     ///
--- a/crates/burdockroad-daemon/src/coordinator/views.rs
+++ b/crates/burdockroad-daemon/src/coordinator/views.rs
@@ -10,7 +10,7 @@
     ownership::{OwnershipReceiver, OwnershipView, PeersReceiver, PeersView},
 };
 
-/// Published ownership map, peers and lease, which are empty until a coordinator updates them.
+/// Published ownership map, peers and lease. They are empty until a coordinator updates them.
 #[derive(Clone, Debug)]
 pub struct Views {
     me: Process,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the process as which this host starts.
+    /// Returns the process under which this host starts. After a rejoin this host runs under another one.
     pub fn me(&self) -> Process {
         self.me.clone()
     }
--- a/crates/burdockroad-daemon/src/document_source.rs
+++ b/crates/burdockroad-daemon/src/document_source.rs
@@ -28,12 +28,13 @@
     last_seen: Mutex<LastSeen>,
 }
 
-/// Inputs at the last call of [`PoolSource::version`], and the number of their changes.
+/// Document version and leaving hosts at the last call of [`PoolSource::version`], and the number of changes
+/// seen since the start.
 #[derive(Clone, Debug, Default)]
 struct LastSeen {
     document: DocumentVersion,
     leaving: BTreeSet<HostId>,
-    /// Number of changes of either input, which is the version of the source.
+    /// Number of changes, which [`PoolSource::version`] returns.
     change_count: u64,
 }
 
--- a/crates/burdockroad-daemon/src/handoff.rs
+++ b/crates/burdockroad-daemon/src/handoff.rs
@@ -1,4 +1,4 @@
-//! Handoff of partitions to another process, and adoption of partitions from one.
+//! Handoff of partitions to another process, and adoption of partitions that another process hands off.
 //!
 //! The order is the same as in a takeover: the new owner has the trees in its journal, *then* the map
 //! names it, *then* the old owner drops the trees. Until the map changes, the old owner has all data
@@ -242,7 +242,7 @@
     async fn stage(&self, request: AdoptRequest) -> Option<()> {
         let from = process_of(request.from.as_ref()?);
         let to = process_of(request.to.as_ref()?);
-        let orders = orders(&request)?;
+        let orders = stage_orders(&request)?;
         if self.is_outdated(&from, &orders) {
             return None;
         }
@@ -269,7 +269,7 @@
     }
 }
 
-fn orders(request: &AdoptRequest) -> Option<BTreeMap<PartitionId, StageOrder>> {
+fn stage_orders(request: &AdoptRequest) -> Option<BTreeMap<PartitionId, StageOrder>> {
     if request.epochs.len() != request.partitions.len() {
         return None;
     }
--- a/crates/burdockroad-daemon/src/journal/actor.rs
+++ b/crates/burdockroad-daemon/src/journal/actor.rs
@@ -42,16 +42,16 @@
 /// Messages of the actor.
 #[derive(Debug)]
 pub(super) enum JournalMessage {
-    /// Appends records to the queue.
+    /// Records to append to the queue.
     Append {
         records: Vec<Record>,
         durability: Durability,
         reply: oneshot::Sender<Result<(), JournalError>>,
         appended_at: Instant,
     },
-    /// Sets the trees that write snapshots on request.
+    /// Trees from which the actor requests snapshots.
     SetTrees(Weak<dyn Trees>),
-    /// Reports that the view of the peers has changed.
+    /// Change of the view of the peers.
     PeersChanged,
     /// Outcome of a segment write.
     Written(WriteReply),
@@ -163,7 +163,7 @@
         message: Self::Msg,
         state: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
-        state.take(message);
+        state.apply(message);
         state.poll(&myself);
         Ok(())
     }
@@ -183,7 +183,7 @@
 
 impl JournalState {
     /// Applies a message to the writer and to the state of the actor.
-    fn take(&mut self, message: JournalMessage) {
+    fn apply(&mut self, message: JournalMessage) {
         let now = Instant::now();
         match message {
             JournalMessage::Append {
@@ -284,7 +284,7 @@
         let _sent = pending.reply.send(result);
     }
 
-    fn replicate(&self, to: Process, copies: TailBatch, myself: &ActorRef<JournalMessage>) {
+    fn replicate(&self, to: Process, batch: TailBatch, myself: &ActorRef<JournalMessage>) {
         let view = Arc::clone(&self.parts.peers.borrow());
         let peer = view.peers.get(&to.host_id);
         let address = peer
@@ -293,9 +293,9 @@
         let clients = Arc::clone(&self.parts.clients);
         let (me, myself) = (self.parts.options.me.clone(), myself.clone());
         tokio::spawn(async move {
-            let session = copies.session;
+            let session = batch.session;
             let reply = match address {
-                Some(address) => send_copies(&clients, &address, &me, &to, copies).await,
+                Some(address) => send_batch(&clients, &address, &me, &to, batch).await,
                 None => TailReply::Failed,
             };
             let _cast = myself.cast(JournalMessage::Replicated {
@@ -391,20 +391,20 @@
     }
 }
 
-async fn send_copies(
+async fn send_batch(
     clients: &PeerClients,
     address: &str,
     me: &Process,
     to: &Process,
-    copies: TailBatch,
+    batch: TailBatch,
 ) -> TailReply {
     let request = ReplicateTailRequest {
         writer: Some(host_ref(me)),
         to: Some(host_ref(to)),
-        session: copies.session,
-        position: copies.position,
-        records: copies.records.iter().map(|record| record.to_vec()).collect(),
-        stored_end: copies.stored_end,
+        session: batch.session,
+        position: batch.position,
+        records: batch.records.iter().map(|record| record.to_vec()).collect(),
+        stored_end: batch.stored_end,
     };
     let Ok(mut client) = clients.get(address) else {
         return TailReply::Failed;
--- a/crates/burdockroad-daemon/src/journal/store_journal.rs
+++ b/crates/burdockroad-daemon/src/journal/store_journal.rs
@@ -101,7 +101,8 @@
         Ok(journal)
     }
 
-    /// Sets the trees that write snapshots on request, so that old segments can be removed.
+    /// Sets the trees from which the journal requests snapshots. Old segments can be removed only after the
+    /// snapshots of their trees are written.
     pub fn set_trees(&self, trees: Weak<dyn Trees>) {
         // A stopped actor removes no segments.
         let _cast = self.actor.cast(JournalMessage::SetTrees(trees));
@@ -112,7 +113,7 @@
         &self.me
     }
 
-    /// Waits until another process has sealed the journal, or it was closed.
+    /// Waits until another process has sealed the journal or the journal has been closed.
     pub async fn fenced(&self) {
         let mut admission = self.admission.clone();
         // An error means that the actor has stopped, which is treated the same way.
--- a/crates/burdockroad-daemon/src/journal/tail.rs
+++ b/crates/burdockroad-daemon/src/journal/tail.rs
@@ -15,7 +15,7 @@
 
 /// Store of tail copies, which handles the replicate and seal requests of peers.
 ///
-/// A process that resumes under another incarnation must [restart](Self::restart) it.
+/// A process that resumes under another incarnation must [restart](Self::restart) the store.
 #[derive(Debug)]
 pub struct TailStore {
     options: TailTableOptions,
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Drops all copies and resumes as another process, as after a restart of the host.
+    /// Drops all copies, like a restart of the host does, and resumes as another process.
     pub fn restart(&self, me: Process) {
         let table = TailTable::new(self.options);
         *self.lock() = TailState { me, table };
     }
 
-    /// Returns the process that the copies are stored at.
+    /// Returns the process that stores the copies.
     pub fn process(&self) -> Process {
         self.lock().me.clone()
     }
@@ -82,13 +82,13 @@
                 ..ReplicateTailResponse::default()
             };
         };
-        let copies = TailBatch {
+        let batch = TailBatch {
             session: request.session,
             position: request.position,
             records: request.records.into_iter().map(Arc::from).collect(),
             stored_end: request.stored_end,
         };
-        match state.table.append_batch(&process_of(writer), copies) {
+        match state.table.append_batch(&process_of(writer), batch) {
             TailReply::Held(held_end) => ReplicateTailResponse {
                 held_end,
                 ..ReplicateTailResponse::default()
--- a/crates/burdockroad-daemon/src/ownership/actor.rs
+++ b/crates/burdockroad-daemon/src/ownership/actor.rs
@@ -213,7 +213,7 @@
     view: watch::Sender<Arc<OwnershipView>>,
     current: Option<VersionedMap>,
     serving: bool,
-    /// Partitions of the running handoff, whose loss does not mean that this process was taken over.
+    /// Partitions that this process is handing off. Losing them does not mean that it was taken over.
     handing_off: BTreeSet<PartitionId>,
 }
 
--- a/crates/burdockroad-daemon/src/ownership/staging.rs
+++ b/crates/burdockroad-daemon/src/ownership/staging.rs
@@ -132,7 +132,8 @@
     /// Removes and returns the staged trees of partitions that a map assigns to this process.
     ///
     /// The map names this process only after a copy was confirmed as durable. A later copy of the same
-    /// epoch may have replaced that copy without being confirmed yet. It has the same trees and is queued.
+    /// epoch may have replaced that copy without being confirmed yet. It has the same trees and is queued in
+    /// the journal.
     pub async fn take(&self, map: &OwnershipMap, partitions: &BTreeSet<PartitionId>) -> Vec<Tree> {
         let mut inner = self.inner.lock().await;
         let mut trees = Vec::new();
--- a/crates/burdockroad-daemon/src/ownership/store.rs
+++ b/crates/burdockroad-daemon/src/ownership/store.rs
@@ -97,7 +97,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the first attempt failed without effect, or the map cannot be encoded.
+    /// Fails when the first attempt failed without effect, when the map cannot be encoded, or when the stored
+    /// value that conflicts is not a valid map.
     pub async fn swap(&self, expected: Expected, next: &OwnershipMap) -> Result<Swap, MapError> {
         let value = Bytes::from(next.encode()?);
         let mut backoff = REWRITE_BACKOFF;
--- a/crates/burdockroad-daemon/src/peer/clients.rs
+++ b/crates/burdockroad-daemon/src/peer/clients.rs
@@ -11,7 +11,7 @@
 /// Time without a frame after which a connection in use is probed with a ping.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Timeout of a ping, after which the connection is reestablished. Without it, TCP may take as long to
+/// Timeout of a ping, after which the connection is reestablished. Without pings, TCP may take as long to
 /// recover from a network partition as the partition lasted.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
 
