--- a/crates/burdockroad-daemon/src/admin.rs
+++ b/crates/burdockroad-daemon/src/admin.rs
@@ -10,7 +10,7 @@
 //! | `GET /programs/{id}` | [`ProgramSummary`] of one program, or 404 when this host does not own it |
 //! | `POST /programs/{id}/end` | ends a program, or 404 when this host does not own it |
 //! | `POST /document` | accepts the stored document if this host cannot confirm its own; [`DocumentResponse`] as JSON |
-//! | `POST /drain` | starts handing off all work of this host, which accepts no new work |
+//! | `POST /drain` | makes `GET /ready` return 503 and starts handing off all partitions of this host |
 
 mod server;
 mod status;
@@ -30,7 +30,7 @@
     },
 };
 
-/// Source of the host's status.
+/// Source of the readiness, metrics and status of this host.
 pub trait StatusSource: fmt::Debug + Send + Sync {
     /// Returns whether the host can accept calls.
     fn readiness(&self) -> Readiness;
@@ -54,7 +54,8 @@
     /// Ends a program and its sub-agents. Returns whether this host owns the program.
     async fn end_program(&self, program_id: ProgramId) -> bool;
 
-    /// Starts handing off all work of this host, and returns without waiting for it.
+    /// Marks this host as not ready, starts handing off its partitions, and returns without waiting for the
+    /// handoff.
     async fn drain(&self);
 }
 
--- a/crates/burdockroad-daemon/src/admin/status.rs
+++ b/crates/burdockroad-daemon/src/admin/status.rs
@@ -26,7 +26,7 @@
     pub incarnation: Incarnation,
     /// Failure domain of the host.
     pub failure_domain: String,
-    /// Whether the host is handing off its work and accepts no new work.
+    /// Whether the host is handing off its partitions and reports that it is not ready.
     pub draining: bool,
     /// The document in force.
     pub document: DocumentStatus,
@@ -64,7 +64,7 @@
     pub version: u64,
     /// Number of partitions that the host owns.
     pub partitions: usize,
-    /// Number of programs that have not ended.
+    /// Number of program trees that the host owns, including ended ones within their retention period.
     pub open_programs: usize,
     /// Live hosts, not including this one.
     pub peers_heard: Vec<HostId>,
@@ -82,7 +82,7 @@
     pub busy_slots: u32,
     /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Service state, which decides whether it receives calls: `in_service`, `draining` or `failed`.
+    /// Service state, which decides whether the endpoint receives calls: `in_service`, `draining` or `failed`.
     pub state: String,
 }
 
--- a/crates/burdockroad-daemon/src/daemon.rs
+++ b/crates/burdockroad-daemon/src/daemon.rs
@@ -39,10 +39,11 @@
     telemetry::Telemetry,
 };
 
-/// Interval between two ticks of the programs.
+/// Interval between two ticks of the program table, which end programs at their time limit and remove trees
+/// whose retention period has passed.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Maximum size of a response of a plain service, in bytes.
+/// Maximum size of a response on a route of kind `service`, in bytes.
 const RESPONSE_MAX_BYTES: usize = 4 * 1024 * 1024;
 
 /// Maximum wait for a program that is moving between hosts. This is longer than a takeover takes.
@@ -122,7 +123,7 @@
     task: JoinHandle<()>,
 }
 
-/// State shared by all components of the daemon.
+/// Settings and shared components from which the daemon's services are assembled.
 struct Components {
     settings: Settings,
     store: SharedKeyValue,
@@ -184,7 +185,7 @@
         };
         let callers = CallerServer::start(caller_listener, parts);
         let audit = PrefixCacheAudit::start(
-            components.engine_memory(),
+            components.engine_prefix_cache(),
             components.views.ownership(),
             ProgramsHandle::clone(&programs),
         );
@@ -235,8 +236,8 @@
         self.admin.operators.set_draining();
         self.coordinator.drain();
         self.callers.close(self.shutdown_timeout).await;
-        // A running operator request may still hold a reference to the coordinator. Other hosts then take
-        // over the partitions.
+        // A running operator request may still hold a reference to the coordinator. The partitions are then
+        // not handed off, and other hosts take them over.
         let remaining = match Arc::into_inner(self.coordinator) {
             Some(coordinator) => coordinator.shutdown(self.shutdown_timeout).await,
             None => usize::from(PARTITIONS),
@@ -273,14 +274,14 @@
     async fn start_programs(&self, journal: &Arc<JournalHandle>) -> Result<ProgramsHandle, DaemonError> {
         let parts = ProgramsParts {
             journal: Arc::clone(journal) as _,
-            releaser: Arc::new(self.engine_memory()),
+            releaser: Arc::new(self.engine_prefix_cache()),
             ownership: self.views.ownership(),
             options: ProgramsOptions::default(),
         };
         Ok(ProgramsHandle::start(parts).await?)
     }
 
-    fn engine_memory(&self) -> EnginePrefixCache {
+    fn engine_prefix_cache(&self) -> EnginePrefixCache {
         EnginePrefixCache {
             endpoints: Arc::clone(&self.endpoints),
             in_force: self.in_force.clone(),
--- a/crates/burdockroad-daemon/src/logging.rs
+++ b/crates/burdockroad-daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines with one event each, as key=value pairs, to standard error or a file.
+//! Logging of one event per line, as key=value pairs, to standard error or a file.
 
 use std::{
     fmt,
@@ -38,7 +38,7 @@
         .parse()
         .map_err(|_ignored: log::ParseLevelError| LoggingError::Level(level.to_owned()))?;
     let config = config(level, file)?;
-    log4rs::init_config(config).map_err(|cause| LoggingError::Started(cause.to_string()))?;
+    log4rs::init_config(config).map_err(|cause| LoggingError::NotStarted(cause.to_string()))?;
     Ok(())
 }
 
@@ -52,7 +52,7 @@
         .appender(output)
         .loggers(loggers)
         .build(root)
-        .map_err(|cause| LoggingError::Started(cause.to_string()))
+        .map_err(|cause| LoggingError::NotStarted(cause.to_string()))
 }
 
 fn appender(file: Option<&Path>) -> Result<Box<dyn Append>, LoggingError> {
@@ -84,7 +84,7 @@
         reason: String,
     },
     /// Logging was already started, or its configuration was rejected.
-    Started(String),
+    NotStarted(String),
 }
 
 impl fmt::Display for LoggingError {
@@ -92,7 +92,7 @@
         match self {
             Self::Level(level) => write!(f, "unknown log level `{level}`"),
             Self::File { path, reason } => write!(f, "{}: {reason}", path.display()),
-            Self::Started(reason) => f.write_str(reason),
+            Self::NotStarted(reason) => f.write_str(reason),
         }
     }
 }
--- a/crates/burdockroad-daemon/src/platform.rs
+++ b/crates/burdockroad-daemon/src/platform.rs
@@ -255,7 +255,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 pub struct ListedHost {
-    /// Name of the host.
+    /// ID of the host.
     pub host_id: String,
     /// Failure domain of the host.
     pub failure_domain: String,
--- a/crates/burdockroad-daemon/src/platform/embedded.rs
+++ b/crates/burdockroad-daemon/src/platform/embedded.rs
@@ -112,8 +112,8 @@
         if value.len() > VALUE_MAX_BYTES {
             return Err(unavailable("the value is too large".to_owned()));
         }
-        let name = key.to_owned();
-        self.run(move |inner| inner.write(name, value, expected, None))
+        let key = key.to_owned();
+        self.run(move |inner| inner.write(key, value, expected, None))
             .await
             .map_err(StoreError::into_ambiguous)
     }
@@ -122,8 +122,8 @@
         if value.len() > VALUE_MAX_BYTES {
             return Err(unavailable("the value is too large".to_owned()));
         }
-        let (name, predecessor) = (key.to_owned(), predecessor.to_owned());
-        self.run(move |inner| inner.write(name, value, Expected::Absent, Some(&predecessor)))
+        let (key, predecessor) = (key.to_owned(), predecessor.to_owned());
+        self.run(move |inner| inner.write(key, value, Expected::Absent, Some(&predecessor)))
             .await
             .map_err(StoreError::into_ambiguous)
     }
@@ -136,8 +136,8 @@
     }
 
     async fn delete(&self, key: &str) -> Result<(), StoreError> {
-        let name = key.to_owned();
-        self.run(move |inner| inner.remove(&name))
+        let key = key.to_owned();
+        self.run(move |inner| inner.remove(&key))
             .await
             .map_err(StoreError::into_ambiguous)
     }
--- a/crates/burdockroad-daemon/src/platform/etcd.rs
+++ b/crates/burdockroad-daemon/src/platform/etcd.rs
@@ -274,7 +274,8 @@
 /// Returns whether the service refused the request because of its rate limit, before any effect.
 ///
 /// The status code alone is not sufficient. A broken connection can produce the same code, but then the
-/// status has a source. A service that runs out of space returns it for a write that it still applied.
+/// status has a source. A service that runs out of space also returns this code, for a write that it still
+/// applied.
 fn rate_limited(status: &Status) -> bool {
     status.code() == Code::ResourceExhausted
         && std::error::Error::source(status).is_none()
