--- a/crates/burdockroad-daemon/src/admin/server.rs
+++ b/crates/burdockroad-daemon/src/admin/server.rs
@@ -103,11 +103,9 @@
     let segments: Vec<&str> = path.split('/').collect();
     let query = request.uri().query().unwrap_or_default();
     match (request.method(), segments.as_slice()) {
-        (&Method::GET, ["live"]) => build_response(StatusCode::OK, TEXT_CONTENT_TYPE, "live\n"),
+        (&Method::GET, ["live"]) => reply(StatusCode::OK, TEXT_CONTENT_TYPE, "live\n"),
         (&Method::GET, ["ready"]) => ready(handlers),
-        (&Method::GET, ["metrics"]) => {
-            build_response(StatusCode::OK, METRICS_CONTENT_TYPE, handlers.status.metrics())
-        }
+        (&Method::GET, ["metrics"]) => reply(StatusCode::OK, METRICS_CONTENT_TYPE, handlers.status.metrics()),
         (&Method::GET, ["status"]) => json(&handlers.status.status()),
         (&Method::GET, ["programs"]) => {
             let account_id = query.strip_prefix("account=").map(str::to_owned);
@@ -120,7 +118,7 @@
         (&Method::POST, ["programs", id, "end"]) => {
             log::info!("event=operator_ends_program program={id:?}");
             if handlers.actions.end_program((*id).to_owned()).await {
-                return build_response(StatusCode::OK, TEXT_CONTENT_TYPE, "ended\n");
+                return reply(StatusCode::OK, TEXT_CONTENT_TYPE, "ended\n");
             }
             not_owned()
         }
@@ -128,7 +126,7 @@
         (&Method::POST, ["drain"]) => {
             log::info!("event=operator_drains_host");
             handlers.actions.drain().await;
-            build_response(StatusCode::ACCEPTED, TEXT_CONTENT_TYPE, "draining\n")
+            reply(StatusCode::ACCEPTED, TEXT_CONTENT_TYPE, "draining\n")
         }
         (
             _,
@@ -136,35 +134,33 @@
                 "live" | "ready" | "metrics" | "status" | "programs" | "document" | "drain",
                 ..,
             ],
-        ) => build_response(
+        ) => reply(
             StatusCode::METHOD_NOT_ALLOWED,
             TEXT_CONTENT_TYPE,
             "method not allowed\n",
         ),
-        _ => build_response(StatusCode::NOT_FOUND, TEXT_CONTENT_TYPE, "not found\n"),
+        _ => reply(StatusCode::NOT_FOUND, TEXT_CONTENT_TYPE, "not found\n"),
     }
 }
 
 async fn document(handlers: &AdminHandlers, body: Incoming) -> AdminResponse {
     let body = match Limited::new(body, VALUE_MAX_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
-        Err(error) => {
-            return build_response(StatusCode::BAD_REQUEST, TEXT_CONTENT_TYPE, format!("{error}\n"));
-        }
+        Err(error) => return reply(StatusCode::BAD_REQUEST, TEXT_CONTENT_TYPE, format!("{error}\n")),
     };
     match VersionedDocument::from_bytes(&body) {
         Ok(versioned) => {
             let version = handlers.document.offer_document(versioned);
             json(&DocumentResponse { version })
         }
-        Err(error) => build_response(StatusCode::BAD_REQUEST, TEXT_CONTENT_TYPE, format!("{error}\n")),
+        Err(error) => reply(StatusCode::BAD_REQUEST, TEXT_CONTENT_TYPE, format!("{error}\n")),
     }
 }
 
 fn ready(handlers: &AdminHandlers) -> AdminResponse {
     match handlers.status.readiness() {
-        Readiness::Ready => build_response(StatusCode::OK, TEXT_CONTENT_TYPE, "ready\n"),
-        Readiness::NotReady(reason) => build_response(
+        Readiness::Ready => reply(StatusCode::OK, TEXT_CONTENT_TYPE, "ready\n"),
+        Readiness::NotReady(reason) => reply(
             StatusCode::SERVICE_UNAVAILABLE,
             TEXT_CONTENT_TYPE,
             format!("{reason}\n"),
@@ -173,7 +169,7 @@
 }
 
 fn not_owned() -> AdminResponse {
-    build_response(
+    reply(
         StatusCode::NOT_FOUND,
         TEXT_CONTENT_TYPE,
         "this host does not own the program\n",
@@ -182,8 +178,8 @@
 
 fn json(value: &impl Serialize) -> AdminResponse {
     match serde_json::to_vec(value) {
-        Ok(body) => build_response(StatusCode::OK, JSON_CONTENT_TYPE, body),
-        Err(error) => build_response(
+        Ok(body) => reply(StatusCode::OK, JSON_CONTENT_TYPE, body),
+        Err(error) => reply(
             StatusCode::INTERNAL_SERVER_ERROR,
             TEXT_CONTENT_TYPE,
             error.to_string(),
@@ -191,7 +187,7 @@
     }
 }
 
-fn build_response(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> AdminResponse {
+fn reply(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> AdminResponse {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     let content_type = HeaderValue::from_static(content_type);
--- a/crates/burdockroad-daemon/src/config_watch/tasks.rs
+++ b/crates/burdockroad-daemon/src/config_watch/tasks.rs
@@ -55,7 +55,7 @@
     while let Some(event) = events.recv().await {
         match event {
             WatchEvent::Changed(Some(entry)) => {
-                put_entry_in_force(shared, &entry);
+                take(shared, &entry);
             }
             WatchEvent::Changed(None) => {
                 log::error!("event=document_removed version_kept={}", shared.version());
@@ -113,7 +113,7 @@
     let Some(entry) = shared.store.get(DOCUMENT_KEY).await? else {
         return Ok(None);
     };
-    let version = put_entry_in_force(shared, &entry);
+    let version = take(shared, &entry);
     if let Some(version) = version {
         shared.confirm(version, requested_at);
     }
@@ -125,7 +125,7 @@
 
 /// Puts a stored document in force if it is newer than the current one. Returns its version, or `None` when
 /// the stored document is not valid.
-fn put_entry_in_force(shared: &Shared, entry: &Entry) -> Option<DocumentVersion> {
+fn take(shared: &Shared, entry: &Entry) -> Option<DocumentVersion> {
     match VersionedDocument::from_bytes(&entry.value) {
         Ok(versioned) => {
             let version = versioned.version;
--- a/crates/burdockroad-daemon/src/coordinator/worker.rs
+++ b/crates/burdockroad-daemon/src/coordinator/worker.rs
@@ -85,7 +85,7 @@
     refresh: RepeatedTask,
     rebalance: RepeatedTask,
     sweep: RepeatedTask,
-    live: Vec<Member>,
+    live_members: Vec<Member>,
     live_changed_at: Instant,
 }
 
@@ -151,7 +151,7 @@
             refresh: RepeatedTask::new(now),
             rebalance: RepeatedTask::new(now),
             sweep: RepeatedTask::new(now),
-            live: Vec::new(),
+            live_members: Vec::new(),
             live_changed_at: now,
         }
     }
@@ -188,16 +188,16 @@
             return;
         }
         let now = Instant::now();
-        self.observe_live(snapshot, now);
+        self.observe_live_members(snapshot, now);
         self.refresh_map(snapshot, now);
         self.start_takeovers(snapshot, now);
         self.start_rebalance(snapshot, now);
         self.start_sweep(snapshot, now);
     }
 
-    fn observe_live(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
-        if self.live != snapshot.live {
-            self.live.clone_from(&snapshot.live);
+    fn observe_live_members(&mut self, snapshot: &MembershipSnapshot, now: Instant) {
+        if self.live_members != snapshot.live {
+            self.live_members.clone_from(&snapshot.live);
             self.live_changed_at = now;
         }
     }
@@ -291,8 +291,8 @@
             return;
         }
         let me = self.ownership.me().host_id;
-        let is_selected = rendezvous_order(ORPHAN_SWEEP_KEY, remaining_hosts(snapshot)).first() == Some(&me);
-        if !is_selected {
+        let first = rendezvous_order(ORPHAN_SWEEP_KEY, remaining_hosts(snapshot)).first() == Some(&me);
+        if !first {
             return;
         }
         let live: BTreeSet<Process> = snapshot
--- a/crates/burdockroad-daemon/src/journal/actor.rs
+++ b/crates/burdockroad-daemon/src/journal/actor.rs
@@ -163,7 +163,7 @@
         message: Self::Msg,
         state: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
-        state.apply(message);
+        state.take(message);
         state.poll(&myself);
         Ok(())
     }
@@ -183,7 +183,7 @@
 
 impl JournalState {
     /// Applies a message to the writer and to the state of the actor.
-    fn apply(&mut self, message: JournalMessage) {
+    fn take(&mut self, message: JournalMessage) {
         let now = Instant::now();
         match message {
             JournalMessage::Append {
