--- a/crates/burdockroad-daemon/src/admin.rs
+++ b/crates/burdockroad-daemon/src/admin.rs
@@ -66,6 +66,6 @@
     pub status: Arc<dyn StatusSource>,
     /// Actions that operators can request.
     pub actions: Arc<dyn OperatorActions>,
-    /// Receiver of the stored document.
+    /// Handler of documents that an operator's tool sends.
     pub document: Arc<dyn DocumentOffer>,
 }
--- a/crates/burdockroad-daemon/src/handoff.rs
+++ b/crates/burdockroad-daemon/src/handoff.rs
@@ -54,7 +54,7 @@
 pub struct Handoff {
     /// Handle of the ownership map.
     pub ownership: OwnershipHandle,
-    /// Source of the attempt numbers of copies.
+    /// Staging area, which numbers the copies.
     pub staging: Arc<Staging>,
     /// The program trees that this host serves.
     pub trees: Arc<dyn Trees>,
--- a/crates/burdockroad-daemon/src/journal.rs
+++ b/crates/burdockroad-daemon/src/journal.rs
@@ -96,10 +96,10 @@
 pub enum RecoveredTail {
     /// No peer had copies. Every record that a caller waited for was in the key-value service.
     NotKept,
-    /// The peer that had the copies sealed and returned them.
+    /// The peer that had the copies has sealed the tail and returned the copies.
     Sealed,
-    /// The peer did not respond. A later attempt may find more records, and the old writer may still add
-    /// to them.
+    /// The peer did not respond. A later attempt may find more records, and the writer may still add records
+    /// at the peer.
     Unreached,
     /// The peer has restarted since and lost its copies.
     Lost,
--- a/crates/burdockroad-daemon/src/membership/actor.rs
+++ b/crates/burdockroad-daemon/src/membership/actor.rs
@@ -53,9 +53,10 @@
 /// Membership state as of the last update.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipSnapshot {
-    /// Removed or unresponsive processes that own partitions and may be taken over.
+    /// Processes that own partitions and may be taken over: another process has replaced them on their host,
+    /// or enough hosts agree that they are unresponsive.
     pub dead: Vec<DeadProcess>,
-    /// This process and those whose last report is within the suspicion time.
+    /// This process and the peers whose last report is within the suspicion time.
     pub live: Vec<Member>,
     /// Whether the host list was read and every host on it is live.
     pub all_listed_live: bool,
--- a/crates/burdockroad-daemon/src/ownership/staging.rs
+++ b/crates/burdockroad-daemon/src/ownership/staging.rs
@@ -44,7 +44,7 @@
     trees: BTreeMap<ProgramId, Tree>,
 }
 
-/// Ordering key of the copies of a partition, by which an older copy that arrives late is rejected.
+/// Ordering key of the copies of a partition. A copy that is not newer than the staged one is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StageOrder {
     /// Epoch of the owner that made the copy.
--- a/crates/burdockroad-daemon/src/platform.rs
+++ b/crates/burdockroad-daemon/src/platform.rs
@@ -240,7 +240,7 @@
 
 impl std::error::Error for StoreError {}
 
-/// Reader of the platform's list of hosts, which may lag behind the actual hosts.
+/// Reader of the platform's list of hosts. The list may lag behind the actual hosts.
 #[async_trait]
 pub trait HostList: fmt::Debug + Send + Sync {
     /// Reads the list.
--- a/crates/burdockroad-daemon/src/settings/read.rs
+++ b/crates/burdockroad-daemon/src/settings/read.rs
@@ -122,7 +122,7 @@
     if node.list_len() == 0 {
         reader.report(
             node.location(),
-            "found an empty list; allowed: at least one address of the store",
+            "found an empty list; allowed: one address of the store or more",
         );
     }
     Some(addresses)
