--- a/crates/burdockroad-daemon/src/journal/actor.rs
+++ b/crates/burdockroad-daemon/src/journal/actor.rs
@@ -204,7 +204,7 @@
             JournalMessage::SetTrees(trees) => self.trees = Some(trees),
             JournalMessage::PeersChanged => self.update_peers(),
             JournalMessage::Written(reply) => {
-                log_write(&self.parts.options.me, &reply);
+                log_write(&self.parts.options.owner, &reply);
                 self.writer.written(reply, now);
             }
             JournalMessage::ReadBack(reply) => self.writer.read_back(reply, now),
@@ -237,20 +237,20 @@
     }
 
     fn execute(&mut self, action: Action, myself: &ActorRef<JournalMessage>) {
-        let me = &self.parts.options.me;
+        let owner = &self.parts.options.owner;
         let store = Arc::clone(&self.parts.store);
         match action {
             Action::Complete { ticket, result } => self.complete_append(ticket, result),
             Action::Write { segment, value } => {
-                let (me, myself) = (me.clone(), myself.clone());
+                let (owner, myself) = (owner.clone(), myself.clone());
                 tokio::spawn(async move {
-                    let reply = write(&store, &me, segment, value).await;
+                    let reply = write(&store, &owner, segment, value).await;
                     // The cast fails only when the actor has stopped, and then the reply is not needed.
                     let _cast = myself.cast(JournalMessage::Written(reply));
                 });
             }
             Action::ReadBack { segment } => {
-                let (key, myself) = (keys::segment(me, segment), myself.clone());
+                let (key, myself) = (keys::segment(owner, segment), myself.clone());
                 tokio::spawn(async move {
                     let reply = read_back(&store, &key).await;
                     let _cast = myself.cast(JournalMessage::ReadBack(reply));
@@ -259,7 +259,7 @@
             Action::Replicate { to, copies } => self.replicate(to, copies, myself),
             Action::Snapshot { root_ids } => self.request_snapshots(root_ids),
             Action::Remove { from, to } => {
-                let (from, to) = (keys::segment(me, from), keys::segment(me, to));
+                let (from, to) = (keys::segment(owner, from), keys::segment(owner, to));
                 let myself = myself.clone();
                 tokio::spawn(async move {
                     let removed = store.delete_range(&from, &to).await.is_ok();
@@ -291,11 +291,11 @@
             .filter(|peer| peer.process == to)
             .map(|peer| peer.address.clone());
         let clients = Arc::clone(&self.parts.clients);
-        let (me, myself) = (self.parts.options.me.clone(), myself.clone());
+        let (owner, myself) = (self.parts.options.owner.clone(), myself.clone());
         tokio::spawn(async move {
             let session = batch.session;
             let reply = match address {
-                Some(address) => send_batch(&clients, &address, &me, &to, batch).await,
+                Some(address) => send_batch(&clients, &address, &owner, &to, batch).await,
                 None => TailReply::Failed,
             };
             let _cast = myself.cast(JournalMessage::Replicated {
@@ -320,13 +320,13 @@
             stored: self.writer.admit(Durability::Stored, now),
             fenced: self.writer.is_fenced(),
         };
-        let me = &self.parts.options.me;
+        let owner = &self.parts.options.owner;
         self.admission.send_if_modified(|published| {
             if admission.fenced && !published.fenced {
                 log::error!(
                     "event=journal_fenced host={} incarnation={:016x}",
-                    me.host_id,
-                    me.incarnation
+                    owner.host_id,
+                    owner.incarnation
                 );
             }
             let changed = *published != admission;
@@ -360,20 +360,25 @@
     }
 }
 
-async fn write(store: &SharedKeyValue, me: &Process, segment: SegmentNumber, value: Arc<[u8]>) -> WriteReply {
-    let key = keys::segment(me, segment);
+async fn write(
+    store: &SharedKeyValue,
+    owner: &Process,
+    segment: SegmentNumber,
+    value: Arc<[u8]>,
+) -> WriteReply {
+    let key = keys::segment(owner, segment);
     let value = Bytes::from_owner(value);
     let started_at = Instant::now();
     let put = if segment == 1 {
         store.put(&key, value, Expected::Absent).await
     } else {
-        let predecessor = keys::segment(me, segment - 1);
+        let predecessor = keys::segment(owner, segment - 1);
         store.create_after(&key, value, &predecessor).await
     };
     metrics::histogram!("burdockroad_journal_write_seconds").record(started_at.elapsed().as_secs_f64());
     match put {
         Ok(Put::Done(_)) => WriteReply::Done,
-        Ok(Put::Conflict(Some(existing))) => WriteReply::Held(existing.value.into()),
+        Ok(Put::Conflict(Some(existing))) => WriteReply::Exists(existing.value.into()),
         Ok(Put::Conflict(None)) => WriteReply::Removed,
         Err(StoreError::Unavailable { retry_after, .. }) => WriteReply::Unavailable { retry_after },
         Err(StoreError::Ambiguous { .. }) => WriteReply::Ambiguous,
@@ -382,7 +387,7 @@
 
 async fn read_back(store: &SharedKeyValue, key: &str) -> ReadReply {
     match store.get(key).await {
-        Ok(Some(existing)) => ReadReply::Held(existing.value.into()),
+        Ok(Some(existing)) => ReadReply::Found(existing.value.into()),
         Ok(None) => ReadReply::Absent,
         Err(StoreError::Unavailable { retry_after, .. }) => ReadReply::Unavailable { retry_after },
         Err(StoreError::Ambiguous { .. }) => ReadReply::Unavailable {
@@ -394,12 +399,12 @@
 async fn send_batch(
     clients: &PeerClients,
     address: &str,
-    me: &Process,
+    owner: &Process,
     to: &Process,
     batch: TailBatch,
 ) -> TailReply {
     let request = ReplicateTailRequest {
-        writer: Some(host_ref(me)),
+        writer: Some(host_ref(owner)),
         to: Some(host_ref(to)),
         session: batch.session,
         position: batch.position,
@@ -420,7 +425,7 @@
     if response.other_process || response.other_session {
         return TailReply::Failed;
     }
-    TailReply::Held(response.held_end)
+    TailReply::Acknowledged(response.held_end)
 }
 
 fn live_peers(view: &PeersView) -> Vec<Peer> {
@@ -433,16 +438,19 @@
     .collect()
 }
 
-fn log_write(me: &Process, reply: &WriteReply) {
+fn log_write(owner: &Process, reply: &WriteReply) {
     let outcome = match reply {
         WriteReply::Done => {
             metrics::counter!("burdockroad_journal_segments_total").increment(1);
             return;
         }
-        WriteReply::Held(_) => "held",
+        WriteReply::Exists(_) => "held",
         WriteReply::Removed => "removed",
         WriteReply::Unavailable { .. } => "unavailable",
         WriteReply::Ambiguous => "ambiguous",
     };
-    log::warn!("event=journal_write_failed host={} outcome={outcome}", me.host_id);
+    log::warn!(
+        "event=journal_write_failed host={} outcome={outcome}",
+        owner.host_id
+    );
 }
--- a/crates/burdockroad-daemon/src/journal/store_journal.rs
+++ b/crates/burdockroad-daemon/src/journal/store_journal.rs
@@ -44,13 +44,13 @@
 pub struct StoreJournal {
     actor: ActorRef<JournalMessage>,
     admission: watch::Receiver<Admission>,
-    me: Process,
+    owner: Process,
 }
 
 /// Returns the writer options for the journal of a process in a store.
-pub fn writer_options(store: &StoreSettings, me: Process, failure_domain: String) -> WriterOptions {
+pub fn writer_options(store: &StoreSettings, owner: Process, failure_domain: String) -> WriterOptions {
     let service = WriterOptions {
-        me,
+        owner,
         failure_domain,
         writer_id: rand::random(),
         segment_max_bytes: SEGMENT_MAX_BYTES,
@@ -85,7 +85,7 @@
     ///
     /// Fails when the journal is sealed before it is fully open. Waits while the store is unavailable.
     pub async fn open(parts: JournalParts) -> Result<Self, JournalError> {
-        let me = parts.options.me.clone();
+        let owner = parts.options.owner.clone();
         let (admission, admission_receiver) = watch::channel(Admission::default());
         let arguments = JournalArguments { parts, admission };
         // An unnamed actor fails to start only when its runtime is shutting down.
@@ -95,7 +95,7 @@
         let journal = Self {
             actor,
             admission: admission_receiver,
-            me,
+            owner,
         };
         journal.wait_open().await?;
         Ok(journal)
@@ -110,7 +110,7 @@
 
     /// Returns the process that the journal belongs to.
     pub fn process(&self) -> &Process {
-        &self.me
+        &self.owner
     }
 
     /// Waits until another process has sealed the journal or the journal has been closed.
@@ -138,7 +138,7 @@
                 Ok(Err(JournalError::Unavailable { retry_after })) => {
                     log::warn!(
                         "event=journal_not_open host={} reason=store_down",
-                        self.me.host_id
+                        self.owner.host_id
                     );
                     tokio::time::sleep(retry_after.max(OPEN_BACKOFF)).await;
                 }
--- a/crates/burdockroad-daemon/src/journal/tail.rs
+++ b/crates/burdockroad-daemon/src/journal/tail.rs
@@ -89,7 +89,7 @@
             stored_end: request.stored_end,
         };
         match state.table.append_batch(&process_of(writer), batch) {
-            TailReply::Held(held_end) => ReplicateTailResponse {
+            TailReply::Acknowledged(held_end) => ReplicateTailResponse {
                 held_end,
                 ..ReplicateTailResponse::default()
             },
--- a/crates/burdockroad-daemon/src/membership/actor.rs
+++ b/crates/burdockroad-daemon/src/membership/actor.rs
@@ -253,7 +253,10 @@
 impl State {
     fn advance_clock(&mut self) {
         if self.table.tick(Instant::now().into_std()) {
-            log::warn!("event=pause_detected host={}", self.table.me().process.host_id);
+            log::warn!(
+                "event=pause_detected host={}",
+                self.table.local_member().process.host_id
+            );
         }
     }
 
@@ -294,7 +297,7 @@
     }
 
     fn heartbeat_request(&self) -> HeartbeatRequest {
-        let me = self.table.me();
+        let me = self.table.local_member();
         HeartbeatRequest {
             from: Some(host_ref(&me.process)),
             peer_address: me.address.clone(),
@@ -310,7 +313,7 @@
         if let Some(report) = report_from_request(request) {
             self.observe(report, request.ownership_version);
         }
-        let me = self.table.me();
+        let me = self.table.local_member();
         HeartbeatResponse {
             from: Some(host_ref(&me.process)),
             failure_domain: me.failure_domain.clone(),
@@ -368,12 +371,12 @@
 
     fn live_peers(&self) -> Vec<HostRef> {
         let now = Instant::now().into_std();
-        self.table.heard(now).iter().map(host_ref).collect()
+        self.table.live_processes(now).iter().map(host_ref).collect()
     }
 
     fn on_host_list(&mut self, hosts: Vec<ListedHost>, myself: &ActorRef<Message>) {
         self.arguments.document.observe_list(&hosts);
-        let me = self.table.me().process.host_id.clone();
+        let me = self.table.local_member().process.host_id.clone();
         let leaving = hosts
             .iter()
             .any(|host| host.host_id == me && host.state == HostState::Leaving);
@@ -397,7 +400,7 @@
             .filter(|(_, live)| *live)
             .map(|(member, _)| member.clone())
             .collect();
-        live.push(self.table.me().clone());
+        live.push(self.table.local_member().clone());
         self.publish_peers(members);
         self.outputs.snapshot.send_replace(Arc::new(MembershipSnapshot {
             dead: self.table.dead(now),
--- a/crates/burdockroad-daemon/src/membership/wire.rs
+++ b/crates/burdockroad-daemon/src/membership/wire.rs
@@ -31,7 +31,7 @@
             failure_domain: request.failure_domain.clone(),
             leaving: request.leaving,
         },
-        heard: request.heard.iter().map(process_of).collect(),
+        live_processes: request.heard.iter().map(process_of).collect(),
     })
 }
 
@@ -45,6 +45,6 @@
             failure_domain: response.failure_domain.clone(),
             leaving: response.leaving,
         },
-        heard: response.heard.iter().map(process_of).collect(),
+        live_processes: response.heard.iter().map(process_of).collect(),
     })
 }
