--- a/crates/burdockroad-daemon/src/dispatch/pools.rs
+++ b/crates/burdockroad-daemon/src/dispatch/pools.rs
@@ -298,7 +298,7 @@
                 } else {
                     endpoint.slots.div_ceil(host_count)
                 },
-                leaving: endpoint.draining || draining_hosts.contains(&endpoint.host_id),
+                draining: endpoint.draining || draining_hosts.contains(&endpoint.host_id),
             });
             row.pool.set_endpoints(endpoint_infos.collect(), now());
             let addresses = set.endpoints.iter();
@@ -434,5 +434,5 @@
 #[expect(clippy::cast_precision_loss, reason = "call counts stay far below 2^52")]
 fn update_gauges(pool_id: &PoolId, pool: &Pool) {
     metrics::gauge!("burdockroad_pool_waiting", "pool" => pool_id.clone()).set(pool.waiting() as f64);
-    metrics::gauge!("burdockroad_pool_taken", "pool" => pool_id.clone()).set(pool.taken() as f64);
+    metrics::gauge!("burdockroad_pool_taken", "pool" => pool_id.clone()).set(pool.occupied_slots() as f64);
 }
--- a/crates/burdockroad-daemon/src/programs.rs
+++ b/crates/burdockroad-daemon/src/programs.rs
@@ -244,7 +244,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the errors of [`Programs::begin`], and an error if the journal does not accept the
+    /// Returns the errors of [`Programs::accept_call`], and an error if the journal does not accept the
     /// intent.
     pub async fn start_call(&self, request: CallRequest) -> Result<CallDisposition, Rejection> {
         self.call_actor(|port| ProgramsMessage::StartCall(request, port))
--- a/crates/burdockroad-daemon/src/programs/actor.rs
+++ b/crates/burdockroad-daemon/src/programs/actor.rs
@@ -225,7 +225,7 @@
         {
             return Ok(CallDisposition::Attach(Arc::clone(&active_call.log)));
         }
-        match self.table.begin(request.clone(), now())? {
+        match self.table.accept_call(request.clone(), now())? {
             CallDecision::Run(usage, prefix_endpoint_id) => {
                 if let Err(error) = self.parts.journal.admit(intent_durability(request.idempotent)) {
                     self.table.withdraw(&request.program_id);
@@ -244,7 +244,7 @@
     }
 
     fn reopen(&mut self, request: CallRequest, log: Arc<ResponseLog>) -> Option<RunningCall> {
-        match self.table.begin(request.clone(), now()) {
+        match self.table.accept_call(request.clone(), now()) {
             Ok(CallDecision::Run(..)) => Some(self.open(request, log)),
             Ok(CallDecision::Attach | CallDecision::Answered(_)) | Err(_) => None,
         }
--- a/crates/burdockroad-daemon/src/quota/table.rs
+++ b/crates/burdockroad-daemon/src/quota/table.rs
@@ -206,10 +206,10 @@
             return;
         };
         let Some(grant) = grant else {
-            holder.failed(sequence, now());
+            holder.on_failure(sequence, now());
             return;
         };
-        let settled = holder.answered(sequence, grant, now());
+        let settled = holder.on_response(sequence, grant, now());
         self.settle(settled);
     }
 
--- a/crates/burdockroad-gateway/src/budgets.rs
+++ b/crates/burdockroad-gateway/src/budgets.rs
@@ -419,13 +419,13 @@
         let time_left = deadline.saturating_duration_since(Instant::now());
         match need {
             Readiness::Ready => return ReservationResponse::Reserved { starts_program },
-            Readiness::Spent => return ReservationResponse::BudgetExhausted,
-            Readiness::AwaitRoom if time_left.is_zero() => return ReservationResponse::FullyReserved,
+            Readiness::Exhausted => return ReservationResponse::BudgetExhausted,
+            Readiness::AwaitTokens if time_left.is_zero() => return ReservationResponse::FullyReserved,
             Readiness::AwaitWrite if store_writes_are_failing(shared) => {
                 return ReservationResponse::StoreUnavailable;
             }
             Readiness::AwaitWrite if time_left.is_zero() => return ReservationResponse::StoreTimeout,
-            Readiness::AwaitRoom => {
+            Readiness::AwaitTokens => {
                 // Calls of this host trigger the notification when they release tokens. Tokens released by
                 // other hosts are only visible in the store.
                 let _ended = timeout(time_left.min(BUDGET_RECHECK_INTERVAL), changed).await;
--- a/crates/burdockroad-gateway/src/dialect.rs
+++ b/crates/burdockroad-gateway/src/dialect.rs
@@ -44,7 +44,7 @@
     fn removal_status_key(&self, host: &str) -> String;
 
     /// Returns the progress value of a host that stores no data and can be removed.
-    fn removal_done(&self) -> Vec<u8>;
+    fn removal_completed_status(&self) -> Vec<u8>;
 
     /// Decodes a configuration document.
     ///
--- a/crates/burdockroad-gateway/src/disk_host.rs
+++ b/crates/burdockroad-gateway/src/disk_host.rs
@@ -34,7 +34,7 @@
     let orders = RemovalOrders {
         key: dialect.removal_order_key(&host),
         status_key: dialect.removal_status_key(&host),
-        completed_status: Bytes::from(dialect.removal_done()),
+        completed_status: Bytes::from(dialect.removal_completed_status()),
         store,
         log: log.clone(),
     };
--- a/crates/burdockroad-gateway/src/feed.rs
+++ b/crates/burdockroad-gateway/src/feed.rs
@@ -126,7 +126,7 @@
             endpoint: id,
             service: &endpoint.service,
             address: endpoint.address.to_string(),
-            draining: endpoint.leaving,
+            draining: endpoint.draining,
             revision: entry.revision,
         };
         tables.endpoints.insert(endpoint.clone());
--- a/crates/burdockroad-gateway/src/reservations.rs
+++ b/crates/burdockroad-gateway/src/reservations.rs
@@ -254,7 +254,7 @@
                 .line("budget_unreadable", &UnreadableLine { key, reason });
             StoredBudget {
                 spent_tokens: u64::from(u32::MAX),
-                holders: Vec::new(),
+                reservations: Vec::new(),
             }
         }
     };
@@ -266,10 +266,10 @@
 
 impl WireBudget {
     fn encode(budget: &StoredBudget) -> Self {
-        let reservations = budget.holders.iter().map(|reservation| WireReservation {
+        let reservations = budget.reservations.iter().map(|reservation| WireReservation {
             incarnation: reservation.incarnation,
-            reserved_tokens: reservation.held_tokens,
-            write_id: reservation.write_mark,
+            reserved_tokens: reservation.reserved_tokens,
+            write_id: reservation.write_id,
         });
         Self {
             spent_tokens: budget.spent_tokens,
@@ -280,12 +280,12 @@
     fn decode(self) -> StoredBudget {
         let reservations = self.reservations.into_iter().map(|reservation| HostReservation {
             incarnation: reservation.incarnation,
-            held_tokens: reservation.reserved_tokens,
-            write_mark: reservation.write_id,
+            reserved_tokens: reservation.reserved_tokens,
+            write_id: reservation.write_id,
         });
         StoredBudget {
             spent_tokens: self.spent_tokens,
-            holders: reservations.collect(),
+            reservations: reservations.collect(),
         }
     }
 }
--- a/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
@@ -171,7 +171,7 @@
                 owner,
                 token_request,
             } => self.asked(host, owner, token_request),
-            Event::Answer { host, answer } => self.answered(host, answer),
+            Event::Answer { host, answer } => self.on_response(host, answer),
             Event::Tick { host } => self.tick(host),
             Event::Fault(fault) => self.fail(fault),
             Event::Takeover => self.take_over(),
@@ -237,14 +237,14 @@
         self.at(self.now + LATENCY, Event::Answer { host, answer });
     }
 
-    fn answered(&mut self, host: usize, answer: usize) {
+    fn on_response(&mut self, host: usize, answer: usize) {
         let (sequence, grant) = self.answers[answer];
         match grant {
             Some(grant) => {
-                let settled = self.holders[host].answered(sequence, grant, self.now);
+                let settled = self.holders[host].on_response(sequence, grant, self.now);
                 self.count_all(&settled);
             }
-            None => self.holders[host].failed(sequence, self.now),
+            None => self.holders[host].on_failure(sequence, self.now),
         }
         self.serve(host);
     }
--- a/crates/burdockroad-site/src/caller.rs
+++ b/crates/burdockroad-site/src/caller.rs
@@ -1,6 +1,6 @@
 //! Requests as a caller sends them.
 
-use burdockroad_standins::http_client::{HttpAnswer, HttpStream};
+use burdockroad_standins::http_client::{HttpResponse, HttpStream};
 use bytes::Bytes;
 use http::{Method, Request};
 use http_body_util::Full;
@@ -35,7 +35,7 @@
     }
 
     /// Sends a completion as a call of a program.
-    pub async fn complete(&self, daemon: usize, program: &str, number: u32, text: &str) -> HttpAnswer {
+    pub async fn complete(&self, daemon: usize, program: &str, number: u32, text: &str) -> HttpResponse {
         let body = completion(text, 16);
         self.send(
             daemon,
@@ -48,7 +48,7 @@
     }
 
     /// Sends an order, which may not be repeated, as a call of a program.
-    pub async fn order(&self, daemon: usize, program: &str, number: u32, order: &str) -> HttpAnswer {
+    pub async fn order(&self, daemon: usize, program: &str, number: u32, order: &str) -> HttpResponse {
         let body = json!({ "order": order });
         self.send(
             daemon,
@@ -68,7 +68,7 @@
         path: &str,
         position: Option<(&str, u32)>,
         body: &Value,
-    ) -> HttpAnswer {
+    ) -> HttpResponse {
         self.try_send(daemon, method, path, position, body)
             .await
             .expect("the daemon answers")
@@ -86,7 +86,7 @@
         path: &str,
         position: Option<(&str, u32)>,
         body: &Value,
-    ) -> burdockroad_standins::Result<HttpAnswer> {
+    ) -> burdockroad_standins::Result<HttpResponse> {
         self.site
             .http
             .send(self.request(daemon, method, path, position, body))
@@ -94,7 +94,7 @@
     }
 
     /// Posts a request with an idempotency key.
-    pub async fn send_keyed(&self, daemon: usize, path: &str, key: &str, body: &Value) -> HttpAnswer {
+    pub async fn send_keyed(&self, daemon: usize, path: &str, key: &str, body: &Value) -> HttpResponse {
         let mut request = self.request(daemon, Method::POST, path, None, body);
         request
             .headers_mut()
@@ -146,7 +146,7 @@
 }
 
 /// The problem that an answer tells of: its type, and whether the request ran.
-pub fn problem(answer: &HttpAnswer) -> (String, String) {
+pub fn problem(answer: &HttpResponse) -> (String, String) {
     let problem: Value = answer.json().expect("a problem");
     let kind = problem["type"]
         .as_str()
--- a/crates/burdockroad-site/tests/processes/endpoints.rs
+++ b/crates/burdockroad-site/tests/processes/endpoints.rs
@@ -30,7 +30,7 @@
     sum
 }
 
-fn content(answer: &burdockroad_standins::http_client::HttpAnswer) -> Value {
+fn content(answer: &burdockroad_standins::http_client::HttpResponse) -> Value {
     let body: Value = answer.json().expect("JSON");
     body["choices"][0]["message"]["content"].clone()
 }
--- a/crates/burdockroad-site/tests/processes/failures.rs
+++ b/crates/burdockroad-site/tests/processes/failures.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use burdockroad_standins::http_client::HttpAnswer;
+use burdockroad_standins::http_client::HttpResponse;
 use http::Method;
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -34,7 +34,7 @@
 }
 
 /// Sends an order until the daemon says something final.
-async fn order_until_final(caller: &Caller<'_>, daemon: usize, program: &str, number: u32) -> HttpAnswer {
+async fn order_until_final(caller: &Caller<'_>, daemon: usize, program: &str, number: u32) -> HttpResponse {
     until("the order's outcome", || async {
         let answer = caller.order(daemon, program, number, "order-one").await;
         let moving = answer.status == 503;
--- a/crates/burdockroad-standins/src/http_client.rs
+++ b/crates/burdockroad-standins/src/http_client.rs
@@ -26,7 +26,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Status code.
     pub status: StatusCode,
     /// Headers.
@@ -35,7 +35,7 @@
     pub body: Bytes,
 }
 
-impl HttpAnswer {
+impl HttpResponse {
     /// Reads the body as JSON.
     ///
     /// # Errors
@@ -124,7 +124,7 @@
     /// # Errors
     ///
     /// Fails when no whole answer comes in time; the request may have been served.
-    pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<HttpAnswer> {
+    pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<HttpResponse> {
         let target = format!("{} {}", request.method(), request.uri());
         let answer = tokio::time::timeout(self.timeout, self.exchange(request)).await;
         match answer {
@@ -156,7 +156,7 @@
         method: Method,
         url: &str,
         value: &T,
-    ) -> Result<HttpAnswer> {
+    ) -> Result<HttpResponse> {
         self.send(json_request(method, url, value)?).await
     }
 
@@ -181,7 +181,7 @@
         })
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> std::result::Result<HttpAnswer, String> {
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> std::result::Result<HttpResponse, String> {
         let response = self
             .client
             .request(request)
@@ -189,7 +189,7 @@
             .map_err(|error| error.to_string())?;
         let (head, body) = response.into_parts();
         let body = body.collect().await.map_err(|error| error.to_string())?;
-        Ok(HttpAnswer {
+        Ok(HttpResponse {
             status: head.status,
             headers: head.headers,
             body: body.to_bytes(),
@@ -222,7 +222,7 @@
     Ok(request)
 }
 
-fn successful(url: &str, answer: HttpAnswer) -> Result<HttpAnswer> {
+fn successful(url: &str, answer: HttpResponse) -> Result<HttpResponse> {
     if answer.status.is_success() {
         return Ok(answer);
     }
--- a/crates/burdockroad-standins/src/load/program.rs
+++ b/crates/burdockroad-standins/src/load/program.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     error::{Result, StandinError},
-    http_client::{self, HttpAnswer, HttpClient},
+    http_client::{self, HttpResponse, HttpClient},
     load::{
         LoadOptions,
         figures::{Figures, TokenCounts},
@@ -261,7 +261,7 @@
         &self,
         turn: u32,
         make: impl Fn(SocketAddr) -> Result<Request<Full<Bytes>>> + Send + Sync,
-    ) -> Result<HttpAnswer> {
+    ) -> Result<HttpResponse> {
         for attempt in 0..=self.shape.retries {
             if attempt > 0 {
                 self.figures.add_retry();
@@ -281,7 +281,7 @@
         )))
     }
 
-    async fn try_once(&self, request: Request<Full<Bytes>>) -> std::result::Result<HttpAnswer, Refusal> {
+    async fn try_once(&self, request: Request<Full<Bytes>>) -> std::result::Result<HttpResponse, Refusal> {
         let broken = Refusal {
             retry_after: Some(BROKEN_RETRY),
         };
@@ -328,7 +328,7 @@
 }
 
 /// Tells whether an answer is whole; one that is streamed ends with its mark.
-fn is_whole(answer: &HttpAnswer) -> bool {
+fn is_whole(answer: &HttpResponse) -> bool {
     let is_stream = answer
         .headers
         .get(header::CONTENT_TYPE)
@@ -336,7 +336,7 @@
     !is_stream || answer.text().trim_end().ends_with(END_MARK)
 }
 
-fn read_answer(answer: &HttpAnswer) -> Result<CallAnswer> {
+fn read_answer(answer: &HttpResponse) -> Result<CallAnswer> {
     let text = answer.text();
     let pieces: Vec<Completion> = if text.starts_with("data:") {
         let events = text.lines().filter_map(|line| line.strip_prefix("data: "));
@@ -368,7 +368,7 @@
     last.map_or_else(|| format!("status-{}", status.as_u16()), str::to_owned)
 }
 
-fn retry_after(answer: &HttpAnswer) -> Option<Duration> {
+fn retry_after(answer: &HttpResponse) -> Option<Duration> {
     let value = answer.headers.get(header::RETRY_AFTER)?;
     let seconds = value.to_str().ok()?.parse().ok()?;
     Some(Duration::from_secs(seconds).min(RETRY_AFTER_MAX))
--- a/crates/burdockroad-standins/tests/support/engine.rs
+++ b/crates/burdockroad-standins/tests/support/engine.rs
@@ -4,7 +4,7 @@
 
 use burdockroad_standins::{
     engine::{EngineOptions, EngineStandin, Load},
-    http_client::{self, HttpAnswer, HttpClient, HttpStream},
+    http_client::{self, HttpResponse, HttpClient, HttpStream},
 };
 use bytes::Bytes;
 use http::{HeaderName, HeaderValue, Method, Request};
@@ -42,7 +42,7 @@
         request
     }
 
-    pub(crate) async fn complete(&self, headers: &[(&'static str, &str)], body: &Value) -> HttpAnswer {
+    pub(crate) async fn complete(&self, headers: &[(&'static str, &str)], body: &Value) -> HttpResponse {
         self.client.send(self.chat(headers, body)).await.unwrap()
     }
 
@@ -50,7 +50,7 @@
         self.client.open(self.chat(headers, body)).await.unwrap()
     }
 
-    pub(crate) async fn send(&self, method: Method, path: &str) -> HttpAnswer {
+    pub(crate) async fn send(&self, method: Method, path: &str) -> HttpResponse {
         let request = http_client::request(method, &self.url(path), Bytes::new()).unwrap();
         self.client.send(request).await.unwrap()
     }
@@ -75,7 +75,7 @@
     body
 }
 
-pub(crate) fn answer_text(answer: &HttpAnswer) -> String {
+pub(crate) fn answer_text(answer: &HttpResponse) -> String {
     let answer: Value = answer.json().unwrap();
     answer["choices"][0]["message"]["content"]
         .as_str()
--- a/crates/burdockroad/examples/embed.rs
+++ b/crates/burdockroad/examples/embed.rs
@@ -127,7 +127,7 @@
             let mut settled = self.holder.tick(now);
             if let Some(token_request) = self.holder.token_request(now) {
                 let grant = self.bucket.grant(&"this-host".to_owned(), &token_request, now);
-                settled.extend(self.holder.answered(token_request.sequence, grant, now));
+                settled.extend(self.holder.on_response(token_request.sequence, grant, now));
             }
             admitted = settled.iter().any(|call| call.admission == Admission::Admitted);
         }
--- a/crates/burdockroad/src/gateway/budget.rs
+++ b/crates/burdockroad/src/gateway/budget.rs
@@ -75,7 +75,7 @@
     /// The call must wait for a write to complete, then retry.
     AwaitWrite,
     /// The call must wait until running calls of this or another host return tokens, then retry.
-    AwaitRoom,
+    AwaitTokens,
     /// The remaining budget is smaller than the call's maximum.
     Spent,
 }
@@ -177,7 +177,7 @@
             return Readiness::Spent;
         }
         if row.reservable_tokens() < max_tokens {
-            return Readiness::AwaitRoom;
+            return Readiness::AwaitTokens;
         }
         self.queue_write(program);
         Readiness::AwaitWrite
