--- a/crates/burdockroad-daemon/src/journal/actor.rs
+++ b/crates/burdockroad-daemon/src/journal/actor.rs
@@ -42,16 +42,16 @@
 /// Messages of the actor.
 #[derive(Debug)]
 pub(super) enum JournalMessage {
-    /// Appends records to the queue.
+    /// Records to append to the queue.
     Append {
         records: Vec<Record>,
         durability: Durability,
         reply: oneshot::Sender<Result<(), JournalError>>,
         appended_at: Instant,
     },
-    /// Sets the trees that write snapshots on request.
+    /// Trees from which the actor requests snapshots.
     SetTrees(Weak<dyn Trees>),
-    /// Reports that the view of the peers has changed.
+    /// Change of the view of the peers.
     PeersChanged,
     /// Outcome of a segment write.
     Written(WriteReply),
@@ -284,7 +284,7 @@
         let _sent = pending.reply.send(result);
     }
 
-    fn replicate(&self, to: Process, copies: TailBatch, myself: &ActorRef<JournalMessage>) {
+    fn replicate(&self, to: Process, batch: TailBatch, myself: &ActorRef<JournalMessage>) {
         let view = Arc::clone(&self.parts.peers.borrow());
         let peer = view.peers.get(&to.host_id);
         let address = peer
@@ -293,9 +293,9 @@
         let clients = Arc::clone(&self.parts.clients);
         let (owner, myself) = (self.parts.options.owner.clone(), myself.clone());
         tokio::spawn(async move {
-            let session = copies.session;
+            let session = batch.session;
             let reply = match address {
-                Some(address) => send_copies(&clients, &address, &owner, &to, copies).await,
+                Some(address) => send_batch(&clients, &address, &owner, &to, batch).await,
                 None => TailReply::Failed,
             };
             let _cast = myself.cast(JournalMessage::Replicated {
@@ -396,20 +396,20 @@
     }
 }
 
-async fn send_copies(
+async fn send_batch(
     clients: &PeerClients,
     address: &str,
     owner: &Process,
     to: &Process,
-    copies: TailBatch,
+    batch: TailBatch,
 ) -> TailReply {
     let request = ReplicateTailRequest {
         writer: Some(host_ref(owner)),
         to: Some(host_ref(to)),
-        session: copies.session,
-        position: copies.position,
-        records: copies.records.iter().map(|record| record.to_vec()).collect(),
-        stored_end: copies.stored_end,
+        session: batch.session,
+        position: batch.position,
+        records: batch.records.iter().map(|record| record.to_vec()).collect(),
+        stored_end: batch.stored_end,
     };
     let Ok(mut client) = clients.get(address) else {
         return TailReply::Failed;
--- a/crates/burdockroad-daemon/src/ownership/staging.rs
+++ b/crates/burdockroad-daemon/src/ownership/staging.rs
@@ -44,7 +44,7 @@
     trees: BTreeMap<ProgramId, Tree>,
 }
 
-/// Ordering key of the copies of a partition, by which an older copy that arrives late is rejected.
+/// Ordering key of the copies of a partition. A copy that is not newer than the staged one is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StageOrder {
     /// Epoch of the owner that made the copy.
@@ -132,7 +132,8 @@
     /// Removes and returns the staged trees of partitions that a map assigns to this process.
     ///
     /// The map names this process only after a copy was confirmed as durable. A later copy of the same
-    /// epoch may have replaced that copy without being confirmed yet. It has the same trees and is queued.
+    /// epoch may have replaced that copy without being confirmed yet. It has the same trees and is queued in
+    /// the journal.
     pub async fn take(&self, map: &OwnershipMap, partitions: &BTreeSet<PartitionId>) -> Vec<Tree> {
         let mut inner = self.inner.lock().await;
         let mut trees = Vec::new();
--- a/crates/burdockroad-daemon/src/platform.rs
+++ b/crates/burdockroad-daemon/src/platform.rs
@@ -240,7 +240,7 @@
 
 impl std::error::Error for StoreError {}
 
-/// Reader of the platform's list of hosts, which may lag behind the actual hosts.
+/// Reader of the platform's list of hosts. The list may lag behind the actual hosts.
 #[async_trait]
 pub trait HostList: fmt::Debug + Send + Sync {
     /// Reads the list.
@@ -255,7 +255,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 pub struct ListedHost {
-    /// Name of the host.
+    /// ID of the host.
     pub host_id: String,
     /// Failure domain of the host.
     pub failure_domain: String,
