--- a/crates/burdockroad-daemon/tests/fleet.rs
+++ b/crates/burdockroad-daemon/tests/fleet.rs
@@ -8,10 +8,10 @@
 mod model;
 #[path = "fleet/model_store.rs"]
 mod model_store;
+#[path = "fleet/peer_handlers.rs"]
+mod peer_handlers;
 #[path = "fleet/programs.rs"]
 mod programs;
-#[path = "fleet/service.rs"]
-mod service;
 #[path = "fleet/tails.rs"]
 mod tails;
 #[path = "fleet/trees.rs"]
--- a/crates/burdockroad-daemon/tests/fleet/coordinator.rs
+++ b/crates/burdockroad-daemon/tests/fleet/coordinator.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     journals::Journals,
-    service::{StubHandlers, handlers},
+    peer_handlers::{StubHandlers, handlers},
     trees::MemoryTrees,
 };
 
@@ -37,7 +37,7 @@
 struct Fleet {
     store: MemoryKeyValue,
     journals: Journals,
-    hosts: TestHostList,
+    host_list: TestHostList,
 }
 
 struct Host {
@@ -51,7 +51,7 @@
         Self {
             store: MemoryKeyValue::new(),
             journals: Journals::new(),
-            hosts: TestHostList::default(),
+            host_list: TestHostList::default(),
         }
     }
 
@@ -73,7 +73,7 @@
 
     /// Adds a host to the host list, or replaces its entry.
     fn add_to_list(&self, name: &str, address: &str) {
-        let mut hosts = self.hosts.0.lock().unwrap();
+        let mut hosts = self.host_list.0.lock().unwrap();
         hosts.retain(|host| host.host_id != name);
         let domain = hosts.len() % 3;
         hosts.push(ListedHost {
@@ -95,7 +95,7 @@
             failure_domain: "domain".to_owned(),
             membership: Options::default(),
             store: Arc::new(self.store.client()),
-            host_list: Arc::new(self.hosts.clone()),
+            host_list: Arc::new(self.host_list.clone()),
             journal,
             recovery: Arc::new(self.journals.clone()),
             trees: Arc::clone(&trees) as Arc<_>,
--- a/crates/burdockroad-daemon/tests/fleet/journals.rs
+++ b/crates/burdockroad-daemon/tests/fleet/journals.rs
@@ -23,11 +23,11 @@
 #[derive(Clone, Debug)]
 pub struct Journals {
     table: Arc<Mutex<BTreeMap<Process, StoredJournal>>>,
-    /// The processes in the order in which they opened their journals. The order of the processes
-    /// themselves would differ between runs, because incarnations are random.
+    /// The processes in the order in which they opened their journals. This order is the same in every run,
+    /// unlike the order of `Process`, which depends on random incarnations.
     opened: Arc<Mutex<Vec<Process>>>,
     delay_rng: Arc<Mutex<Option<ChaCha8Rng>>>,
-    /// Blocks the writer while its process is paused, and after it has crashed.
+    /// Blocks the journal requests of a process while it is paused, and after it has crashed.
     gate: Gate,
 }
 
@@ -98,7 +98,8 @@
 
     fn append_records(&self, process: &Process, records: Vec<Record>) -> Result<(), JournalError> {
         let mut table = self.table.lock().unwrap();
-        // A writer cannot continue after its journal was removed, because each write requires its predecessor.
+        // A writer cannot continue after its journal was removed, because each write requires its
+        // predecessor.
         match table.get_mut(process) {
             Some(journal) if !journal.sealed => {
                 journal.records.extend(records);
--- a/crates/burdockroad-daemon/tests/fleet/model.rs
+++ b/crates/burdockroad-daemon/tests/fleet/model.rs
@@ -1,8 +1,9 @@
 //! Random interleavings of takeovers, handoffs, crashes, pauses and calls on three hosts.
 //!
 //! Any host may attempt a takeover from any other host at any time, even from a live one, so the checks do
-//! not depend on which hosts are suspected. At the end, every change that was confirmed to a caller must
-//! exist exactly once: first on the live hosts and then, after all of them have crashed, in the journals.
+//! not depend on which hosts are suspected. At the end, exactly one host must serve each tree that was
+//! confirmed to a caller and not ended, with all its confirmed programs. This is checked first on the live
+//! hosts, and then, after all of them have crashed, on a host that recovers the trees from the journals.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -36,13 +37,12 @@
     trees::MemoryTrees,
 };
 
-/// Number of hosts.
 const HOST_COUNT: usize = 3;
 
 /// Number of partitions that have programs.
 const USED_PARTITION_COUNT: PartitionId = 5;
 
-/// Number of steps of a case.
+/// Number of random steps that each seed runs with faults enabled.
 const STEP_COUNT: u32 = 120;
 
 /// Number of seeds that are run, unless the environment variable `MODEL_SEEDS` sets another number.
@@ -55,7 +55,7 @@
 /// Timeout for the hosts to become quiescent after the last fault.
 const QUIESCENCE_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// Results that were confirmed to callers.
+/// Changes that were confirmed to callers, and the ends that callers requested.
 #[derive(Debug, Default)]
 struct Confirmed {
     /// Programs whose creation was stored, by the root of their tree.
@@ -189,7 +189,7 @@
         self.rng.delay(30).await;
     }
 
-    /// Creates a tree, adds a sub-agent to one, or ends one.
+    /// Creates a tree, adds a sub-agent to an existing tree, or ends an existing tree.
     fn call(&mut self, host: usize) {
         self.program_counter += 1;
         let partition = PartitionId::try_from(self.rng.below(USED_PARTITION_COUNT.into())).unwrap();
@@ -321,7 +321,8 @@
         store.read().await.unwrap().unwrap().map
     }
 
-    /// Disables faults, and lets the hosts take over the partitions of processes that no longer run.
+    /// Disables faults and resumes paused hosts. The first host takes over the partitions of processes that
+    /// no longer run, until the cluster is quiescent.
     async fn quiesce(&mut self) {
         self.faults_enabled.send_replace(false);
         for host in &self.hosts {
@@ -344,6 +345,8 @@
         }
     }
 
+    /// Returns whether all tasks have ended, each host has the current map, and only running processes own
+    /// partitions.
     async fn is_quiescent(&mut self) -> bool {
         for host in &mut self.hosts {
             while host.handoffs.try_join_next().is_some() {}
@@ -423,7 +426,8 @@
     }
 
     fn is_fenced(&self) -> bool {
-        // `Notify` stores a notification until the next wait, so that the check consumes it without waiting.
+        // `Notify` stores a notification until the next wait. One poll of that wait consumes it without
+        // blocking.
         let notified = futures_util::FutureExt::now_or_never(self.fenced.notified()).is_some();
         notified || self.journal.is_fenced()
     }
@@ -481,7 +485,7 @@
 }
 
 #[test]
-fn model_kept_seeds() {
+fn model_regression_seeds() {
     for seed in REGRESSION_SEEDS {
         run_seed(*seed);
     }
--- a/crates/burdockroad-daemon/tests/fleet/model_store.rs
+++ b/crates/burdockroad-daemon/tests/fleet/model_store.rs
@@ -1,4 +1,4 @@
-//! A store and connections between hosts with random faults and delays, which are determined by a seed.
+//! A store and connections between hosts, with faults and delays that are drawn from a seeded generator.
 
 use std::{
     collections::BTreeMap,
@@ -57,7 +57,8 @@
     Crashed,
 }
 
-/// Gate at which a process blocks before and after each request to the store or to another host.
+/// Gate that blocks a paused or crashed process before and after its requests to the store and to other
+/// hosts.
 #[derive(Clone, Debug)]
 pub struct Gate(watch::Sender<RunState>);
 
@@ -84,7 +85,7 @@
     }
 }
 
-/// One host's connection to the store.
+/// One host's connection to the store. Only `get` and `put` have faults and delays, and pass the gate.
 #[derive(Clone, Debug)]
 pub struct ModelStore {
     pub store: Arc<MemoryKeyValue>,
@@ -188,7 +189,7 @@
     }
 }
 
-/// Adopters, and the gates of their processes, by address.
+/// Adopter of each host, and the gate of its process, by address.
 pub type Adopters = Arc<Mutex<BTreeMap<String, (StagingAdopter, Gate)>>>;
 
 /// One host's connections to the others.
@@ -201,6 +202,7 @@
 }
 
 impl ModelSender {
+    /// Delivers a request after a delay below `delay_max_ms`, even if the sender crashes.
     fn deliver(
         &self,
         address: &str,
--- a/crates/burdockroad-daemon/tests/fleet/peer_handlers.rs
+++ b/crates/burdockroad-daemon/tests/fleet/peer_handlers.rs
@@ -1,4 +1,4 @@
-//! Peer handlers of which only those of the coordinator are real.
+//! Peer handlers of a test host. Those of the coordinator are real, and the others are stubs.
 
 use std::{sync::Arc, time::Instant};
 
--- a/crates/burdockroad-daemon/tests/fleet/programs.rs
+++ b/crates/burdockroad-daemon/tests/fleet/programs.rs
@@ -1,4 +1,5 @@
-//! Requests whose program's partition moves to another host between the ownership check and the change.
+//! Requests that pass the ownership check but are applied only after their program's partition has moved to
+//! another host.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/burdockroad-daemon/tests/fleet/tails.rs
+++ b/crates/burdockroad-daemon/tests/fleet/tails.rs
@@ -1,4 +1,4 @@
-//! Tail copies at a process that was fenced and resumes under another incarnation.
+//! Copies of peers' tails in a process that was fenced and restarts under a new incarnation.
 
 use burdockroad_daemon::{journal::TailStore, membership::host_ref, ownership::Process, peer::TailHandler};
 use burdockroad_proto::peer::ReplicateTailRequest;
--- a/crates/burdockroad-daemon/tests/fleet/trees.rs
+++ b/crates/burdockroad-daemon/tests/fleet/trees.rs
@@ -1,4 +1,4 @@
-//! In-memory program trees of one host, to which sub-agents are added one at a time.
+//! In-memory program trees of one host.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,7 +17,8 @@
     ownership::OwnershipReceiver,
 };
 
-/// Program trees that are served while the ownership map assigns their partition to this host.
+/// Program trees of one host. The host serves a tree while the ownership map assigns the tree's partition to
+/// it and the partition is not released.
 #[derive(Debug)]
 pub struct MemoryTrees {
     journal: Arc<JournalHandle>,
@@ -28,6 +29,7 @@
 #[derive(Debug, Default)]
 struct Table {
     trees: BTreeMap<ProgramId, Tree>,
+    /// Partitions that the host no longer serves because it is handing them off.
     released: BTreeSet<PartitionId>,
 }
 
