--- a/crates/burdockroad-daemon/tests/call_order.rs
+++ b/crates/burdockroad-daemon/tests/call_order.rs
@@ -1,4 +1,5 @@
-//! Durability of journal records that is required before a call is sent and before its response ends.
+//! Order of calls and journal records: which records must be durable before a call is sent, and before its
+//! response ends.
 
 use std::{
     collections::VecDeque,
@@ -40,7 +41,7 @@
     time::Instant,
 };
 
-/// Time within which an event that must not happen would be observed.
+/// Time for which a test checks that an event does not happen.
 const OBSERVATION_TIME: Duration = Duration::from_millis(300);
 
 /// A journal in which the test completes each append.
@@ -124,7 +125,7 @@
     runner: CallRunner,
     journal: Arc<ManualJournal>,
     program: String,
-    /// Sender of the document in force, which is kept open during the test.
+    /// Keeps the channel of the document in force open during the test.
     in_force: watch::Sender<Arc<InForce>>,
 }
 
@@ -243,7 +244,7 @@
 }
 
 #[tokio::test]
-async fn order_leaves_after_its_intent_is_stored() {
+async fn program_call_sent_after_intent_stored() {
     let service = ServiceStandin::start(ServiceOptions::default()).await.unwrap();
     let fixture = Fixture::start(service.address().to_string()).await;
     let mut reader = fixture.call(order(), false).await;
@@ -264,7 +265,7 @@
 }
 
 #[tokio::test]
-async fn order_not_recordable_does_not_run() {
+async fn program_call_intent_not_stored() {
     let service = ServiceStandin::start(ServiceOptions::default()).await.unwrap();
     let fixture = Fixture::start(service.address().to_string()).await;
     let mut reader = fixture.call(order(), false).await;
@@ -284,12 +285,12 @@
     assert!(head.headers.contains_key("retry-after"));
     assert!(
         service.recorded().is_empty(),
-        "a call that was reported as not run was sent"
+        "the order was sent although the response reports that it did not run"
     );
 }
 
 #[tokio::test]
-async fn answer_ends_after_its_result_is_durable() {
+async fn program_call_response_ends_after_result_durable() {
     let engine = EngineStandin::start(EngineOptions::default()).await.unwrap();
     let fixture = Fixture::start(engine.address().to_string()).await;
     let mut reader = fixture.call(completion(), true).await;
@@ -321,7 +322,7 @@
 }
 
 #[tokio::test]
-async fn answer_is_cut_when_its_host_was_fenced() {
+async fn program_call_response_truncated_when_fenced() {
     let engine = EngineStandin::start(EngineOptions::default()).await.unwrap();
     let fixture = Fixture::start(engine.address().to_string()).await;
     let mut reader = fixture.call(completion(), true).await;
