--- a/crates/burdockroad-daemon/examples/journal_cost.rs
+++ b/crates/burdockroad-daemon/examples/journal_cost.rs
@@ -1,9 +1,10 @@
-//! Cost of durability: latency from append to durable, and writes to the store, by group-commit window.
+//! Cost of durability by group-commit window: the time until an appended record is durable, and the rate of
+//! writes to the store.
 //!
 //! One host appends records of many programs at a fixed rate. The store responds after `STORE_LATENCY`,
-//! and a second host has a copy of the tail. With a recorded working set, the first record of a program in
-//! each window waits until a marker record of the program is in the store. A successor could then determine
-//! which programs may lack records.
+//! and a second host has a copy of the tail. In the mode `ReplicatedWithWorkingSet`, the first append of a
+//! program in each window waits until the store has a marker record of the program. From the markers, a
+//! successor could determine which programs may lack records.
 //!
 //! `cargo run --release --example journal_cost -p burdockroad-daemon`
 
@@ -43,7 +44,7 @@
 /// Number of programs, to which the appends are distributed round-robin.
 const PROGRAM_COUNT: u64 = 100;
 
-/// Size of the placeholder for messages in each record.
+/// Size of the text in each record that stands for the messages of a call.
 const MESSAGE_BYTES: usize = 500;
 
 /// Duration of each case.
@@ -58,12 +59,15 @@
 /// How records are made durable.
 #[derive(Clone, Copy, Debug)]
 enum DurabilityMode {
+    /// Each append waits until the store has the record.
     Stored,
+    /// Each append waits until the second host or the store has the record.
     Replicated,
+    /// Like `Replicated`, with a marker record in the store for each program and window.
     ReplicatedWithWorkingSet,
 }
 
-/// Programs of which the store has a marker record for the current window.
+/// Programs that have a marker record in the store for the current window.
 #[derive(Debug)]
 struct WorkingSet {
     window: Duration,
--- a/crates/burdockroad-daemon/examples/quickstart.rs
+++ b/crates/burdockroad-daemon/examples/quickstart.rs
@@ -155,7 +155,7 @@
     format!("{document:#}")
 }
 
-/// Writes the first document to the store before the daemon opens it.
+/// Writes the first configuration document to the embedded store, before the daemon opens the store.
 async fn store_document(directory: &Path, text: &str) -> Result<()> {
     let store = EmbeddedKeyValue::open(directory)?;
     let document = VersionedDocument::new(1, text)
@@ -174,6 +174,7 @@
 }
 
 impl Caller {
+    /// Creates a program repeatedly until the daemon accepts the request.
     async fn wait_until_ready(&self) -> Result<()> {
         for _ in 0..200 {
             let response = self.send(Method::POST, "/v1/programs", None, &json!({})).await;
@@ -185,11 +186,13 @@
         anyhow::bail!("the daemon did not become ready")
     }
 
+    /// Sends a request, and returns the JSON body of a successful response. `call_position` is the program ID
+    /// and the call number of a request that is a call of a program.
     async fn send(
         &self,
         method: Method,
         path: &str,
-        position: Option<(&str, u32)>,
+        call_position: Option<(&str, u32)>,
         body: &Value,
     ) -> Result<Value> {
         let body = if body.is_null() {
@@ -202,7 +205,7 @@
             .uri(format!("{}{path}", self.url))
             .header("authorization", format!("Bearer {}", self.key))
             .header("content-type", "application/json");
-        if let Some((program, number)) = position {
+        if let Some((program, number)) = call_position {
             request = request
                 .header("program-id", program)
                 .header("call-number", number);
--- a/crates/burdockroad-daemon/examples/write_schema.rs
+++ b/crates/burdockroad-daemon/examples/write_schema.rs
@@ -1,4 +1,4 @@
-//! Writes the JSON Schemas of the document and of the settings to `docs/schema`.
+//! Writes the JSON Schemas of the configuration document and of the settings to `docs/schema`.
 
 use std::{fs, io, path::Path};
 
--- a/crates/burdockroad-daemon/tests/admin.rs
+++ b/crates/burdockroad-daemon/tests/admin.rs
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test]
-async fn serve_responds() {
+async fn serve_routes_and_methods() {
     let address = start_server(Telemetry::without_exporter()).await;
     let cases = [
         ("GET /live", "200 OK", "live"),
@@ -200,7 +200,7 @@
         .map(|service| service.account_id.as_str())
         .collect();
     assert_eq!(worst_account_ids, ["starved", "slow"]);
-    // Measurements expire after two windows.
+    // Each rotation starts a new window. Measurements expire after two windows.
     telemetry.rotate();
     assert_eq!(telemetry.worst_served(1)[0].account_id, "starved");
     telemetry.rotate();
--- a/crates/burdockroad-daemon/tests/caller_input.rs
+++ b/crates/burdockroad-daemon/tests/caller_input.rs
@@ -1,4 +1,4 @@
-//! Parsing of caller input, which is accepted or refused without a panic, and removal of the caller's key.
+//! Parsing of caller input, and removal of the caller's key. Invalid input is refused without a panic.
 
 use burdockroad_daemon::{
     calls::{CompletionRequest, headers_without_key, service_headers, target_without_key},
@@ -58,9 +58,9 @@
 
 #[test]
 fn parse_refusals() {
-    let post = "/v1/chat/completions";
+    let completions = "/v1/chat/completions";
     let cases: [(Method, &str, HeaderPairs, ProblemKind); 10] = [
-        (Method::GET, post, &[], ProblemKind::MethodNotAllowed),
+        (Method::GET, completions, &[], ProblemKind::MethodNotAllowed),
         (
             Method::PATCH,
             "/v1/programs/p-0001-a",
@@ -71,37 +71,37 @@
         (Method::GET, "/services/", &[], ProblemKind::UnknownRoute),
         (
             Method::POST,
-            post,
+            completions,
             &[("program-id", "p-0001-a")],
             ProblemKind::InvalidRequest,
         ),
         (
             Method::POST,
-            post,
+            completions,
             &[("call-number", "1")],
             ProblemKind::InvalidRequest,
         ),
         (
             Method::POST,
-            post,
+            completions,
             &[("program-id", "p-0001-a"), ("call-number", "0")],
             ProblemKind::InvalidRequest,
         ),
         (
             Method::POST,
-            post,
+            completions,
             &[("program-id", "p-0001-a"), ("call-number", "-1")],
             ProblemKind::InvalidRequest,
         ),
         (
             Method::POST,
-            post,
+            completions,
             &[("program-id", "p-0001-a"), ("call-number", "4294967296")],
             ProblemKind::InvalidRequest,
         ),
         (
             Method::POST,
-            post,
+            completions,
             &[("idempotency-key", "")],
             ProblemKind::InvalidRequest,
         ),
--- a/crates/burdockroad-daemon/tests/config_watch.rs
+++ b/crates/burdockroad-daemon/tests/config_watch.rs
@@ -1,4 +1,4 @@
-//! The document in force on hosts that cannot reach the store or their peers.
+//! The configuration document in force on hosts that cannot reach the store or their peers.
 
 use std::{
     net::SocketAddr,
@@ -26,7 +26,8 @@
 /// Timeout of each condition that a test waits for.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Peer handlers that return default responses. Only the document handler of a host is real.
+/// Peer handlers that return default responses. A host uses them for all requests except those for its
+/// document.
 #[derive(Debug)]
 struct StubHandlers;
 
@@ -127,7 +128,7 @@
         gossip.observe_peer(&peer.name.to_owned(), &address, requested_at, &freshness);
     }
 
-    /// Records a host list of live hosts, as after a read of the platform's list.
+    /// Records a host list in which the named hosts are live, as if it had been read from the platform.
     fn observe_list(&self, names: &[&str]) {
         let hosts: Vec<ListedHost> = names.iter().map(|name| listed_host(name)).collect();
         self.watch.gossip().observe_list(&hosts);
@@ -153,7 +154,7 @@
     VersionedDocument::new(version, text).expect("the document is valid")
 }
 
-/// Writes the document's key, whatever its current revision.
+/// Writes a value under the document's key, over any current revision.
 async fn write(store: &MemoryKeyValue, value: Vec<u8>) {
     let current = store.get(DOCUMENT_KEY).await.expect("the store has no faults");
     let expected = current.map_or(Expected::Absent, |stored| Expected::Revision(stored.revision));
@@ -209,13 +210,13 @@
         store.read_count() >= reads_before + 6
     })
     .await;
-    // At most one read per 0.8 s, except for three initial reads: the watch's own, the first listing and
-    // the value.
+    // Up to three of the six reads are initial ones: the watch's own, the first listing and the value. The
+    // others are at least 0.8 s apart.
     assert!(start.elapsed() >= Duration::from_millis(3 * 800));
 }
 
 #[tokio::test]
-async fn in_force_store_cut_from_one_host() {
+async fn in_force_store_unreachable_for_one_host() {
     let store = MemoryKeyValue::new();
     write(&store, document(1, false).to_bytes()).await;
     let connected = Host::start("connected", &store, Fault::None).await;
@@ -278,7 +279,8 @@
     })
     .await;
     assert!(hosts.iter().all(|host| host.in_force().accepts_keys()));
-    // A host that starts during the outage cannot determine which version it had, so it puts none in force.
+    // A host that starts during the outage cannot determine which version it had before, so it puts no
+    // version in force.
     let started = Host::start("c", &store, Fault::Refused).await;
     started.observe_list(&["a", "b", "c"]);
     started.observe_peer(&hosts[0]);
--- a/crates/burdockroad-daemon/tests/dispatch.rs
+++ b/crates/burdockroad-daemon/tests/dispatch.rs
@@ -29,7 +29,7 @@
 
 const POOL: &str = "pool-a";
 
-/// Timeout of requests that get a slot. Far above the time that this takes, even on a busy machine.
+/// Timeout of requests that must get a slot. A request takes far less time, even on a busy machine.
 const SLOT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A pool with one endpoint, which has two slots.
@@ -223,7 +223,7 @@
 }
 
 #[tokio::test]
-async fn acquire_after_slot_host_removed() {
+async fn acquire_after_requesting_host_removed() {
     let (owner, other) = start_two_hosts().await;
     for _ in 0..2 {
         acquire(&other, SLOT_TIMEOUT).await.expect("a slot is free");
--- a/crates/burdockroad-daemon/tests/document_source.rs
+++ b/crates/burdockroad-daemon/tests/document_source.rs
@@ -1,4 +1,5 @@
-//! The limits, weights and draining hosts that quota and dispatch read from the document in force.
+//! The limits, weights and draining hosts that quota and dispatch read from the configuration document
+//! in force.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -32,8 +33,8 @@
 #[test]
 fn version_after_changes() {
     let (document, receiver) = watch::channel(in_force(1, 10.0));
-    let (leaving, leaving_receiver) = watch::channel(Arc::new(BTreeSet::new()));
-    let source = DocumentSource::new(receiver, leaving_receiver);
+    let (draining, draining_receiver) = watch::channel(Arc::new(BTreeSet::new()));
+    let source = DocumentSource::new(receiver, draining_receiver);
     let first = source.version();
     assert_eq!(source.version(), first);
 
@@ -47,7 +48,7 @@
     assert!((source.weight(&"account-a".to_owned()) - 2.0).abs() < f64::EPSILON);
     assert_eq!(source.limits(&"account-b".to_owned()), None);
 
-    leaving.send_replace(Arc::new(BTreeSet::from(["engine-host-1".to_owned()])));
+    draining.send_replace(Arc::new(BTreeSet::from(["engine-host-1".to_owned()])));
     assert_ne!(source.version(), second);
     assert!(source.draining_hosts().contains("engine-host-1"));
 }
--- a/crates/burdockroad-daemon/tests/etcd_faults.rs
+++ b/crates/burdockroad-daemon/tests/etcd_faults.rs
@@ -178,6 +178,7 @@
         let backoff = breaker.admit(now).unwrap_err();
         assert!(backoff <= Duration::from_secs(2), "trial {trial}: {backoff:?}");
         if trial < 4 {
+            // The upper bound doubles with each trial, and a backoff is at least half of its upper bound.
             assert!(
                 backoff * 2 > last_backoff,
                 "trial {trial}: {backoff:?} after {last_backoff:?}"
--- a/crates/burdockroad-daemon/tests/journal.rs
+++ b/crates/burdockroad-daemon/tests/journal.rs
@@ -20,7 +20,7 @@
 
 use self::host::Host;
 
-/// Timeout of each step.
+/// Timeout of each step. Some steps wait for a condition and would otherwise never end.
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     Start {
         host: String,
         domain: String,
-        /// Whether the hosts keep their current views of their peers, without the new process.
+        /// Whether the new process is missing from every host's view of its peers. The views are not updated.
         #[serde(default)]
         hidden: bool,
     },
@@ -71,7 +71,7 @@
         by: String,
         of: String,
         numbers: Vec<u64>,
-        tail: Tail,
+        tail: ExpectedTail,
     },
     /// Removes the journal of a host's current process.
     Remove { by: String, of: String },
@@ -109,7 +109,7 @@
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Tail {
+enum ExpectedTail {
     NotKept,
     Sealed,
     Unreached,
@@ -243,13 +243,13 @@
     }
 }
 
-impl From<Tail> for RecoveredTail {
-    fn from(tail: Tail) -> Self {
+impl From<ExpectedTail> for RecoveredTail {
+    fn from(tail: ExpectedTail) -> Self {
         match tail {
-            Tail::NotKept => Self::NotKept,
-            Tail::Sealed => Self::Sealed,
-            Tail::Unreached => Self::Unreached,
-            Tail::Lost => Self::Lost,
+            ExpectedTail::NotKept => Self::NotKept,
+            ExpectedTail::Sealed => Self::Sealed,
+            ExpectedTail::Unreached => Self::Unreached,
+            ExpectedTail::Lost => Self::Lost,
         }
     }
 }
--- a/crates/burdockroad-daemon/tests/journal/host.rs
+++ b/crates/burdockroad-daemon/tests/journal/host.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Opens the journal with long group-commit windows, so that records that no caller waits for stay in the
+    /// Opens the journal with a group-commit window of one hour. Records that no caller waits for stay in the
     /// queue.
     pub(crate) async fn open(&mut self) {
         let options = WriterOptions {
@@ -128,7 +128,7 @@
     }
 }
 
-/// Returns the view that the host `me` has of its peers, of which those in `live` are live.
+/// Returns the view that the host `me` has of its peers. Only the peers in `live` are live.
 pub(crate) fn peers_view(hosts: &BTreeMap<String, Host>, me: &str, live: &[String]) -> PeersView {
     let others = hosts.values().filter(|host| host.process.host_id != me);
     let peers = others.map(|host| {
--- a/crates/burdockroad-daemon/tests/key_value.rs
+++ b/crates/burdockroad-daemon/tests/key_value.rs
@@ -50,13 +50,16 @@
     Watch {
         key: String,
     },
+    /// Waits until a watch reports a change, and checks the new value.
     Changed {
         key: String,
         value: Option<String>,
     },
+    /// Waits until a watch reports progress.
     Progress {
         key: String,
     },
+    /// Closes the store and opens it again. Only the embedded store does this.
     Reopen,
 }
 
@@ -130,6 +133,7 @@
             Step::Progress { key } => {
                 self.next_event(key, |event| *event == WatchEvent::Progress).await;
             }
+            // `run_embedded` reopens the store.
             Step::Reopen => {}
         }
     }
@@ -172,8 +176,8 @@
         loop {
             let event = timeout(EVENT_TIMEOUT, watch.recv())
                 .await
-                .expect("an event in time");
-            let event = event.expect("the watch stands");
+                .expect("an event arrives before the timeout");
+            let event = event.expect("the watch is open");
             if matches(&event) {
                 return event;
             }
--- a/crates/burdockroad-daemon/tests/quota.rs
+++ b/crates/burdockroad-daemon/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Admission by rate limit tokens on two hosts that are connected over loopback.
+//! Admission of calls within an account's rate limit, on two hosts that are connected over loopback.
 
 use std::{
     sync::{
@@ -152,7 +152,7 @@
     assert!(owner.quota.grant(request.clone()).await.not_owner);
     owner.lease.0.store(true, Ordering::Relaxed);
     assert!(!owner.quota.grant(request.clone()).await.not_owner);
-    // A requester with a newer map may have a newer owner in it.
+    // The requester has a newer map, in which another host may be the owner.
     let newer = GrantRequest {
         ownership_version: 2,
         sequence: 2,
--- a/crates/burdockroad-daemon/tests/settings.rs
+++ b/crates/burdockroad-daemon/tests/settings.rs
@@ -16,7 +16,7 @@
     compare(expected.trim_end(), &finding_lines(Settings::parse(&text)))
 }
 
-/// Checks that a shipped document or settings file is valid.
+/// Checks that a shipped configuration document or settings file is valid.
 fn parse_example(path: &Path) -> datatest_stable::Result<()> {
     let text = fs::read_to_string(path)?;
     let is_document = path.file_stem().is_some_and(|name| name == "document");
--- a/crates/burdockroad-daemon/tests/settings_text.rs
+++ b/crates/burdockroad-daemon/tests/settings_text.rs
@@ -35,9 +35,9 @@
     );
     let faulty = path.with_file_name("faulty.jsonc");
     let error = Settings::check(&faulty).expect_err("the settings are faulty");
-    let lines = error.to_string();
+    let message = error.to_string();
     assert!(
-        lines
+        message
             .lines()
             .all(|line| line.starts_with(&faulty.display().to_string()))
     );
