--- a/crates/burdockroad-daemon/examples/quickstart.rs
+++ b/crates/burdockroad-daemon/examples/quickstart.rs
@@ -186,13 +186,13 @@
         anyhow::bail!("the daemon did not become ready")
     }
 
-    /// Sends a request, and returns the JSON body of a successful response. `call_position` is the program ID
+    /// Sends a request, and returns the JSON body of a successful response. `position` is the program ID
     /// and the call number of a request that is a call of a program.
     async fn send(
         &self,
         method: Method,
         path: &str,
-        call_position: Option<(&str, u32)>,
+        position: Option<(&str, u32)>,
         body: &Value,
     ) -> Result<Value> {
         let body = if body.is_null() {
@@ -205,7 +205,7 @@
             .uri(format!("{}{path}", self.url))
             .header("authorization", format!("Bearer {}", self.key))
             .header("content-type", "application/json");
-        if let Some((program, number)) = call_position {
+        if let Some((program, number)) = position {
             request = request
                 .header("program-id", program)
                 .header("call-number", number);
