--- a/crates/burdockroad-cli/src/apply.rs
+++ b/crates/burdockroad-cli/src/apply.rs
@@ -15,7 +15,7 @@
 
 use crate::error::CliError;
 
-/// Prefix of the keys of earlier versions. The version follows with 16 digits.
+/// Prefix of the keys of earlier versions. The version number follows, padded to 16 digits.
 const HISTORY_PREFIX: &str = "burdockroad/config/history/";
 
 /// Maximum number of versions in the history.
@@ -104,7 +104,7 @@
         Ok(next)
     }
 
-    /// Writes this version to the history, which happens before it is replaced.
+    /// Writes this version to the history. [`Self::apply`] calls this before it replaces the document.
     async fn archive(&self, store: &dyn KeyValue) -> Result<(), CliError> {
         if self.revision.is_none() {
             return Ok(());
--- a/crates/burdockroad-cli/src/args.rs
+++ b/crates/burdockroad-cli/src/args.rs
@@ -211,6 +211,7 @@
     account: Option<String>,
     version: Option<DocumentVersion>,
     undo: bool,
+    /// Names of the options that were given.
     given: Vec<&'static str>,
 }
 
@@ -238,7 +239,7 @@
     }
 
     /// Returns an error if an option was given that the command does not accept.
-    fn allow(&self, allowed: &[&str]) -> Result<(), CliError> {
+    fn check_allowed(&self, allowed: &[&str]) -> Result<(), CliError> {
         match self.given.iter().find(|name| !allowed.contains(name)) {
             Some(name) => Err(CliError::Usage(format!("this command has no option `{name}`"))),
             None => Ok(()),
@@ -289,7 +290,7 @@
         ["config", "show"] => &["--at"],
         _ => &[],
     };
-    options.allow(allowed)?;
+    options.check_allowed(allowed)?;
     let command = match words {
         ["config", "validate", file] => Command::ConfigValidate { file: file.into() },
         ["config", "diff", file] => Command::ConfigDiff { file: file.into() },
--- a/crates/burdockroad-cli/src/commands/change.rs
+++ b/crates/burdockroad-cli/src/commands/change.rs
@@ -47,8 +47,8 @@
 
 /// Returns the hosts to wait for until the change is in force, or none if the command does not wait.
 ///
-/// Callers resolve the hosts before they store the change. Otherwise a change could be stored whose
-/// state on the hosts cannot be reported to the operator.
+/// Callers resolve the hosts before they store the change. If this fails, nothing is stored. After the
+/// change is stored, a failure would leave the operator without a report of where it is in force.
 pub(super) async fn hosts_to_wait_for(options: &Options) -> Result<Option<Hosts>, CliError> {
     if options.wait.is_none() || options.dry_run || options.data_folder.is_some() {
         return Ok(None);
--- a/crates/burdockroad-cli/src/commands/config.rs
+++ b/crates/burdockroad-cli/src/commands/config.rs
@@ -74,7 +74,7 @@
     let shown = match version {
         Some(version) if version != stored.version => apply::history(store.as_ref(), version)
             .await?
-            .ok_or_else(|| CliError::Missing(format!("version {version} is not kept")))?,
+            .ok_or_else(|| CliError::Missing(format!("version {version} is not in the history")))?,
         _ => stored,
     };
     Ok(shown_report(&shown))
--- a/crates/burdockroad-cli/src/commands/host.rs
+++ b/crates/burdockroad-cli/src/commands/host.rs
@@ -38,14 +38,14 @@
                 status.host_id
             )
         }));
-        lines.extend(status.worst_served.iter().map(|service| {
+        lines.extend(status.worst_served.iter().map(|account| {
             format!(
                 "account {} program_p99_ms={} queue_p99_ms={} refused_inside_rate={} refused_over_rate={} host={}",
-                service.account_id,
-                service.program_p99_ms,
-                service.queue_p99_ms,
-                service.refused_inside_rate,
-                service.refused_over_rate,
+                account.account_id,
+                account.program_p99_ms,
+                account.queue_p99_ms,
+                account.refused_inside_rate,
+                account.refused_over_rate,
                 status.host_id
             )
         }));
@@ -56,6 +56,7 @@
 pub(super) async fn drain(options: &Options, address: &str) -> Result<Report, CliError> {
     let hosts = match require_hosts(options).await {
         Ok(hosts) => hosts,
+        // The command line names the host to drain, so the list of hosts is optional.
         Err(CliError::Usage(_)) => Hosts::new(vec![address.to_owned()]),
         Err(error) => return Err(error),
     };
@@ -63,7 +64,9 @@
     if response.status != StatusCode::ACCEPTED {
         return Err(CliError::Failed(format!("{address}: {}", response.status)));
     }
-    let line = format!("{address} hands its work over; `burdockroad status` shows when it owns nothing more");
+    let line = format!(
+        "{address} is draining; `burdockroad status` shows the partitions and programs that it still owns"
+    );
     Ok(Report::new(
         [line],
         json!({ "address": address, "draining": true }),
--- a/crates/burdockroad-cli/src/edit.rs
+++ b/crates/burdockroad-cli/src/edit.rs
@@ -150,7 +150,7 @@
 }
 
 fn find(list: &CstArray, id: &str) -> Option<Entity> {
-    objects(list).find(|entity| name(&entity.object).as_deref() == Some(id))
+    objects(list).find(|entity| id_of(&entity.object).as_deref() == Some(id))
 }
 
 fn objects(list: &CstArray) -> impl Iterator<Item = Entity> {
@@ -159,7 +159,7 @@
     objects.map(|object| Entity { object })
 }
 
-fn name(object: &CstObject) -> Option<String> {
+fn id_of(object: &CstObject) -> Option<String> {
     let value = object.get("id")?.value()?;
     value.as_string_lit()?.decoded_value().ok()
 }
--- a/crates/burdockroad-cli/tests/apply.rs
+++ b/crates/burdockroad-cli/tests/apply.rs
@@ -24,8 +24,10 @@
     applied.map(|applied| applied.version)
 }
 
-/// Faults of the store for the writes of one change, and the expected result. The first write is that of
-/// the history; the change itself follows.
+/// Faults of the store during one change, and the expected result.
+///
+/// Each fault applies to one write, retries included. The change writes the history first, then the
+/// document.
 struct Case {
     faults: &'static [Fault],
     exit: Exit,
--- a/crates/burdockroad-cli/tests/commands.rs
+++ b/crates/burdockroad-cli/tests/commands.rs
@@ -225,7 +225,11 @@
         ("endpoint drain nothing", Exit::Missing, "nothing"),
         ("site shift batinah=0", Exit::Invalid, "at least one site"),
         ("site shift batinah", Exit::Usage, "SITE=WEIGHT"),
-        ("config show --at 9", Exit::Missing, "version 9 is not kept"),
+        (
+            "config show --at 9",
+            Exit::Missing,
+            "version 9 is not in the history",
+        ),
         ("config diff no-such-file", Exit::Failed, "no-such-file"),
         ("acount list", Exit::Usage, "there is no command `acount list`"),
         ("status --colour", Exit::Usage, "--colour"),
--- a/crates/burdockroad-cli/tests/fleet.rs
+++ b/crates/burdockroad-cli/tests/fleet.rs
@@ -43,7 +43,7 @@
     admin_address: String,
 }
 
-/// Status source that reports the document which a watch has in force.
+/// Reports the document version that a watch has in force.
 #[derive(Debug)]
 struct WatchStatus(InForceReceiver);
 
@@ -137,7 +137,7 @@
     run(line.split_whitespace().map(OsString::from).collect()).await
 }
 
-/// Polls until a condition holds.
+/// Polls until a condition holds. Panics after [`WAIT_TIMEOUT`].
 async fn wait_until(description: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
