--- a/crates/burdockroad-site/src/bin/measure/cost.rs
+++ b/crates/burdockroad-site/src/bin/measure/cost.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     Bound, Figure,
-    load::{Generator, float},
+    load::{Generator, to_f64},
     policies::account_id,
 };
 
@@ -14,7 +14,7 @@
 const SMALL_PROGRAM_COUNT: usize = 1_000;
 const LARGE_PROGRAM_COUNT: usize = 1_000_000;
 
-/// Decisions over which the mean is taken, and runs of which the lowest mean counts.
+/// Decisions per run, and number of runs. The result is the lowest mean cost of a run.
 const DECISIONS: usize = 50_000;
 const RUNS: usize = 5;
 
@@ -22,8 +22,7 @@
 const SLOTS: u32 = 8;
 const ACCOUNTS: usize = 8;
 
-/// Measures by which factor the cost of a call grows if the number of waiting programs grows a
-/// thousandfold.
+/// Measures the growth of a call's cost when the number of waiting programs grows a thousandfold.
 pub(crate) fn decision_cost(seed: u64) -> Figure {
     let small_cost_ns = cost_ns(SMALL_PROGRAM_COUNT, seed);
     let large_cost_ns = cost_ns(LARGE_PROGRAM_COUNT, seed);
@@ -45,14 +44,15 @@
     let infos = (0..ENDPOINTS).map(|endpoint| EndpointInfo::new(format!("e{endpoint}"), SLOTS));
     pool.set_endpoints(infos.collect(), now);
     for program in 0..programs {
-        pool.submit(call(program, &mut generator, now), now);
+        pool.submit(random_call(program, &mut generator, now), now);
     }
     let mut slots: Vec<SlotId> = pool.tick(now).assignments.iter().map(|a| a.slot_id).collect();
-    let runs = (0..RUNS).map(|_| decide(&mut pool, &mut slots, programs, &mut generator, now));
+    let runs = (0..RUNS).map(|_| mean_cost_ns(&mut pool, &mut slots, programs, &mut generator, now));
     runs.fold(f64::INFINITY, f64::min)
 }
 
-fn decide(
+/// Returns the mean cost of [`DECISIONS`] decisions in nanoseconds.
+fn mean_cost_ns(
     pool: &mut Pool,
     slots: &mut Vec<SlotId>,
     programs: usize,
@@ -62,7 +62,7 @@
     let calls: Vec<Call> = (0..DECISIONS)
         .map(|_| {
             let program = generator.below(programs);
-            call(program, generator, now)
+            random_call(program, generator, now)
         })
         .collect();
     let report = Report {
@@ -79,10 +79,10 @@
         pool.submit(call, now);
         slots.extend(pool.tick(now).assignments.iter().map(|a| a.slot_id));
     }
-    started_at.elapsed().as_secs_f64() * 1e9 / float(DECISIONS as u64)
+    started_at.elapsed().as_secs_f64() * 1e9 / to_f64(DECISIONS as u64)
 }
 
-fn call(program: usize, generator: &mut Generator, now: Instant) -> Call {
+fn random_call(program: usize, generator: &mut Generator, now: Instant) -> Call {
     Call {
         program_id: Some(format!("p{program}")),
         first: false,
--- a/crates/burdockroad-site/src/bin/measure/driver.rs
+++ b/crates/burdockroad-site/src/bin/measure/driver.rs
@@ -13,7 +13,7 @@
 use burdockroad::dispatch::{LoadReport, Report};
 
 use crate::{
-    load::{Generator, PROMPT_TOKENS_PER_S, Program, float, slot_time_s},
+    load::{Generator, PROMPT_TOKENS_PER_S, Program, slot_time_s, to_f64},
     policies::{CallRequest, Decisions, Policy, RefusedCall, StartedCall},
 };
 
@@ -29,9 +29,9 @@
 /// Share of the evictions that is reported.
 const REPORTED_EVICTION_SHARE: f64 = 0.9;
 
-/// Engines of a pool.
+/// Size of a simulated pool.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Fleet {
+pub(crate) struct PoolSize {
     pub(crate) endpoints: usize,
     pub(crate) slots: u32,
     /// Tokens that each engine can cache.
@@ -43,7 +43,7 @@
 pub(crate) struct EndedProgram {
     pub(crate) account: usize,
     pub(crate) arrival_s: f64,
-    pub(crate) at_s: f64,
+    pub(crate) ended_at_s: f64,
     /// Whether all of its calls were served.
     pub(crate) finished: bool,
     pub(crate) output_tokens: u64,
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) ended: Vec<EndedProgram>,
-    /// History tokens that were computed again because the engine had no cached prefix with them.
+    /// Tokens of program histories that were recomputed because the engine had not cached them.
     pub(crate) recomputed_tokens: u64,
 }
 
@@ -78,6 +78,7 @@
 struct Engine {
     max_tokens: u64,
     tokens: u64,
+    /// Tokens of each program's cached prefix, and the value of `use_count` at its last use.
     cached: HashMap<usize, (u64, u64)>,
     least_recently_used: BTreeMap<u64, usize>,
     use_count: u64,
@@ -94,10 +95,11 @@
     sequence: u64,
     programs: Vec<ProgramState>,
     engines: Vec<Engine>,
-    slots: HashMap<usize, (StartedCall, Report)>,
+    /// Running call of each program, with the report of its completion.
+    running_calls: HashMap<usize, (StartedCall, Report)>,
     generator: Generator,
     unfinished_programs: usize,
-    /// Number of programs to start in a closed loop; none if all programs are given in advance.
+    /// Total number of programs in a closed loop; none if all programs are given at the start.
     closed_loop_programs: Option<usize>,
     outcome: Outcome,
 }
@@ -105,13 +107,13 @@
 impl<'a> Driver<'a> {
     pub(crate) fn new(
         policy: &'a mut dyn Policy,
-        fleet: Fleet,
+        pool_size: PoolSize,
         programs: Vec<Program>,
         start: Instant,
         seed: u64,
     ) -> Self {
         let engine = || Engine {
-            max_tokens: fleet.cache_tokens,
+            max_tokens: pool_size.cache_tokens,
             ..Engine::default()
         };
         let mut driver = Self {
@@ -121,8 +123,8 @@
             events: BinaryHeap::new(),
             sequence: 0,
             programs: Vec::new(),
-            engines: (0..fleet.endpoints).map(|_| engine()).collect(),
-            slots: HashMap::new(),
+            engines: (0..pool_size.endpoints).map(|_| engine()).collect(),
+            running_calls: HashMap::new(),
             generator: Generator::new(seed),
             unfinished_programs: 0,
             closed_loop_programs: None,
@@ -135,7 +137,7 @@
         driver
     }
 
-    /// Starts a new program for each one that ends, until this many programs have been started.
+    /// Starts a new program for each one that ends, until the total number of programs is reached.
     pub(crate) fn closed_loop(mut self, programs: usize) -> Self {
         self.closed_loop_programs = Some(programs);
         self
@@ -223,10 +225,10 @@
             prompt_tokens,
             cached_tokens,
             output_tokens: turn.output_tokens,
-            first_token: Some(Duration::from_secs_f64(float(computed) / PROMPT_TOKENS_PER_S)),
+            first_token: Some(Duration::from_secs_f64(to_f64(computed) / PROMPT_TOKENS_PER_S)),
             failed: false,
         };
-        self.slots.insert(started.program, (started, report));
+        self.running_calls.insert(started.program, (started, report));
         self.schedule(
             self.now_s + slot_time_s(computed, turn.output_tokens),
             Event::Served(started.program),
@@ -234,7 +236,7 @@
     }
 
     fn finish_call(&mut self, program: usize) {
-        let Some((started, report)) = self.slots.remove(&program) else {
+        let Some((started, report)) = self.running_calls.remove(&program) else {
             return;
         };
         let engine = &mut self.engines[started.endpoint];
@@ -270,18 +272,18 @@
         self.outcome.ended.push(EndedProgram {
             account: state.program.account,
             arrival_s: state.program.arrival_s,
-            at_s: self.now_s,
+            ended_at_s: self.now_s,
             finished,
             output_tokens: state.attained_tokens,
         });
         self.unfinished_programs -= 1;
-        self.policy.ended(program);
+        self.policy.on_program_end(program);
         for engine in &mut self.engines {
             engine.remove_prefix(program);
         }
         if self
             .closed_loop_programs
-            .is_some_and(|until| self.programs.len() < until)
+            .is_some_and(|total| self.programs.len() < total)
         {
             let next = self.generator.program(0, self.now_s);
             self.add_program(next);
--- a/crates/burdockroad-site/src/bin/measure/load.rs
+++ b/crates/burdockroad-site/src/bin/measure/load.rs
@@ -1,4 +1,4 @@
-//! Generator of the measured load from a seed.
+//! Generates the simulated load from a seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,7 +15,7 @@
 /// Programs over which the mean slot time of a program is estimated.
 const SAMPLE_PROGRAMS: usize = 4_000;
 
-/// Sequence of calls. The prompt of each call includes the history of all calls before it.
+/// Agent program: a sequence of calls. The prompt of each call includes the history of all earlier calls.
 #[derive(Clone, Debug)]
 pub(crate) struct Program {
     pub(crate) account: usize,
@@ -113,7 +113,7 @@
 
 /// Returns the time that a call occupies a slot to compute its prompt and to generate its output.
 pub(crate) fn slot_time_s(computed_tokens: u64, output_tokens: u64) -> f64 {
-    float(computed_tokens) / PROMPT_TOKENS_PER_S + float(output_tokens) / OUTPUT_TOKENS_PER_S
+    to_f64(computed_tokens) / PROMPT_TOKENS_PER_S + to_f64(output_tokens) / OUTPUT_TOKENS_PER_S
 }
 
 /// Returns the mean slot time of a program if no prefix is cached.
@@ -122,10 +122,10 @@
     let total: f64 = (0..SAMPLE_PROGRAMS)
         .map(|_| generator.program(0, 0.0).total_slot_time_s())
         .sum();
-    total / float(SAMPLE_PROGRAMS as u64)
+    total / to_f64(SAMPLE_PROGRAMS as u64)
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^52")]
-pub(crate) fn float(count: u64) -> f64 {
+pub(crate) fn to_f64(count: u64) -> f64 {
     count as f64
 }
--- a/crates/burdockroad-site/src/bin/measure/policies.rs
+++ b/crates/burdockroad-site/src/bin/measure/policies.rs
@@ -52,7 +52,7 @@
         None
     }
     fn observe(&mut self, _endpoint: usize, _load: LoadReport, _evicted: &[usize], _now: Instant) {}
-    fn ended(&mut self, _program: usize) {}
+    fn on_program_end(&mut self, _program: usize) {}
 }
 
 /// Measured policy, which uses the scheduler's pool.
@@ -143,7 +143,7 @@
         }
     }
 
-    fn ended(&mut self, program: usize) {
+    fn on_program_end(&mut self, program: usize) {
         self.pool.evict_program(&program_id(program));
     }
 }
@@ -152,34 +152,34 @@
 #[derive(Debug)]
 pub(crate) struct RoundRobin {
     queues: Vec<VecDeque<usize>>,
-    free: Vec<u32>,
-    next: usize,
+    free_slots: Vec<u32>,
+    next_endpoint: usize,
 }
 
 impl RoundRobin {
     pub(crate) fn new(endpoints: usize, slots: u32) -> Self {
         Self {
             queues: vec![VecDeque::new(); endpoints],
-            free: vec![slots; endpoints],
-            next: 0,
+            free_slots: vec![slots; endpoints],
+            next_endpoint: 0,
         }
     }
 }
 
 impl Policy for RoundRobin {
     fn submit(&mut self, request: CallRequest, _now: Instant) -> Decisions {
-        self.queues[self.next].push_back(request.program);
-        self.next = (self.next + 1) % self.queues.len();
+        self.queues[self.next_endpoint].push_back(request.program);
+        self.next_endpoint = (self.next_endpoint + 1) % self.queues.len();
         Decisions::default()
     }
 
     fn decide(&mut self, _now: Instant) -> Decisions {
         let mut decisions = Decisions::default();
         for endpoint in 0..self.queues.len() {
-            while self.free[endpoint] > 0
+            while self.free_slots[endpoint] > 0
                 && let Some(program) = self.queues[endpoint].pop_front()
             {
-                self.free[endpoint] -= 1;
+                self.free_slots[endpoint] -= 1;
                 decisions.started.push(started(program, endpoint));
             }
         }
@@ -187,7 +187,7 @@
     }
 
     fn complete(&mut self, started: StartedCall, _report: &Report, _now: Instant) {
-        self.free[started.endpoint] += 1;
+        self.free_slots[started.endpoint] += 1;
     }
 }
 
@@ -196,14 +196,14 @@
 #[derive(Debug)]
 pub(crate) struct LeastLoaded {
     queue: VecDeque<usize>,
-    free: Vec<u32>,
+    free_slots: Vec<u32>,
 }
 
 impl LeastLoaded {
     pub(crate) fn new(endpoints: usize, slots: u32) -> Self {
         Self {
             queue: VecDeque::new(),
-            free: vec![slots; endpoints],
+            free_slots: vec![slots; endpoints],
         }
     }
 }
@@ -216,7 +216,11 @@
 
     fn decide(&mut self, _now: Instant) -> Decisions {
         let mut decisions = Decisions::default();
-        while let Some((endpoint, free)) = self.free.iter_mut().enumerate().max_by_key(|(_, free)| **free)
+        while let Some((endpoint, free)) = self
+            .free_slots
+            .iter_mut()
+            .enumerate()
+            .max_by_key(|(_, free)| **free)
             && *free > 0
             && let Some(program) = self.queue.pop_front()
         {
@@ -227,7 +231,7 @@
     }
 
     fn complete(&mut self, started: StartedCall, _report: &Report, _now: Instant) {
-        self.free[started.endpoint] += 1;
+        self.free_slots[started.endpoint] += 1;
     }
 }
 
--- a/crates/burdockroad-site/src/bin/measure/pool_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/pool_cases.rs
@@ -4,8 +4,8 @@
 
 use crate::{
     Bound, Figure,
-    driver::{Driver, EndedProgram, Fleet, Outcome},
-    load::{Generator, Program, float, mean_slot_time_s},
+    driver::{Driver, EndedProgram, Outcome, PoolSize},
+    load::{Generator, Program, mean_slot_time_s, to_f64},
     policies::{LeastLoaded, Policy, PoolPolicy, RoundRobin},
 };
 
@@ -32,7 +32,7 @@
 
 /// Programs that run concurrently in the caching case, and the total number of programs.
 const CONCURRENT_PROGRAMS: usize = 160;
-const CLOSED_PROGRAMS: usize = 3_000;
+const TOTAL_PROGRAMS: usize = 3_000;
 
 /// Mean number of tokens in a running program's history.
 const MEAN_CONTEXT_TOKENS: u64 = 14_000;
@@ -44,8 +44,8 @@
 pub(crate) fn trust_mixed(seed: u64) -> Figure {
     let programs = arrivals(seed, &rates(seed, OFFERED_LOAD));
     let mut baseline = RoundRobin::new(ENDPOINTS, SLOTS);
-    let baseline = run(&mut baseline, fleet(), programs.clone(), seed);
-    let value = run_pool_policy(fleet(), &SHARES, programs, seed);
+    let baseline = run(&mut baseline, pool_size(), programs.clone(), seed);
+    let value = run_pool_policy(pool_size(), &SHARES, programs, seed);
     let baseline_s = percentile_95(&baseline, None);
     let value_s = percentile_95(&value, None);
     Figure {
@@ -57,13 +57,13 @@
     }
 }
 
-/// Compares the latency of each account next to a flooding one with its latency when it runs alone on its
-/// share of the pool. The figure is the highest ratio.
+/// Compares each account's latency on a pool that it shares with a flooding account to its latency alone
+/// on its own share of the pool. The figure is the highest ratio over the accounts that do not flood.
 pub(crate) fn flooding_account(seed: u64) -> Figure {
     let mut rates = rates(seed, OFFERED_LOAD);
     rates[FLOODING_ACCOUNT] *= FLOOD_FACTOR;
     let programs = arrivals(seed, &rates);
-    let mixed = run_pool_policy(fleet(), &SHARES, programs.clone(), seed);
+    let mixed = run_pool_policy(pool_size(), &SHARES, programs.clone(), seed);
     let mut worst = (0.0, 0.0);
     for (account, share) in SHARES.iter().enumerate() {
         if account == FLOODING_ACCOUNT {
@@ -71,7 +71,7 @@
         }
         let own_programs = programs.iter().filter(|program| program.account == account);
         let alone = run_pool_policy(
-            share_of_fleet(*share),
+            share_of_pool(*share),
             &SHARES,
             own_programs.cloned().collect(),
             seed,
@@ -95,17 +95,17 @@
 /// room for half of the histories of the running programs.
 pub(crate) fn tool_pauses(seed: u64) -> Figure {
     let working_set = CONCURRENT_PROGRAMS as u64 * MEAN_CONTEXT_TOKENS;
-    let fleet = Fleet {
+    let pool_size = PoolSize {
         cache_tokens: working_set / 2 / ENDPOINTS as u64,
-        ..fleet()
+        ..pool_size()
     };
     let mut generator = Generator::new(seed);
     let first: Vec<Program> = (0..CONCURRENT_PROGRAMS)
         .map(|_| generator.program(0, 0.0))
         .collect();
     let run = |policy: &mut dyn Policy, start| {
-        Driver::new(policy, fleet, first.clone(), start, seed)
-            .closed_loop(CLOSED_PROGRAMS)
+        Driver::new(policy, pool_size, first.clone(), start, seed)
+            .closed_loop(TOTAL_PROGRAMS)
             .run()
     };
     let start = Instant::now();
@@ -114,8 +114,8 @@
     Figure {
         case: "tool_pauses",
         name: "recomputed_tokens_ratio",
-        baseline: float(baseline),
-        value: float(value) / float(baseline),
+        baseline: to_f64(baseline),
+        value: to_f64(value) / to_f64(baseline),
         bound: Bound::AtMost(1.0 / 3.0),
     }
 }
@@ -140,38 +140,38 @@
     }
 }
 
-fn fleet() -> Fleet {
-    Fleet {
+fn pool_size() -> PoolSize {
+    PoolSize {
         endpoints: ENDPOINTS,
         slots: SLOTS,
         cache_tokens: CACHE_TOKENS,
     }
 }
 
-/// Returns the share of the pool of one account: whole endpoints, or some slots of one endpoint.
+/// Returns the size of one account's share of the pool: whole endpoints, or some slots of one endpoint.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a share of ten endpoints"
 )]
-fn share_of_fleet(share: f64) -> Fleet {
-    let endpoints = share * float(ENDPOINTS as u64);
+fn share_of_pool(share: f64) -> PoolSize {
+    let endpoints = share * to_f64(ENDPOINTS as u64);
     if endpoints >= 1.0 {
-        return Fleet {
+        return PoolSize {
             endpoints: endpoints.round() as usize,
-            ..fleet()
+            ..pool_size()
         };
     }
-    Fleet {
+    PoolSize {
         endpoints: 1,
         slots: (f64::from(SLOTS) * endpoints).round() as u32,
-        cache_tokens: (float(CACHE_TOKENS) * endpoints).round() as u64,
+        cache_tokens: (to_f64(CACHE_TOKENS) * endpoints).round() as u64,
     }
 }
 
 /// Returns the programs per second of each account at a load, given as a share of the capacity.
 fn rates(seed: u64, load: f64) -> [f64; 8] {
-    let slots = float(ENDPOINTS as u64) * f64::from(SLOTS);
+    let slots = to_f64(ENDPOINTS as u64) * f64::from(SLOTS);
     let per_s = load * slots / mean_slot_time_s(seed);
     SHARES.map(|share| share * per_s)
 }
@@ -180,18 +180,18 @@
     Generator::new(seed).arrivals(rates_per_s, DURATION_S)
 }
 
-fn run(policy: &mut dyn Policy, fleet: Fleet, programs: Vec<Program>, seed: u64) -> Outcome {
-    Driver::new(policy, fleet, programs, Instant::now(), seed).run()
+fn run(policy: &mut dyn Policy, pool_size: PoolSize, programs: Vec<Program>, seed: u64) -> Outcome {
+    Driver::new(policy, pool_size, programs, Instant::now(), seed).run()
 }
 
-fn run_pool_policy(fleet: Fleet, weights: &[f64], programs: Vec<Program>, seed: u64) -> Outcome {
+fn run_pool_policy(pool_size: PoolSize, weights: &[f64], programs: Vec<Program>, seed: u64) -> Outcome {
     let start = Instant::now();
-    let mut policy = PoolPolicy::new(fleet.endpoints, fleet.slots, weights, start);
-    Driver::new(&mut policy, fleet, programs, start, seed).run()
+    let mut policy = PoolPolicy::new(pool_size.endpoints, pool_size.slots, weights, start);
+    Driver::new(&mut policy, pool_size, programs, start, seed).run()
 }
 
-/// Returns the 95th percentile of the program latency in seconds. The latency of an unfinished program is
-/// infinite.
+/// Returns the 95th percentile of the program latency in seconds. An unfinished program counts with an
+/// infinite latency.
 fn percentile_95(outcome: &Outcome, account: Option<usize>) -> f64 {
     let counted = |ended: &&EndedProgram| {
         ended.arrival_s >= WARM_UP_S && account.is_none_or(|account| account == ended.account)
@@ -202,7 +202,7 @@
         .filter(counted)
         .map(|ended| {
             if ended.finished {
-                ended.at_s - ended.arrival_s
+                ended.ended_at_s - ended.arrival_s
             } else {
                 f64::INFINITY
             }
@@ -215,15 +215,16 @@
 /// Returns the output tokens per second of programs that finish between the warm-up and the end of the
 /// load.
 fn goodput_per_s(seed: u64, rates_per_s: &[f64]) -> f64 {
-    let outcome = run_pool_policy(fleet(), &SHARES, arrivals(seed, rates_per_s), seed);
-    let counted = |ended: &&EndedProgram| ended.finished && (WARM_UP_S..DURATION_S).contains(&ended.at_s);
+    let outcome = run_pool_policy(pool_size(), &SHARES, arrivals(seed, rates_per_s), seed);
+    let counted =
+        |ended: &&EndedProgram| ended.finished && (WARM_UP_S..DURATION_S).contains(&ended.ended_at_s);
     let tokens: u64 = outcome
         .ended
         .iter()
         .filter(counted)
         .map(|ended| ended.output_tokens)
         .sum();
-    float(tokens) / (DURATION_S - WARM_UP_S)
+    to_f64(tokens) / (DURATION_S - WARM_UP_S)
 }
 
 fn mean_output_tokens(seed: u64) -> f64 {
@@ -231,5 +232,5 @@
     let sample: Vec<Program> = (0..4_000).map(|_| generator.program(0, 0.0)).collect();
     let turns = sample.iter().flat_map(|program| &program.turns);
     let tokens: u64 = turns.map(|turn| turn.output_tokens).sum();
-    float(tokens) / float(sample.len() as u64)
+    to_f64(tokens) / to_f64(sample.len() as u64)
 }
--- a/crates/burdockroad-site/src/bin/measure/quota_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_cases.rs
@@ -16,7 +16,7 @@
 /// Calls that the load balancer sends to the favoured host for each call to another host.
 const FAVOURED_HOST_WEIGHT: usize = 5;
 
-/// Time after which the load balancer favours the next host.
+/// Period after which the load balancer favours the next host.
 const FAVOURED_HOST_PERIOD_S: f64 = 20.0;
 
 /// Rates per second and bursts of the accounts.
@@ -31,28 +31,28 @@
     (1.0, 3),
 ];
 
-/// Duration of a run. In the case within the rate, calls start when the bucket is full.
+/// Duration of a run. In [`skewed_balancer`], calls start only when the bucket is full.
 const DURATION_S: f64 = 300.0;
 
-/// Offered load as a multiple of the rate, in the case within the rate and in the case above it.
+/// Offered load as a multiple of the rate, in [`skewed_balancer`] and in [`quota_windows`].
 const LOAD_INSIDE_RATE: f64 = 0.95;
 const LOAD_OVER_RATE: f64 = 3.0;
 
-/// Excess in calls that is attributed to rounding.
+/// Excess, in calls, below which a result is a rounding error.
 const ROUNDING_ERROR: f64 = 1e-6;
 
 /// Counts refused calls of accounts within their rate. The baseline gives each host a fixed share of the
 /// rate and the burst.
 pub(crate) fn skewed_balancer(seed: u64) -> Figure {
     let mut refused = 0;
-    let mut refused_by_shares = 0;
+    let mut baseline_refused = 0;
     for (index, (rate_per_s, burst)) in ACCOUNTS.iter().enumerate() {
         let limits = Limits {
             rate_per_s: *rate_per_s,
             burst: *burst,
         };
         let calls = inside_rate(limits, seed + index as u64);
-        refused_by_shares += refused_by_fixed_shares(limits, &calls);
+        baseline_refused += refused_by_fixed_shares(limits, &calls);
         let mut fleet = QuotaFleet::new(HOSTS, limits, Takeover::Empty, seed);
         for (at, host) in calls {
             fleet.call(at, host);
@@ -63,14 +63,14 @@
     Figure {
         case: "skewed_balancer",
         name: "refusals_inside_rate",
-        baseline: count(refused_by_shares),
+        baseline: count(baseline_refused),
         value: count(refused),
         bound: Bound::AtMost(0.0),
     }
 }
 
-/// Returns the largest number of calls by which any window exceeds rate and burst. In the baseline, a new
-/// owner starts with a full bucket.
+/// Measures by how many calls the worst time window exceeds rate and burst when owners fail. In the
+/// baseline, a new owner starts with a full bucket.
 pub(crate) fn quota_windows(seed: u64) -> Figure {
     Figure {
         case: "quota_windows",
@@ -179,10 +179,10 @@
     refused
 }
 
-/// Returns the largest number of calls by which any window exceeds the limits.
+/// Returns by how many calls the worst time window exceeds the limits.
 ///
-/// A bucket that starts full and loses a token for each call becomes negative exactly if some window
-/// exceeds the limits.
+/// The level of a bucket that starts full and loses a token for each call becomes negative if and only if
+/// some window exceeds the limits.
 fn excess(admitted: &[Duration], limits: Limits) -> f64 {
     let burst = f64::from(limits.burst);
     let mut level = burst;
--- a/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
+++ b/crates/burdockroad-site/src/bin/measure/quota_fleet.rs
@@ -56,10 +56,12 @@
     TokenRequest {
         host: usize,
         owner: usize,
+        /// Index in the simulation's `token_requests`.
         token_request: usize,
     },
     Response {
         host: usize,
+        /// Index in the simulation's `responses`.
         response: usize,
     },
     Tick {
@@ -91,7 +93,7 @@
     paused_until: Vec<Instant>,
     tick_at: Vec<Option<Instant>>,
     owners: Vec<OwnerState>,
-    /// Ends of the pauses of owners. The model has no host for an owner, so an owner is paused
+    /// End of each owner's pause. The simulation does not place owners on hosts, so an owner is paused
     /// independently of the hosts.
     owner_paused_until: Vec<Instant>,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
@@ -100,7 +102,7 @@
     responses: Vec<(u64, Option<Grant>)>,
     generator: Generator,
     next_waiter_id: u64,
-    /// Times of admitted calls since the start.
+    /// Times from the start of the simulation to each admission.
     pub(crate) admitted: Vec<Duration>,
     /// Number of refused calls.
     pub(crate) refused: usize,
@@ -190,7 +192,7 @@
     }
 
     fn tick(&mut self, host: usize) {
-        // This tick is stale: an earlier one has replaced it, and the next one is scheduled for later.
+        // This tick is stale: an earlier tick replaced it and has since scheduled a later one.
         if self.tick_at[host].is_some_and(|tick_at| tick_at > self.now) {
             return;
         }
--- a/crates/burdockroad-site/src/bin/measure/site_cases.rs
+++ b/crates/burdockroad-site/src/bin/measure/site_cases.rs
@@ -30,7 +30,8 @@
 /// Maximum writes and reads per second of the key-value service at peak load.
 const STORE_RATES_MAX_PER_S: (f64, f64) = (150.0, 300.0);
 
-/// Time after which a failing call, or the creation of a program, counts as a lost program.
+/// Time for which a failing call, or the creation of a program, is retried before the program counts as
+/// lost.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Counters of a run, and the flag that stops its programs.
@@ -39,24 +40,24 @@
     completed: AtomicU64,
     lost: AtomicU64,
     /// Largest latency of a call in milliseconds, including retries.
-    longest_ms: AtomicU64,
+    max_latency_ms: AtomicU64,
     stop: AtomicBool,
 }
 
 /// Measures the median latency that one host adds to a direct call.
 pub fn added_latency(_seed: u64) -> Figure {
-    latency("added_latency", 1, false)
+    measure_latency("added_latency", 1, false)
 }
 
 /// Measures the median latency that a call with a forward between two hosts adds to a direct call.
 pub fn added_latency_forwarded(_seed: u64) -> Figure {
-    latency("added_latency_forwarded", 3, true)
+    measure_latency("added_latency_forwarded", 3, true)
 }
 
 /// Measures the time until the last program of a killed host continues.
 pub fn host_killed(_seed: u64) -> Figure {
     let (counters, _) = block_on(run_programs(Duration::from_secs(25), Fault::KillOne));
-    let seconds = load_f64(&counters.longest_ms) / 1_000.0;
+    let seconds = load_f64(&counters.max_latency_ms) / 1_000.0;
     at_most(
         "host_killed",
         "last_program_moved_on_s",
@@ -200,7 +201,7 @@
 ) -> Value {
     let warm_up = Duration::from_secs(5);
     tokio::time::sleep(warm_up).await;
-    counters.longest_ms.store(0, Ordering::Relaxed);
+    counters.max_latency_ms.store(0, Ordering::Relaxed);
     match fault {
         Fault::None => {}
         Fault::KillOne => victim.kill().await.expect("the process can be killed"),
@@ -219,7 +220,7 @@
     counts
 }
 
-/// Runs programs one after another. Each sends its calls through changing hosts.
+/// Runs programs one after another. Each call goes through the next host; `round` counts the calls.
 async fn run_program(site: &Site, number: usize, counters: Arc<Counters>) {
     let caller = site.caller("masters");
     let mut round = number;
@@ -275,7 +276,7 @@
             .await;
         if sent.is_ok_and(|response| response.status == 200) {
             let latency_ms = u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
-            counters.longest_ms.fetch_max(latency_ms, Ordering::Relaxed);
+            counters.max_latency_ms.fetch_max(latency_ms, Ordering::Relaxed);
             counters.completed.fetch_add(1, Ordering::Relaxed);
             return true;
         }
@@ -287,7 +288,7 @@
 
 /// Measures the median latency of calls through a host, minus that of the same calls sent directly to the
 /// engine.
-fn latency(case: &'static str, daemons: usize, forwarded: bool) -> Figure {
+fn measure_latency(case: &'static str, daemons: usize, forwarded: bool) -> Figure {
     let (direct_ms, through_ms) = block_on(async {
         let mut site_options = options(daemons, 1);
         site_options.engine_options = vec!["--token-ms", "1", "--answer-tokens", "1"];
@@ -317,7 +318,7 @@
     )
 }
 
-/// Creates a program and returns it with a host that does not own it.
+/// Creates a program. Returns a host that does not own it, and the program's id.
 async fn forwarding_host(site: &Site, caller: &Caller<'_>) -> Option<(usize, String)> {
     // The host that created a program owns it until a partition moves.
     let program = caller.create_program(0, &json!({})).await;
--- a/crates/burdockroad-site/src/bin/slopes.rs
+++ b/crates/burdockroad-site/src/bin/slopes.rs
@@ -1,6 +1,6 @@
-//! Measures the cost of a call, a program and a peer for the daemons, for docs/CAPACITY.md.
+//! Measures the resources that daemons use per call, program and peer, for docs/CAPACITY.md.
 //!
-//! `cargo run --release --bin slopes` prints one line per slope, of the form
+//! `cargo run --release --bin slopes` prints one line per measured value, of the form
 //! `slope=... value=... unit=...`. It runs on Linux only, because it reads CPU time and memory from the
 //! daemons' `/proc` entries.
 
@@ -101,7 +101,7 @@
     let before = cpu_s(&site.daemons)?;
     let counts = site.get_control(&site.kv, "/counts").await;
     let workers = (0..CONCURRENT_REQUESTS)
-        .map(|worker| call_program(caller.clone(), worker, CALLS / CONCURRENT_REQUESTS));
+        .map(|worker| run_programs(caller.clone(), worker, CALLS / CONCURRENT_REQUESTS));
     futures_util::future::join_all(workers).await;
     let cpu_spent_s = cpu_s(&site.daemons)? - before;
     let after = site.get_control(&site.kv, "/counts").await;
@@ -120,7 +120,7 @@
 }
 
 /// Runs programs of ten calls each, one after another.
-async fn call_program(caller: Caller<'_>, worker: usize, calls: usize) {
+async fn run_programs(caller: Caller<'_>, worker: usize, calls: usize) {
     let body = completion("What does the passage plan say of fuel at Sohar?", 1);
     let mut program = String::new();
     for call in 0..calls {
@@ -166,7 +166,7 @@
     Ok(())
 }
 
-/// Computes the size of a heartbeat as a function of the number of hosts that are live for its sender.
+/// Computes the size of a heartbeat as a function of the number of hosts that its sender reports as live.
 fn measure_heartbeats() {
     let heartbeat = |live_hosts: usize| {
         let host = |number: usize| HostRef {
