--- a/crates/burdockroad-site/src/caller.rs
+++ b/crates/burdockroad-site/src/caller.rs
@@ -60,8 +60,8 @@
         .await
     }
 
-    /// Sends a request and panics if there is no complete response. `position` is the program and the
-    /// number of the call in it.
+    /// Sends a request and panics if there is no complete response. `position` is the id of a program and
+    /// the number of the call in that program.
     pub async fn send(
         &self,
         daemon: usize,
@@ -95,11 +95,17 @@
     }
 
     /// Sends a POST request with an idempotency key.
-    pub async fn send_keyed(&self, daemon: usize, path: &str, key: &str, body: &Value) -> HttpResponse {
+    pub async fn send_with_idempotency_key(
+        &self,
+        daemon: usize,
+        path: &str,
+        idempotency_key: &str,
+        body: &Value,
+    ) -> HttpResponse {
         let mut request = self.request(daemon, Method::POST, path, None, body);
         request.headers_mut().insert(
             "idempotency-key",
-            key.parse().expect("the key is a valid header value"),
+            idempotency_key.parse().expect("the key is a valid header value"),
         );
         self.site.http.send(request).await.expect("the daemon responds")
     }
@@ -147,7 +153,8 @@
     })
 }
 
-/// Returns the type of the problem in an error response, and the field that says whether the request ran.
+/// Returns the type and the `ran` field of the problem in an error response. `ran` says whether the
+/// request ran.
 pub fn problem(response: &HttpResponse) -> (String, String) {
     let problem: Value = response.json().expect("the response contains a problem");
     let problem_type = problem["type"]
--- a/crates/burdockroad-site/src/site.rs
+++ b/crates/burdockroad-site/src/site.rs
@@ -318,7 +318,7 @@
         text
     }
 
-    /// Returns the programs with a cached prefix in an engine.
+    /// Returns the ids of the programs whose prefix an engine has cached.
     pub async fn cached_programs(&self) -> Vec<String> {
         let mut cached_programs = Vec::new();
         for engine in &self.engines {
@@ -350,7 +350,7 @@
         .await;
     }
 
-    /// Waits until each daemon owns a partition and all partitions have an owner.
+    /// Waits until each daemon owns at least one partition and all partitions have an owner.
     async fn wait_until_partitions_owned(&self) {
         wait_until("all partitions are distributed over the daemons", || async {
             let mut sum = 0;
@@ -441,8 +441,8 @@
 
 /// Returns the addresses of the daemons of a new site.
 ///
-/// Each site uses its own loopback address. On a shared address, the outgoing connection of another test
-/// could take a port between the check that it is free and its use.
+/// Each site uses its own loopback address. On a shared address, an outgoing connection of another test
+/// could take a port that was free shortly before.
 fn allocate_addresses(daemons: usize) -> Vec<Addresses> {
     static SITES: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
@@ -478,7 +478,7 @@
     platform::connect(&settings).expect("the store address is valid")
 }
 
-/// Polls until the result is not none and returns it. Panics after [`WAIT_TIMEOUT`].
+/// Polls until `poll` returns a value, and returns that value. Panics after `WAIT_TIMEOUT`.
 pub async fn wait_until<T, F: Future<Output = Option<T>>>(description: &str, poll: impl Fn() -> F) -> T {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
--- a/crates/burdockroad-site/tests/processes/endpoints.rs
+++ b/crates/burdockroad-site/tests/processes/endpoints.rs
@@ -18,7 +18,7 @@
 }
 
 /// Returns the number of completion requests that the engines have received.
-async fn completions(site: &Site) -> usize {
+async fn count_completion_requests(site: &Site) -> usize {
     let mut sum = 0;
     for engine in &site.engines {
         sum += site
@@ -76,7 +76,7 @@
         "the resumed stream has the same content, with nothing duplicated or missing"
     );
     assert_eq!(
-        completions(&site).await,
+        count_completion_requests(&site).await,
         2,
         "the interrupted call was resumed and not restarted"
     );
@@ -155,7 +155,7 @@
         assert_eq!(response.status, 200, "{}", response.text());
         assert_eq!(response.body, responses[0].body);
     }
-    assert_eq!(completions(&site).await, 1, "the call ran once");
+    assert_eq!(count_completion_requests(&site).await, 1, "the call ran once");
 }
 
 #[tokio::test]
@@ -166,7 +166,11 @@
     let mut responses = Vec::new();
     for daemon in 0..3 {
         let path = "/services/fuel-orders/orders";
-        responses.push(caller.send_keyed(daemon, path, "order-7", &body).await);
+        responses.push(
+            caller
+                .send_with_idempotency_key(daemon, path, "order-7", &body)
+                .await,
+        );
     }
     for response in &responses {
         assert_eq!(response.status, 200, "{}", response.text());
@@ -180,7 +184,7 @@
         .count();
     assert_eq!(executions, 1, "the order ran once");
     let other = caller
-        .send_keyed(
+        .send_with_idempotency_key(
             0,
             "/services/fuel-orders/orders",
             "order-7",
@@ -203,7 +207,7 @@
         (shown["calls"][0]["state"] == "answered").then_some(())
     })
     .await;
-    assert_eq!(completions(&site).await, 1);
+    assert_eq!(count_completion_requests(&site).await, 1);
 }
 
 #[tokio::test]
@@ -245,6 +249,7 @@
         generated <= 100,
         "the engine generated {generated} of 100 tokens: {stats}"
     );
+    // At most the 16 tokens of one call may stay unspent.
     assert!(generated >= 84, "the budget can be used completely: {stats}");
     let remaining = caller.show_program(0, &root).await["budget"]["left"]["tokens"].as_u64();
     assert_eq!(remaining, Some(100 - generated));
--- a/crates/burdockroad-site/tests/processes/failures.rs
+++ b/crates/burdockroad-site/tests/processes/failures.rs
@@ -100,7 +100,7 @@
         caller.try_send(owner, Method::POST, path, Some((&program, 1)), &body),
         sleep(Duration::from_millis(400)),
     );
-    // The owner is killed after the first attempt has started. The attempt may or may not have completed.
+    // The first attempt has ended before the owner is killed, with or without a response.
     drop(first);
     site.daemons[owner]
         .kill()
@@ -332,10 +332,10 @@
 async fn rolling_restart_drops_no_request() {
     let mut site = Site::start(SiteOptions::default()).await;
     for stopped in 0..3 {
-        let urls: Vec<usize> = (0..3).filter(|daemon| *daemon != stopped).collect();
+        let other_daemons: Vec<usize> = (0..3).filter(|daemon| *daemon != stopped).collect();
         let caller = site.caller("masters");
         let program = caller.create_program(stopped, &json!({})).await;
-        let load = run_while_terminating(&site, stopped, &program, urls[0]);
+        let load = run_while_terminating(&site, stopped, &program, other_daemons[0]);
         load.await;
         let ended = site.daemons[stopped]
             .wait(Duration::from_secs(30))
@@ -346,26 +346,27 @@
     }
 }
 
-/// Terminates a daemon while it handles requests, and checks that each request gets a complete response.
+/// Terminates a daemon while it handles requests. Checks that each direct call succeeds or is refused, and
+/// that the calls of its program through another daemon succeed.
 async fn run_while_terminating(site: &Site, stopped: usize, program: &str, other_daemon: usize) {
     let caller = site.caller("masters");
     let body = burdockroad_site::completion("under way", 40);
     let path = "/v1/chat/completions";
-    let at_stopped = (0..8).map(|_| caller.send(stopped, Method::POST, path, None, &body));
-    let at_owner = caller.complete(other_daemon, program, 1, "under way in a program");
+    let direct_calls = (0..8).map(|_| caller.send(stopped, Method::POST, path, None, &body));
+    let forwarded_call = caller.complete(other_daemon, program, 1, "under way in a program");
     let stop = async {
         sleep(Duration::from_millis(15)).await;
         site.daemons[stopped]
             .terminate()
             .expect("the daemon is terminated");
     };
-    let (responses, of_program, ()) =
-        tokio::join!(futures_util::future::join_all(at_stopped), at_owner, stop);
+    let (responses, forwarded_response, ()) =
+        tokio::join!(futures_util::future::join_all(direct_calls), forwarded_call, stop);
     for response in responses {
         let refused = response.status == 503 && problem(&response).0 == "stopping";
         assert!(response.status == 200 || refused, "{}", response.text());
     }
-    assert_eq!(of_program.status, 200, "{}", of_program.text());
+    assert_eq!(forwarded_response.status, 200, "{}", forwarded_response.text());
     for number in 2..=4 {
         let response = caller.complete(other_daemon, program, number, "goes on").await;
         assert_eq!(response.status, 200, "call {number}: {}", response.text());
--- a/crates/burdockroad-site/tests/processes/first_path.rs
+++ b/crates/burdockroad-site/tests/processes/first_path.rs
@@ -46,7 +46,7 @@
 struct Refused<'a> {
     name: &'static str,
     status: u16,
-    kind: &'static str,
+    problem_type: &'static str,
     body: Value,
     position: Option<(&'a str, u32)>,
 }
@@ -69,42 +69,42 @@
         Refused {
             name: "wrong number",
             status: 409,
-            kind: "wrong-call-number",
+            problem_type: "wrong-call-number",
             body: body.clone(),
             position: Some((&program, 3)),
         },
         Refused {
             name: "unknown program",
             status: 404,
-            kind: "unknown-program",
+            problem_type: "unknown-program",
             body: body.clone(),
             position: Some(("p-0007-none", 1)),
         },
         Refused {
             name: "malformed program",
             status: 404,
-            kind: "unknown-program",
+            problem_type: "unknown-program",
             body: body.clone(),
             position: Some(("7", 1)),
         },
         Refused {
             name: "unknown model",
             status: 404,
-            kind: "unknown-route",
+            problem_type: "unknown-route",
             body: unknown_model,
             position: None,
         },
         Refused {
             name: "no messages",
             status: 400,
-            kind: "invalid-request",
+            problem_type: "invalid-request",
             body: json!({ "model": "planner-llm" }),
             position: None,
         },
         Refused {
             name: "not an object",
             status: 400,
-            kind: "invalid-request",
+            problem_type: "invalid-request",
             body: json!([1]),
             position: None,
         },
@@ -112,7 +112,7 @@
     for Refused {
         name,
         status,
-        kind,
+        problem_type,
         body,
         position,
     } in cases
@@ -120,7 +120,11 @@
         for daemon in 0..3 {
             let response = caller.send(daemon, Method::POST, path, position, &body).await;
             assert_eq!(response.status, status, "{name}: {}", response.text());
-            assert_eq!(problem(&response), (kind.to_owned(), "no".to_owned()), "{name}");
+            assert_eq!(
+                problem(&response),
+                (problem_type.to_owned(), "no".to_owned()),
+                "{name}"
+            );
         }
     }
     let foreign = other.complete(1, &program, 1, "never").await;
@@ -166,6 +170,7 @@
         assert_eq!(problem(&keyed).1, "no");
     }
     let caller = site.caller("masters");
+    // A copy of the key in the query must not reach the service either.
     let path = format!("/services/tides/today?copy={}", site.key("masters"));
     let response = caller.send(0, Method::GET, &path, None, &Value::Null).await;
     assert_eq!(response.status, 200, "{}", response.text());
--- a/crates/burdockroad-site/tests/processes/keys_and_rates.rs
+++ b/crates/burdockroad-site/tests/processes/keys_and_rates.rs
@@ -245,7 +245,7 @@
     assert!(flood.refused > 0, "excess requests are refused, not queued");
     assert!(
         executed_f64 >= 0.5 * max_requests,
-        "{executed} of at most {max_requests:.1} requests ran: the rate is used"
+        "{executed} of at most {max_requests:.1} requests ran; at least half must run"
     );
 }
 
