--- a/crates/burdockroad-standins/src/engine.rs
+++ b/crates/burdockroad-standins/src/engine.rs
@@ -99,13 +99,13 @@
     pub event_lag: Duration,
     /// Probability that a cache event is never published.
     pub event_gap_probability: f64,
-    /// Age of the reported load.
+    /// Age of the load that `GET /load` returns.
     pub load_lag: Duration,
     /// Whether orders with a stale fencing number are refused.
     pub fencing: Fencing,
-    /// Time to load a model after its weights have been fetched.
+    /// Time to load a model, an adapter or a version after its weights have been fetched.
     pub load_time: Duration,
-    /// Address of the weight store; if `None`, no weights are fetched.
+    /// Address of the weight store; if `None`, orders load without fetching weights.
     pub weight_store: Option<SocketAddr>,
     /// Maximum number of recorded requests.
     pub record_limit: usize,
@@ -202,7 +202,7 @@
         self.shared.recorder.recorded()
     }
 
-    /// Returns the totals computed since the start.
+    /// Returns the token counts and the peak batch size since the start.
     pub fn stats(&self) -> EngineStats {
         self.shared.state().stats
     }
@@ -234,9 +234,10 @@
     recorder: Recorder,
     /// Wakes the batch task when a sequence is queued or a stream ends.
     batch_wakeup: Notify,
-    /// Wakes the stream readers when tokens have been generated.
+    /// Counter; a change makes the stream readers check for new tokens and for the end of their stream.
     progress: watch::Sender<u64>,
     order_queue: mpsc::UnboundedSender<usize>,
+    /// Number of generated stream ids.
     streams: AtomicU64,
     output_tokens: Option<u64>,
     fencing: Fencing,
@@ -257,8 +258,8 @@
     fn new(options: &EngineOptions, order_queue: mpsc::UnboundedSender<usize>) -> Self {
         let limits = BatchLimits {
             slots: options.slots,
-            step: options.token_time,
-            slowdown: options.batch_slowdown,
+            base_step_time: options.token_time,
+            batch_slowdown: options.batch_slowdown,
             prefill_per_token: options.prefill_per_token,
         };
         let events = EventLog::new(options.event_lag, options.event_gap_probability, options.seed);
@@ -309,7 +310,7 @@
         self.progress.subscribe()
     }
 
-    fn wake(&self) {
+    fn wake_batch_and_readers(&self) {
         self.batch_wakeup.notify_one();
         self.progress.send_modify(|number| *number += 1);
     }
@@ -337,7 +338,7 @@
         }
     }
 
-    fn load(&self, now: Instant) -> Load {
+    fn lagged_load(&self, now: Instant) -> Load {
         self.load.report(now)
     }
 
--- a/crates/burdockroad-standins/src/engine/api.rs
+++ b/crates/burdockroad-standins/src/engine/api.rs
@@ -1,4 +1,4 @@
-//! Requests that callers may send to the engine stand-in.
+//! Handlers of the requests that callers send to the engine stand-in.
 
 use std::sync::Arc;
 
@@ -48,8 +48,10 @@
             ("DELETE", ["cache", id]) => self.free(id),
             ("GET", ["cache", id, "export"]) => self.export(id).await,
             ("PUT", ["cache", id]) => self.import(id, &request).await,
-            ("GET", ["load"]) => http_server::json(StatusCode::OK, &self.shared.state().load(Instant::now())),
-            ("POST", ["orders"]) => self.order(&request),
+            ("GET", ["load"]) => {
+                http_server::json(StatusCode::OK, &self.shared.state().lagged_load(Instant::now()))
+            }
+            ("POST", ["orders"]) => self.submit_order(&request),
             ("GET", ["orders"]) => http_server::json(StatusCode::OK, &self.shared.state().orders),
             _ => chat::error(StatusCode::NOT_FOUND, "not_found", "no such request"),
         };
@@ -87,7 +89,7 @@
         Ok(with_stream_id(response, &stream_id))
     }
 
-    /// Validates a request and queues its sequence.
+    /// Validates a request, queues its sequence and attaches a reader to it.
     fn queue(&self, request: &ReceivedRequest) -> Result<(ChatRequest, String, Reader), ErrorResponse> {
         let chat: ChatRequest = serde_json::from_slice(&request.body)
             .map_err(|error| Box::new(bad_request("invalid_json", &error.to_string())))?;
@@ -123,7 +125,7 @@
             let message = "a stream with this id is already running";
             Box::new(chat::error(StatusCode::CONFLICT, "stream_running", message))
         })?;
-        self.shared.wake();
+        self.shared.wake_batch_and_readers();
         let reader = Reader::new(&self.shared, stream_id.clone(), reader_id, 0);
         Ok((chat, stream_id, reader))
     }
@@ -146,7 +148,7 @@
         }
         state.stop(stream_id, Phase::Cancelled, Instant::now());
         drop(state);
-        self.shared.wake();
+        self.shared.wake_batch_and_readers();
         http_server::empty(StatusCode::NO_CONTENT)
     }
 
@@ -164,7 +166,7 @@
             return no_such_stream();
         };
         drop(state);
-        self.shared.wake();
+        self.shared.wake_batch_and_readers();
         let reader = Reader::new(&self.shared, stream_id.to_owned(), reader_id, from);
         let metadata = CompletionMetadata::new(stream_id, "", true);
         with_stream_id(event_stream(reader, metadata), stream_id)
@@ -218,7 +220,7 @@
         }
     }
 
-    fn order(&self, request: &ReceivedRequest) -> Response<ResponseBody> {
+    fn submit_order(&self, request: &ReceivedRequest) -> Response<ResponseBody> {
         let order: OrderRequest = match request.json() {
             Ok(order) => order,
             Err(error_response) => return *error_response,
--- a/crates/burdockroad-standins/src/engine/batch.rs
+++ b/crates/burdockroad-standins/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: the table of sequences and the passes over it at each step.
+//! Continuous batching: admits sequences into slots and generates one token per sequence in each step.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -9,19 +9,21 @@
 
 use crate::engine::{cache::Cache, chat::FinishReason, stats::EngineStats, text::Prompt};
 
-/// Maximum number of ended sequences whose streams can still be read.
-const ENDED_SEQUENCES_MAX: usize = 4096;
-/// Maximum number of steps in one tick when the batch runs behind schedule.
+/// Maximum number of retained inactive (finished, cancelled or suspended) sequences.
+///
+/// The stream of a retained sequence can still be read or resumed.
+const INACTIVE_SEQUENCES_MAX: usize = 4096;
+/// Maximum number of overdue steps that one tick runs when the batch is behind schedule.
 const CATCH_UP_STEPS_MAX: usize = 64;
 
 /// Speed and size limits of a batch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BatchLimits {
     pub(crate) slots: usize,
-    /// Time per step with one sequence.
-    pub(crate) step: Duration,
-    /// Fraction of `step` that each additional sequence adds.
-    pub(crate) slowdown: f64,
+    /// Duration of a step with one generating sequence.
+    pub(crate) base_step_time: Duration,
+    /// Fraction of `base_step_time` that each additional generating sequence adds to a step.
+    pub(crate) batch_slowdown: f64,
     pub(crate) prefill_per_token: Duration,
 }
 
@@ -30,16 +32,18 @@
 pub(crate) struct Sequence {
     pub(crate) program_id: Option<String>,
     pub(crate) prompt: Prompt,
-    /// Tokens of the complete output.
+    /// Length of the complete output, in tokens.
     pub(crate) output_tokens: u64,
     pub(crate) finish_reason: FinishReason,
     pub(crate) generated: u64,
     /// Prompt tokens that were cached when the sequence was first admitted.
     pub(crate) cached_tokens: Option<u64>,
     pub(crate) phase: Phase,
-    /// Number of the only reader that receives the tokens.
+    /// Number of the current reader; readers with other numbers receive no more tokens.
     pub(crate) reader_id: u64,
+    /// Scheduling priority; lower values are admitted first.
     priority: i64,
+    /// Number of the arrival; a resumed sequence gets a new one.
     arrival: u64,
 }
 
@@ -79,10 +83,11 @@
     /// Waiting sequences ordered by priority, arrival and stream id.
     waiting: BTreeSet<(i64, u64, String)>,
     running: BTreeSet<String>,
-    ended: VecDeque<(String, u64)>,
+    /// Stream ids and arrival numbers of sequences that became inactive, oldest first.
+    inactive: VecDeque<(String, u64)>,
     last_arrival: u64,
     last_reader_id: u64,
-    /// Time at which the prefill of all admitted prompts ends.
+    /// Time at which the last prefill of the admitted prompts ends.
     prefill_free_at: Option<Instant>,
     next_step_at: Option<Instant>,
 }
@@ -94,7 +99,7 @@
             sequences: BTreeMap::new(),
             waiting: BTreeSet::new(),
             running: BTreeSet::new(),
-            ended: VecDeque::new(),
+            inactive: VecDeque::new(),
             last_arrival: 0,
             last_reader_id: 0,
             prefill_free_at: None,
@@ -160,7 +165,9 @@
         Some(self.last_reader_id)
     }
 
-    /// Cancels or suspends an active or suspended sequence; has no effect on one in another phase.
+    /// Moves an active or suspended sequence to `phase`, which is `Cancelled` or `Suspended`.
+    ///
+    /// A sequence that is already finished or cancelled is unchanged.
     pub(crate) fn stop(&mut self, stream_id: &str, phase: Phase, cache: &mut Cache, now: Instant) {
         let Some(sequence) = self.sequences.get_mut(stream_id) else {
             return;
@@ -173,7 +180,7 @@
         }
         self.waiting.remove(&sequence.queue_key(stream_id));
         sequence.phase = phase;
-        self.end(stream_id, cache, now);
+        self.deactivate(stream_id, cache, now);
     }
 
     /// Admits waiting sequences, runs the due steps, and returns the time of the next tick.
@@ -235,7 +242,7 @@
             {
                 sequence.phase = Phase::Generating;
                 if self.next_step_at.is_none() {
-                    self.next_step_at = Some(ready_at + self.limits.step);
+                    self.next_step_at = Some(ready_at + self.limits.base_step_time);
                 }
             }
         }
@@ -259,14 +266,14 @@
             }
         }
         for stream_id in finished {
-            self.end(&stream_id, cache, now);
+            self.deactivate(&stream_id, cache, now);
         }
         let generating = self.generating();
         self.next_step_at = (generating > 0).then(|| at + self.step_time(generating));
     }
 
-    /// Frees the slot of a sequence and stores its prefix in the cache.
-    fn end(&mut self, stream_id: &str, cache: &mut Cache, now: Instant) {
+    /// Frees the slot of a sequence that has stopped, and stores its prefix in the cache.
+    fn deactivate(&mut self, stream_id: &str, cache: &mut Cache, now: Instant) {
         let was_running = self.running.remove(stream_id);
         let Some(sequence) = self.sequences.get(stream_id) else {
             return;
@@ -276,16 +283,16 @@
             // A prefix larger than the whole cache is not stored, as in a real engine.
             cache.store(program_id, prefix, now).unwrap_or_default();
         }
-        self.ended.push_back((stream_id.to_owned(), sequence.arrival));
-        self.remove_oldest_ended();
+        self.inactive.push_back((stream_id.to_owned(), sequence.arrival));
+        self.remove_oldest_inactive();
         if self.generating() == 0 {
             self.next_step_at = None;
         }
     }
 
-    fn remove_oldest_ended(&mut self) {
-        while self.ended.len() > ENDED_SEQUENCES_MAX {
-            let Some((stream_id, arrival)) = self.ended.pop_front() else {
+    fn remove_oldest_inactive(&mut self) {
+        while self.inactive.len() > INACTIVE_SEQUENCES_MAX {
+            let Some((stream_id, arrival)) = self.inactive.pop_front() else {
                 return;
             };
             // A newer sequence may have reused the stream id.
@@ -320,7 +327,9 @@
 
     fn step_time(&self, generating: usize) -> Duration {
         let additional = to_f64(generating.saturating_sub(1) as u64);
-        self.limits.step.mul_f64(1.0 + self.limits.slowdown * additional)
+        self.limits
+            .base_step_time
+            .mul_f64(1.0 + self.limits.batch_slowdown * additional)
     }
 }
 
--- a/crates/burdockroad-standins/src/engine/cache.rs
+++ b/crates/burdockroad-standins/src/engine/cache.rs
@@ -22,9 +22,10 @@
 pub(crate) struct Cache {
     max_tokens: u64,
     used_tokens: u64,
-    programs: BTreeMap<String, CacheEntry>,
-    /// Programs by last use, oldest first.
+    entries: BTreeMap<String, CacheEntry>,
+    /// Program ids by `last_use`, oldest first.
     by_last_use: BTreeMap<u64, String>,
+    /// Logical clock, incremented at each lookup and store.
     use_count: u64,
     pub(crate) events: EventLog,
 }
@@ -33,6 +34,7 @@
 struct CacheEntry {
     prompt: Prompt,
     tokens: u64,
+    /// Value of `use_count` at the last use.
     last_use: u64,
 }
 
@@ -62,7 +64,7 @@
         Self {
             max_tokens,
             used_tokens: 0,
-            programs: BTreeMap::new(),
+            entries: BTreeMap::new(),
             by_last_use: BTreeMap::new(),
             use_count: 0,
             events,
@@ -78,8 +80,8 @@
     }
 
     pub(crate) fn cached_prefixes(&self) -> Vec<CachedPrefix> {
-        let programs = self.programs.iter();
-        programs
+        let entries = self.entries.iter();
+        entries
             .map(|(program_id, cached)| CachedPrefix {
                 program_id: program_id.clone(),
                 tokens: cached.tokens,
@@ -89,7 +91,7 @@
 
     /// Returns the number of prompt tokens that are cached, and marks the program's entry as used.
     pub(crate) fn lookup(&mut self, program_id: &str, prompt: &Prompt) -> u64 {
-        let Some(cached) = self.programs.get_mut(program_id) else {
+        let Some(cached) = self.entries.get_mut(program_id) else {
             return 0;
         };
         let tokens = cached.prompt.common_tokens(prompt);
@@ -123,7 +125,7 @@
             tokens,
             last_use: self.use_count,
         };
-        self.programs.insert(program_id.to_owned(), cached);
+        self.entries.insert(program_id.to_owned(), cached);
         self.events.push(CacheEventKind::Held, program_id, tokens, now);
         Ok(())
     }
@@ -137,7 +139,7 @@
     }
 
     pub(crate) fn export(&self, program_id: &str) -> Option<ExportedPrefix> {
-        let cached = self.programs.get(program_id)?;
+        let cached = self.entries.get(program_id)?;
         Some(ExportedPrefix {
             prompt: cached.prompt.clone(),
         })
@@ -154,7 +156,7 @@
     }
 
     fn remove_entry(&mut self, program_id: &str) -> Option<CacheEntry> {
-        let cached = self.programs.remove(program_id)?;
+        let cached = self.entries.remove(program_id)?;
         self.by_last_use.remove(&cached.last_use);
         self.used_tokens -= cached.tokens;
         Some(cached)
@@ -178,7 +180,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event, starting at 1; a gap in the numbers is a lost event.
+    /// Number of the event, starting at 1; a missing number means that its event was lost.
     pub sequence: u64,
     /// Kind of change.
     pub kind: CacheEventKind,
--- a/crates/burdockroad-standins/src/engine/chat.rs
+++ b/crates/burdockroad-standins/src/engine/chat.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// Fields common to all chunks of one completion.
+/// Fields common to all chunks of one completion, or to its complete response.
 #[derive(Clone, Debug)]
 pub(crate) struct CompletionMetadata {
     id: String,
@@ -161,7 +161,9 @@
     usage: Option<UsageField>,
 }
 
-/// Usage field of a chunk; when requested, every chunk has it, and it is null in all but the last.
+/// The `usage` field of a chunk: null in all chunks but the last.
+///
+/// The field is omitted from all chunks unless the request sets `include_usage`.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum UsageField {
--- a/crates/burdockroad-standins/src/engine/orders.rs
+++ b/crates/burdockroad-standins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders that tell an engine to load a model, an adapter or a version, or to change its role.
+//! Orders to an engine: loading a model, an adapter or a version, or changing the role.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -37,7 +37,7 @@
     pub order: Order,
 }
 
-/// Instruction to an engine, with the name of what to load or of the role to take.
+/// An order to an engine; the string names the model, adapter, version or role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -90,7 +90,7 @@
     pub version: String,
     /// Current role; empty before the first order.
     pub role: String,
-    /// Accepted orders by arrival.
+    /// Accepted orders, in order of arrival.
     pub orders: Vec<AcceptedOrder>,
 }
 
@@ -99,7 +99,7 @@
 pub(crate) struct StaleFencingNumber;
 
 impl OrdersReport {
-    /// Accepts an order and returns its index in the list.
+    /// Accepts an order and returns its index in `orders`.
     pub(crate) fn accept(
         &mut self,
         request: OrderRequest,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Executor that runs accepted orders one after the other.
+/// Executes accepted orders one after the other.
 pub(crate) struct OrderExecutor {
     pub(crate) shared: Arc<Shared>,
     pub(crate) load_time: Duration,
@@ -178,7 +178,7 @@
         Ok(())
     }
 
-    /// Fetches weights, and retries while the store responds that its rate is exceeded.
+    /// Fetches weights, and retries while the weight store responds with status 429.
     async fn fetch(&self, url: &str) -> Result<()> {
         for _ in 0..WEIGHT_ATTEMPTS_MAX {
             let request = http_client::request(Method::GET, url, Bytes::new())?;
@@ -195,7 +195,7 @@
             }
         }
         Err(StandinError::Request(format!(
-            "{url}: rate still exceeded after {WEIGHT_ATTEMPTS_MAX} attempts"
+            "{url}: still rate limited after {WEIGHT_ATTEMPTS_MAX} attempts"
         )))
     }
 }
--- a/crates/burdockroad-standins/src/engine/reader.rs
+++ b/crates/burdockroad-standins/src/engine/reader.rs
@@ -16,10 +16,10 @@
     http_server::{ConnectionCut, HandlerResult},
 };
 
-/// Reader of the tokens of one stream as they are generated.
+/// Reads the tokens of one stream as they are generated.
 ///
-/// Dropping the reader suspends the sequence and frees its slot. Hyper drops the response when the
-/// caller closes the connection, and this drop is the only notification of it.
+/// Dropping the reader suspends the sequence and frees its slot. When the caller closes the connection,
+/// hyper drops the response and the reader with it; the stand-in gets no other notification.
 pub(crate) struct Reader {
     shared: Arc<Shared>,
     progress: watch::Receiver<u64>,
@@ -27,6 +27,7 @@
     /// Number of this reader; a reader with a higher number replaces it.
     id: u64,
     next_token: u64,
+    /// Token index at which the connection is cut.
     cut_after: Option<u64>,
 }
 
@@ -79,7 +80,7 @@
                 }
                 Ok(StreamItem::End(reason, usage)) => Some((Ok(metadata.final_events(reason, usage)), None)),
                 Err(cut) => {
-                    // An error makes hyper discard what it has not written yet, so let it write first.
+                    // An error makes hyper discard buffered output, so yield once to let hyper write it.
                     tokio::task::yield_now().await;
                     Some((Err(cut), None))
                 }
@@ -140,7 +141,7 @@
             state.stop(&self.stream_id, Phase::Suspended, Instant::now());
         }
         drop(state);
-        self.shared.wake();
+        self.shared.wake_batch_and_readers();
     }
 }
 
--- a/crates/burdockroad-standins/src/engine/stats.rs
+++ b/crates/burdockroad-standins/src/engine/stats.rs
@@ -1,17 +1,17 @@
-//! Totals of the engine stand-in, and its load, which is reported with a lag.
+//! Token counts of the engine stand-in, and its load, which is reported with a lag.
 
 use std::{collections::VecDeque, time::Duration};
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Totals computed since the engine started.
+/// Token counts and peak batch size since the engine started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EngineStats {
-    /// Prompt tokens that were computed.
+    /// Tokens computed in prefill; for a resumed sequence, they may include its earlier output.
     pub prompt_tokens_computed: u64,
-    /// Prompt tokens that were in the cache.
+    /// Tokens found in the cache, which prefill skipped.
     pub prompt_tokens_cached: u64,
     /// Generated tokens.
     pub generated: u64,
@@ -37,7 +37,7 @@
     pub age_ms: u64,
 }
 
-/// Load samples covering at least one lag, from which the delayed report is taken.
+/// History of the load; a report shows the load as it was `lag` ago.
 #[derive(Debug)]
 pub(crate) struct LaggedLoad {
     lag: Duration,
@@ -52,19 +52,19 @@
         }
     }
 
-    /// Records the current load.
+    /// Records the current load if it differs from the last sample.
     pub(crate) fn sample(&mut self, load: Load, now: Instant) {
         if self.samples.back().is_some_and(|(_, last)| *last == load) {
             return;
         }
         self.samples.push_back((now, load));
-        // Only the newest sample that is at least one lag old is reported, so older ones are dropped.
+        // A report uses the newest sample that is at least `lag` old, so older samples are dropped.
         while self.samples.get(1).is_some_and(|(at, _)| *at + self.lag <= now) {
             self.samples.pop_front();
         }
     }
 
-    /// Returns the load of one lag ago.
+    /// Returns the load as it was `lag` ago, or the oldest sample if none is that old.
     pub(crate) fn report(&self, now: Instant) -> Load {
         let mut old_enough = self.samples.iter().rev().filter(|(at, _)| *at + self.lag <= now);
         let sample = old_enough.next().or(self.samples.front());
--- a/crates/burdockroad-standins/tests/engine_contract.rs
+++ b/crates/burdockroad-standins/tests/engine_contract.rs
@@ -34,9 +34,9 @@
     contents.collect()
 }
 
-/// Reads at least `number` events, or all until the response ends or is cut.
+/// Reads events until there are at least `number`, or until the response ends or is cut.
 ///
-/// The flag is false if the connection was cut.
+/// The returned flag is false if the connection was cut.
 async fn read_events(stream: &mut HttpStream, number: usize) -> (Vec<Value>, bool) {
     let mut text = String::new();
     loop {
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn priority_order() {
+async fn admit_by_priority() {
     // A completion that is too long to finish occupies the only slot until the others are queued.
     let options = EngineOptions {
         slots: 1,
@@ -237,7 +237,7 @@
 }
 
 #[tokio::test]
-async fn stream_cancel() {
+async fn cancel_running_stream() {
     let options = EngineOptions {
         output_tokens: Some(10_000_000),
         ..EngineOptions::default()
--- a/crates/burdockroad-standins/tests/engine_state_contract.rs
+++ b/crates/burdockroad-standins/tests/engine_state_contract.rs
@@ -15,7 +15,7 @@
 mod support;
 
 #[tokio::test]
-async fn cache_prefix() {
+async fn cache_reuses_common_prefix() {
     let fixture = Fixture::start(EngineOptions::default()).await;
     let program = [("x-program-id", "p1")];
     let first = completion_text(&fixture.complete(&program, &body("first question", 5)).await);
