--- a/crates/burdockroad-standins/src/kv.rs
+++ b/crates/burdockroad-standins/src/kv.rs
@@ -1,8 +1,8 @@
 //! Stand-in for the platform's key-value service: the etcd v3 API, in memory.
 //!
 //! It implements keys, leases and watches as published by etcd, counts each call, and refuses calls that
-//! exceed its rate limits. Injected faults make it slow or unavailable, break watches, and lose replies
-//! after the write took effect. Leases expire also while it is unavailable.
+//! exceed its rate limits. Injected faults make it slow or unavailable, break watches, and lose the reply
+//! to a write that took effect. Leases also expire while it is unavailable.
 
 pub use crate::kv::{
     faults::{KvFaults, LoseReplies, LostReply},
@@ -157,7 +157,9 @@
 #[derive(Debug)]
 pub(crate) struct Shared {
     state: Mutex<State>,
+    /// Current revision; a change wakes the watch streams.
     changes: watch::Sender<i64>,
+    /// Counter; a change ends all open watch streams.
     watch_breaks: watch::Sender<u64>,
     progress_interval: Duration,
 }
@@ -188,7 +190,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a call and applies the active faults and rate limits before the call takes effect.
+    /// Applies the active faults and the rate limits to a call, and counts it, before it takes effect.
     async fn admit_call(&self, kind: CallKind) -> std::result::Result<(), Status> {
         let delay_ms = {
             let mut state = self.state();
@@ -208,18 +210,18 @@
         Ok(())
     }
 
-    /// Runs an operation on the store and notifies the watches of a change.
+    /// Runs an operation on the store, and notifies the watch streams if the revision changed.
     fn with_store<T>(
         &self,
         operation: impl FnOnce(&mut Store) -> std::result::Result<T, Refusal>,
     ) -> std::result::Result<T, Status> {
         let mut state = self.state();
         let result = operation(&mut state.store);
-        self.announce(state.store.revision());
+        self.notify_watches(state.store.revision());
         Ok(result?)
     }
 
-    /// Returns the reply to a write that took effect, or loses it as configured.
+    /// Returns the reply to a write that took effect, or loses the reply as the faults demand.
     async fn reply_to_write<T: Send>(&self, response: T) -> std::result::Result<Response<T>, Status> {
         let (lost, lost_reply) = {
             let mut state = self.state();
@@ -246,10 +248,10 @@
     fn expire_leases(&self) {
         let mut state = self.state();
         state.store.expire_leases(Instant::now());
-        self.announce(state.store.revision());
+        self.notify_watches(state.store.revision());
     }
 
-    fn announce(&self, revision: i64) {
+    fn notify_watches(&self, revision: i64) {
         self.changes.send_if_modified(|last_revision| {
             let changed = *last_revision != revision;
             *last_revision = revision;
--- a/crates/burdockroad-standins/src/kv/key_range.rs
+++ b/crates/burdockroad-standins/src/kv/key_range.rs
@@ -1,4 +1,4 @@
-//! Key ranges of calls: a single key, a bounded range, or all keys from a start on.
+//! Key ranges of the etcd API: a single key, a bounded range, or all keys from a start key on.
 
 use std::collections::BTreeSet;
 
@@ -15,9 +15,9 @@
 enum End {
     /// The range is a single key.
     Single,
-    /// The range is unbounded.
+    /// The range has no upper bound.
     Open,
-    /// The range ends before this key.
+    /// The range ends before this key, which is excluded.
     Before(Vec<u8>),
 }
 
--- a/crates/burdockroad-standins/src/kv/meter.rs
+++ b/crates/burdockroad-standins/src/kv/meter.rs
@@ -37,7 +37,7 @@
     Write,
 }
 
-/// Counter and rate limiter with fixed windows of one second.
+/// Call counter and rate limiter, with fixed windows of one second.
 #[derive(Debug)]
 pub(crate) struct Meter {
     reads_per_s: u64,
@@ -62,7 +62,7 @@
         self.counts
     }
 
-    /// Counts one call as admitted, or refuses it.
+    /// Counts a call as admitted if it is within the rate limit, and as refused otherwise.
     pub(crate) fn admit(&mut self, kind: CallKind, now: Instant) -> Result<(), Refusal> {
         let admitted = match kind {
             CallKind::Read => self.admit_read(now),
--- a/crates/burdockroad-standins/src/kv/refusal.rs
+++ b/crates/burdockroad-standins/src/kv/refusal.rs
@@ -2,7 +2,10 @@
 
 use tonic::{Code, Status};
 
-/// Reason why a call was refused without effect.
+/// Reason why a call failed.
+///
+/// The call had no effect, except for `ConnectionLost`: the reply to a write is lost after the write took
+/// effect, and a broken watch stream has already delivered changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
     KeyMissing,
--- a/crates/burdockroad-standins/src/kv/store.rs
+++ b/crates/burdockroad-standins/src/kv/store.rs
@@ -30,14 +30,15 @@
 const MEMBER_ID: u64 = 1;
 const RAFT_TERM: u64 = 1;
 
-/// All keys and leases; each change of keys increments the revision by one.
+/// All keys and leases; each call that changes keys increments the revision by one.
 #[derive(Debug)]
 pub(crate) struct Store {
     revision: i64,
     keys: BTreeMap<Vec<u8>, KeyValue>,
-    /// Changes since revision `compacted`, each with the value that it replaced.
+    /// Changes since revision `compacted`, inclusive, each with the entry that it replaced.
     history: VecDeque<Event>,
     history_bytes: usize,
+    /// Lowest revision that can still be read or watched from; 0 if no change has been dropped.
     compacted: i64,
     leases: BTreeMap<i64, Lease>,
     next_lease_id: i64,
@@ -170,6 +171,7 @@
             .collect()
     }
 
+    /// Grants a lease and returns its id and its TTL in seconds; id 0 selects an unused one.
     pub(crate) fn lease_grant(&mut self, id: i64, ttl_s: i64, now: Instant) -> Result<(i64, i64), Refusal> {
         if ttl_s > LEASE_MAX_TTL_S {
             return Err(Refusal::LeaseTtlTooLarge);
@@ -318,6 +320,8 @@
         Ok(())
     }
 
+    /// Evaluates the comparisons of a transaction, then those of the nested transactions in the selected
+    /// branch, and appends the result of each transaction to `branches`.
     fn select_branches(&self, request: &TxnRequest, branches: &mut VecDeque<bool>) {
         let succeeded = request
             .compare
@@ -331,7 +335,9 @@
         }
     }
 
-    /// Returns whether a comparison succeeds; an absent key has no value, and its numbers are 0.
+    /// Returns whether a comparison succeeds.
+    ///
+    /// For an absent key, every comparison of the value fails, and the numbers compare as 0.
     fn compare_succeeds(&self, compare: &Compare) -> bool {
         let entry = self.keys.get(&compare.key);
         let entry_field = |field: fn(&KeyValue) -> i64| entry.map_or(0, field);
--- a/crates/burdockroad-standins/src/kv/watch_stream.rs
+++ b/crates/burdockroad-standins/src/kv/watch_stream.rs
@@ -1,4 +1,4 @@
-//! A watch stream of the key-value stand-in, which multiplexes any number of watches.
+//! A watch stream of the key-value stand-in; one stream carries any number of watches.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -19,11 +19,14 @@
 
 type ResponseSender = mpsc::Sender<Result<WatchResponse, Status>>;
 
-/// The client has disconnected, or the stream must end.
+/// Error that ends a watch stream.
+///
+/// The client disconnected, one of its calls was refused, or a fault broke the watches.
 struct StreamClosed;
 
-struct Watcher {
+struct Watch {
     key_range: KeyRange,
+    /// Lowest revision whose changes have not been sent yet.
     next_revision: i64,
     include_previous: bool,
     progress_notify: bool,
@@ -32,7 +35,7 @@
 struct WatchStream {
     shared: Arc<Shared>,
     response_sender: ResponseSender,
-    watchers: BTreeMap<i64, Watcher>,
+    watches: BTreeMap<i64, Watch>,
     next_id: i64,
 }
 
@@ -52,7 +55,7 @@
     let mut stream = WatchStream {
         shared: Arc::clone(&shared),
         response_sender: response_sender.clone(),
-        watchers: BTreeMap::new(),
+        watches: BTreeMap::new(),
         next_id: 0,
     };
     loop {
@@ -93,7 +96,7 @@
         self.admit_call().await?;
         let id = self.assign_id(request.watch_id);
         let key_range = match KeyRange::new(&request.key, &request.range_end) {
-            Ok(key_range) if !self.watchers.contains_key(&id) => key_range,
+            Ok(key_range) if !self.watches.contains_key(&id) => key_range,
             _ => return self.refuse(id, "etcdserver: watch cannot be created", 0).await,
         };
         let (revision, compacted) = self.shared.revisions();
@@ -105,13 +108,13 @@
             let reason = "etcdserver: mvcc: required revision has been compacted";
             return self.refuse(id, reason, compacted).await;
         }
-        let watcher = Watcher {
+        let watch = Watch {
             key_range,
             next_revision,
             include_previous: request.prev_kv,
             progress_notify: request.progress_notify,
         };
-        self.watchers.insert(id, watcher);
+        self.watches.insert(id, watch);
         self.shared.watch_opened();
         let created = WatchResponse {
             created: true,
@@ -122,7 +125,7 @@
     }
 
     async fn cancel(&mut self, id: i64) -> Result<(), StreamClosed> {
-        if self.watchers.remove(&id).is_none() {
+        if self.watches.remove(&id).is_none() {
             return Ok(());
         }
         self.shared.watches_closed(1);
@@ -142,9 +145,9 @@
 
     async fn notify_progress(&mut self) -> Result<(), StreamClosed> {
         self.publish().await?;
-        let watchers = self.watchers.iter();
-        let ids: Vec<_> = watchers
-            .filter(|(_, watcher)| watcher.progress_notify)
+        let watches = self.watches.iter();
+        let ids: Vec<_> = watches
+            .filter(|(_, watch)| watch.progress_notify)
             .map(|(id, _)| *id)
             .collect();
         for id in ids {
@@ -153,19 +156,17 @@
         Ok(())
     }
 
-    /// Sends each watch the changes that it has not received yet.
+    /// Sends the changes of each watch that have not been sent yet.
     async fn publish(&mut self) -> Result<(), StreamClosed> {
         self.cancel_compacted().await?;
         let mut responses = Vec::new();
-        for (id, watcher) in &mut self.watchers {
-            let (header, mut events) = self
-                .shared
-                .events_since(&watcher.key_range, watcher.next_revision);
-            watcher.next_revision = watcher.next_revision.max(header.revision + 1);
+        for (id, watch) in &mut self.watches {
+            let (header, mut events) = self.shared.events_since(&watch.key_range, watch.next_revision);
+            watch.next_revision = watch.next_revision.max(header.revision + 1);
             if events.is_empty() {
                 continue;
             }
-            if !watcher.include_previous {
+            if !watch.include_previous {
                 for event in &mut events {
                     event.prev_kv = None;
                 }
@@ -183,16 +184,16 @@
         Ok(())
     }
 
-    /// Cancels the watches whose next revision has been compacted.
+    /// Cancels the watches that still need changes that have been compacted.
     async fn cancel_compacted(&mut self) -> Result<(), StreamClosed> {
         let (_, compacted) = self.shared.revisions();
-        let watchers = self.watchers.iter();
-        let compacted_ids: Vec<_> = watchers
-            .filter(|(_, watcher)| watcher.next_revision < compacted)
+        let watches = self.watches.iter();
+        let compacted_ids: Vec<_> = watches
+            .filter(|(_, watch)| watch.next_revision < compacted)
             .map(|(id, _)| *id)
             .collect();
         for id in compacted_ids {
-            self.watchers.remove(&id);
+            self.watches.remove(&id);
             self.shared.watches_closed(1);
             let canceled = WatchResponse {
                 canceled: true,
@@ -245,7 +246,7 @@
         if requested_id != 0 {
             return requested_id;
         }
-        while self.watchers.contains_key(&self.next_id) {
+        while self.watches.contains_key(&self.next_id) {
             self.next_id += 1;
         }
         let id = self.next_id;
@@ -254,6 +255,6 @@
     }
 
     fn close(self) {
-        self.shared.watches_closed(self.watchers.len());
+        self.shared.watches_closed(self.watches.len());
     }
 }
--- a/crates/burdockroad-standins/tests/kv_contract.rs
+++ b/crates/burdockroad-standins/tests/kv_contract.rs
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn refusal_table() {
+async fn call_refusal_table() {
     let mut fixture = start(KvOptions::default()).await;
     let with_lease = PutRequest {
         lease: 77,
