--- a/crates/burdockroad-standins/src/proxy.rs
+++ b/crates/burdockroad-standins/src/proxy.rs
@@ -1,9 +1,9 @@
 //! TCP proxy between two processes that injects network faults.
 //!
-//! The two directions fail independently. While a direction drops, its bytes and its end of stream are
-//! discarded and the connections stay open. A connection that lost bytes is cut as soon as its direction
-//! passes again, because TCP never delivers a stream with a gap. Control requests (`POST /faults`,
-//! `GET /counts`) use a separate address.
+//! The two directions fail independently. While a direction is set to `Drop`, its bytes are discarded, its
+//! end of stream is withheld, and the connections stay open. A connection that lost bytes is cut as soon
+//! as its direction forwards again, because TCP never delivers a stream with a gap. Control requests
+//! (`POST /faults`, `GET /counts`) use a separate address.
 
 pub use crate::proxy::faults::{Backward, Forward, ProxyCounts, ProxyFaults};
 
--- a/crates/burdockroad-standins/src/proxy/connection.rs
+++ b/crates/burdockroad-standins/src/proxy/connection.rs
@@ -1,4 +1,4 @@
-//! A connection through the proxy, each direction of which forwards, delays or drops bytes.
+//! A proxied connection: each direction forwards, delays or drops its bytes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,6 +25,7 @@
 /// Bytes in flight, or the end of the stream.
 struct Chunk {
     due: Instant,
+    /// `None` at the end of the stream.
     bytes: Option<Bytes>,
 }
 
@@ -62,7 +63,7 @@
     Ok(())
 }
 
-/// Reads chunks and assigns each the time at which it is due.
+/// Reads chunks and queues each with the time at which it is due at the other end.
 async fn read(
     mut faults: watch::Receiver<ProxyFaults>,
     direction: Direction,
@@ -72,8 +73,8 @@
     loop {
         let mut buffer = BytesMut::with_capacity(CHUNK_MAX_BYTES);
         let Ok(length) = from.read_buf(&mut buffer).await else {
-            // A reset is dropped like any other packet.
-            wait_until_passing(&mut faults, direction).await;
+            // While the direction drops, a reset is withheld too, because a lossy network loses any packet.
+            wait_until_forwarding(&mut faults, direction).await;
             return Err(ConnectionBroken);
         };
         let delay = Duration::from_millis(faults.borrow().delay_ms);
@@ -88,7 +89,7 @@
     }
 }
 
-/// Writes chunks when they are due, or drops them.
+/// Writes each chunk when it is due, or drops it if the direction drops bytes at that time.
 async fn write(
     shared: &Shared,
     direction: Direction,
@@ -100,7 +101,7 @@
     loop {
         let chunk = tokio::select! {
             chunk = chunks.recv() => chunk.ok_or(ConnectionBroken)?,
-            () = wait_until_passing(&mut faults, direction), if bytes_lost => return Err(ConnectionBroken),
+            () = wait_until_forwarding(&mut faults, direction), if bytes_lost => return Err(ConnectionBroken),
         };
         tokio::time::sleep_until(chunk.due).await;
         let drops = faults.borrow().drops(direction);
@@ -119,22 +120,22 @@
     }
 }
 
-/// Forwards the end of the stream once the direction passes.
+/// Waits until the direction forwards, then forwards the end of the stream, or fails if bytes were lost.
 async fn relay_end_of_stream(
     faults: &mut watch::Receiver<ProxyFaults>,
     direction: Direction,
     bytes_lost: bool,
     mut to: OwnedWriteHalf,
 ) -> Result<(), ConnectionBroken> {
-    wait_until_passing(faults, direction).await;
+    wait_until_forwarding(faults, direction).await;
     if bytes_lost {
         return Err(ConnectionBroken);
     }
     to.shutdown().await.map_err(|_reset| ConnectionBroken)
 }
 
-async fn wait_until_passing(faults: &mut watch::Receiver<ProxyFaults>, direction: Direction) {
-    // The proxy owns the sender, so waiting cannot fail before the connection ends.
-    let passing = faults.wait_for(|faults| !faults.drops(direction)).await;
-    drop(passing);
+async fn wait_until_forwarding(faults: &mut watch::Receiver<ProxyFaults>, direction: Direction) {
+    // The shared state owns the sender and outlives the connection, so waiting cannot fail.
+    let forwarding = faults.wait_for(|faults| !faults.drops(direction)).await;
+    drop(forwarding);
 }
--- a/crates/burdockroad-standins/src/proxy/faults.rs
+++ b/crates/burdockroad-standins/src/proxy/faults.rs
@@ -75,6 +75,7 @@
 #[derive(Debug)]
 pub(crate) struct Shared {
     faults: watch::Sender<ProxyFaults>,
+    /// Counter; a change cuts all open connections.
     cuts: watch::Sender<u64>,
     counts: Mutex<ProxyCounts>,
 }
--- a/crates/burdockroad-standins/tests/proxy_contract.rs
+++ b/crates/burdockroad-standins/tests/proxy_contract.rs
@@ -16,8 +16,8 @@
 
 /// Timeout for expected events; reaching it fails the test.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Time without any bytes after which a connection counts as silent.
-const NO_DATA_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time after which bytes that have not arrived count as dropped.
+const NOT_DELIVERED_TIMEOUT: Duration = Duration::from_millis(200);
 
 const DROP_FORWARD: ProxyFaults = ProxyFaults {
     forward: Forward::Drop,
@@ -122,9 +122,10 @@
         connection.client.write_all(b"forward").await.unwrap();
         connection.server.write_all(b"backward").await.unwrap();
         let dropped = if faults == DROP_FORWARD { (7, 0) } else { (0, 8) };
-        let total = |counts: ProxyCounts| (counts.forward_dropped_bytes, counts.backward_dropped_bytes);
+        let dropped_bytes =
+            |counts: ProxyCounts| (counts.forward_dropped_bytes, counts.backward_dropped_bytes);
         connection
-            .wait_for_counts(|counts| total(counts) == dropped)
+            .wait_for_counts(|counts| dropped_bytes(counts) == dropped)
             .await;
         let (dropping, passing, bytes) = if faults == DROP_FORWARD {
             (
@@ -141,11 +142,11 @@
         };
         assert_eq!(read(passing, TIMEOUT).await, ReadOutcome::Bytes(bytes));
         assert_eq!(
-            read(dropping, NO_DATA_TIMEOUT).await,
+            read(dropping, NOT_DELIVERED_TIMEOUT).await,
             ReadOutcome::TimedOut,
             "the connection must stay open"
         );
-        // A stream with a gap must never be delivered.
+        // Once the direction forwards again, the stream has a gap, so the connection must be cut.
         connection.proxy.set_faults(ProxyFaults::default());
         assert_eq!(read(dropping, TIMEOUT).await, ReadOutcome::Closed);
         connection.proxy.close().await;
@@ -163,7 +164,7 @@
     connection
         .wait_for_counts(|counts| counts.forward_dropped_bytes == 4)
         .await;
-    // These bytes are in flight when the direction passes again, after the bytes that were dropped.
+    // These bytes follow the dropped ones and are still in flight when the direction forwards again.
     connection.client.write_all(b"behind").await.unwrap();
     tokio::time::sleep(Duration::from_millis(50)).await;
     connection.proxy.set_faults(ProxyFaults::default());
@@ -177,7 +178,7 @@
     connection.proxy.set_faults(DROP_FORWARD);
     connection.client.shutdown().await.unwrap();
     assert_eq!(
-        read(&mut connection.server, NO_DATA_TIMEOUT).await,
+        read(&mut connection.server, NOT_DELIVERED_TIMEOUT).await,
         ReadOutcome::TimedOut
     );
     connection.proxy.set_faults(ProxyFaults::default());
