--- a/crates/burdockroad-standins/src/arguments.rs
+++ b/crates/burdockroad-standins/src/arguments.rs
@@ -6,10 +6,10 @@
 
 use crate::error::{Result, StandinError};
 
-/// Milliseconds in a second.
+/// `units_per_s` of an option in milliseconds, for [`parse_duration_option`].
 pub const MS_PER_S: f64 = 1e3;
 
-/// Microseconds in a second.
+/// `units_per_s` of an option in microseconds, for [`parse_duration_option`].
 pub const US_PER_S: f64 = 1e6;
 
 /// Parses an option and stores its value in `field`; an absent option leaves the default unchanged.
--- a/crates/burdockroad-standins/src/bin/burdockroad-load.rs
+++ b/crates/burdockroad-standins/src/bin/burdockroad-load.rs
@@ -16,7 +16,7 @@
 With programs_per_s 0, each of `concurrency` callers runs one program after the other.
 
   --model NAME          requested model (m)
-  --direct              call engines directly, with the complete history and without keys
+  --direct              call engines directly, with the complete history and without API keys
   --whole               request complete responses instead of streams
   --turns N             calls per program (4)
   --tool-pause-ms MS    pause between two calls of a program (50)
@@ -26,7 +26,7 @@
   --call-timeout-ms MS  timeout of each attempt (30000)
   --programs N          maximum programs per account (1000)
   --duration-s S        time after which no programs are started (10)
-  --drain-s S           time that running programs then have to finish (30)
+  --drain-s S           time in which running programs can then finish (30)
   --seed N              seed of the random start times (0)
 
 Exit status: 0 when every program completed, 1 on an error, 2 when a program did not complete.
--- a/crates/burdockroad-standins/src/bin/burdockroad-standin/main.rs
+++ b/crates/burdockroad-standins/src/bin/burdockroad-standin/main.rs
@@ -19,7 +19,7 @@
 Kinds and their options:
   kv      key-value service    --reads-per-s N --writes-per-s N
   engine  model engine         --model NAME (repeatable; default: any model) --slots N --token-ms MS
-                               --batch-slowdown SHARE --prefill-us-per-token US --cache-tokens N
+                               --batch-slowdown FRACTION --prefill-us-per-token US --cache-tokens N
                                --transfer-us-per-token US --answer-tokens N --event-lag-ms MS
                                --event-gap-probability P --load-lag-ms MS --fencing refused|ignored
                                --load-ms MS --weight-store IP:PORT --record-limit N --seed N
--- a/crates/burdockroad-standins/src/host_list.rs
+++ b/crates/burdockroad-standins/src/host_list.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's list of hosts: `GET /hosts`, which shows changes after a lag.
+//! Stand-in for the platform's list of hosts, `GET /hosts`; changes become visible after a lag.
 //!
 //! Control requests use a separate address: `PUT /hosts` sets the list, and `POST /faults` makes the
 //! stand-in slow or unavailable.
@@ -100,7 +100,7 @@
     pub async fn start(options: HostListOptions) -> Result<Self> {
         let state = State {
             visible: options.hosts,
-            pending_changes: VecDeque::new(),
+            pending_lists: VecDeque::new(),
             faults: HostListFaults::default(),
         };
         let shared = Arc::new(Shared {
@@ -157,9 +157,10 @@
 
 #[derive(Debug)]
 struct State {
+    /// The list that `GET /hosts` returns.
     visible: Vec<ListedHost>,
     /// Lists that are not visible yet, with the time at which they become visible.
-    pending_changes: VecDeque<(Instant, Vec<ListedHost>)>,
+    pending_lists: VecDeque<(Instant, Vec<ListedHost>)>,
     faults: HostListFaults,
 }
 
@@ -170,14 +171,14 @@
 
     fn set_hosts(&self, hosts: Vec<ListedHost>) {
         let visible_at = Instant::now() + self.lag;
-        self.state().pending_changes.push_back((visible_at, hosts));
+        self.state().pending_lists.push_back((visible_at, hosts));
     }
 
     fn hosts(&self) -> Vec<ListedHost> {
         let now = Instant::now();
         let mut state = self.state();
         while let Some((_, hosts)) = state
-            .pending_changes
+            .pending_lists
             .pop_front_if(|(visible_at, _)| *visible_at <= now)
         {
             state.visible = hosts;
--- a/crates/burdockroad-standins/src/http_server.rs
+++ b/crates/burdockroad-standins/src/http_server.rs
@@ -95,7 +95,7 @@
         let handler = Arc::clone(&self.handler);
         Box::pin(async move {
             let (head, body) = req.into_parts();
-            // The rest of an aborted body never arrives, so no client is left to respond to.
+            // Collecting the body fails when the client aborts the request; no response can be delivered then.
             let body = body
                 .collect()
                 .await
--- a/crates/burdockroad-standins/src/load.rs
+++ b/crates/burdockroad-standins/src/load.rs
@@ -2,7 +2,8 @@
 //!
 //! It is bounded in count and time, and sends to loopback addresses only. With a rate, the load is
 //! open-loop: programs are due at given times, and their latency counts from the due time even if they
-//! start late. Without a rate, each of a number of callers runs one program after the other.
+//! start late. Without a rate, the load is closed-loop: each of `concurrency` callers runs one program after
+//! the other.
 
 pub use crate::load::stats::{AccountReport, LatencySummary, LoadReport, RefusalCount};
 
@@ -43,7 +44,7 @@
     pub accounts: Vec<LoadAccount>,
     /// Requested model.
     pub model: String,
-    /// Whether calls go directly to an engine, with the complete history and without keys.
+    /// Whether calls go directly to an engine, with the complete history and without API keys.
     pub direct: bool,
     /// Whether responses are streamed.
     pub stream: bool,
@@ -57,13 +58,13 @@
     pub max_tokens: u64,
     /// Maximum number of retries of a call that was refused or broken off.
     pub retries: u32,
-    /// Timeout after which a call without a complete response counts as broken off.
+    /// Timeout of each attempt; without a complete response by then, the attempt counts as broken off.
     pub call_timeout: Duration,
     /// Maximum number of programs started per account.
     pub programs: u64,
     /// Time after which no programs are started.
     pub duration: Duration,
-    /// Time that running programs then have to finish.
+    /// Time after `duration` in which running programs can finish.
     pub drain: Duration,
     /// Seed of the random start times.
     pub seed: u64,
@@ -232,7 +233,9 @@
         self.stats.report(&self.account.account_id)
     }
 
-    /// Counts the programs that were due before `stop_at` and not started; without a rate, none is counted.
+    /// Counts the programs that were due before `stop_at` but did not start.
+    ///
+    /// Without a rate, programs have no due time, so none is counted.
     fn count_unstarted(&mut self, mut due: Instant, remaining: u64) {
         if !self.is_open_loop() {
             return;
@@ -250,9 +253,9 @@
         self.account.programs_per_s > 0.0
     }
 
-    /// Returns the random due time of the next program.
+    /// Returns the due time of the next program; without a rate, it is due at once.
     ///
-    /// The due times form a Poisson process, so program starts are independent of each other.
+    /// With a rate, the due times form a Poisson process, so program starts are independent of each other.
     fn next_due(&mut self, last: Instant) -> Instant {
         if !self.is_open_loop() {
             return last;
--- a/crates/burdockroad-standins/src/load/program.rs
+++ b/crates/burdockroad-standins/src/load/program.rs
@@ -58,10 +58,11 @@
     pub(crate) stats: Arc<AccountStats>,
     pub(crate) client: HttpClient,
     pub(crate) key: String,
-    /// Prefix of all its prompts, which makes them differ from those of other programs.
+    /// Text that starts all its prompts, so that they differ from the prompts of other programs.
     pub(crate) label: String,
+    /// Offset in the list of targets, so that programs start at different targets.
     pub(crate) first_target: usize,
-    /// Start of the latency: the due time, or without a rate the actual start.
+    /// Time from which the latency counts: the due time, or the actual start if the load has no rate.
     pub(crate) latency_start: Instant,
 }
 
@@ -150,8 +151,9 @@
     tokens: TokenCounts,
 }
 
-/// A failed attempt, with the backoff before the next one if a retry is allowed.
+/// A failed attempt.
 struct AttemptFailure {
+    /// Backoff before the next attempt; `None` if the request may not be retried.
     retry_after: Option<Duration>,
 }
 
@@ -160,7 +162,7 @@
     pub(crate) async fn run(self) {
         match self.run_turns().await {
             Ok(()) => self.stats.add_completed(self.latency_start.elapsed()),
-            // Each failed attempt was counted when it failed, so only the program is counted here.
+            // Failed attempts have been counted already, so only the failed program is counted here.
             Err(_reason) => self.stats.add_failed(),
         }
     }
@@ -256,7 +258,9 @@
         Ok(request)
     }
 
-    /// Sends a request until it succeeds or may not be retried, with a different target for each attempt.
+    /// Sends a request until it succeeds, may not be retried, or has used up its retries.
+    ///
+    /// Each attempt goes to the next target.
     async fn send_with_retries(
         &self,
         turn: u32,
--- a/crates/burdockroad-standins/src/load/stats.rs
+++ b/crates/burdockroad-standins/src/load/stats.rs
@@ -35,11 +35,11 @@
     pub failed: u64,
     /// Programs that were still running at the drain deadline.
     pub unfinished: u64,
-    /// Programs that were due and could not start before `duration` had passed.
+    /// Programs that were due but could not start before `duration` had passed.
     pub unstarted: u64,
     /// Latency of completed programs, including their tool pauses.
     pub program_latency: LatencySummary,
-    /// Latency of successful calls, including earlier attempts.
+    /// Latency of successful calls, including their failed attempts and backoffs.
     pub call_latency: LatencySummary,
     /// Refused attempts by kind.
     pub refusals: Vec<RefusalCount>,
@@ -124,7 +124,7 @@
     fields
 }
 
-/// Token counts reported by one response.
+/// Token counts of one response, or their sums over all responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TokenCounts {
     pub(crate) prompt: u64,
--- a/crates/burdockroad-standins/src/processes.rs
+++ b/crates/burdockroad-standins/src/processes.rs
@@ -1,4 +1,4 @@
-//! Control of processes of the workspace's binaries, for tests that kill, pause and restart them.
+//! Starts and controls processes of the workspace's binaries, for tests that kill, pause and restart them.
 
 use std::{
     collections::VecDeque,
@@ -51,6 +51,7 @@
 pub struct Process {
     name: String,
     child: Child,
+    /// First line that starts with `address=`; its fields are `key=value`, separated by blanks.
     address_line: String,
     output: Output,
 }
@@ -66,7 +67,7 @@
     /// `address=`, or when no such line is printed within 30 s.
     pub async fn spawn(binary: &str, arguments: &[&str]) -> Result<Self> {
         let path = binary_path(binary)?;
-        let failed = |reason: String| StandinError::Process(format!("{binary}: {reason}"));
+        let spawn_error = |reason: String| StandinError::Process(format!("{binary}: {reason}"));
         let mut child = Command::new(&path)
             .args(arguments)
             .stdin(Stdio::null())
@@ -74,20 +75,20 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .map_err(|error| failed(format!("{}: {error}", path.display())))?;
+            .map_err(|error| spawn_error(format!("{}: {error}", path.display())))?;
         let output = Output::new();
-        let (line, mut lines) = watch::channel(None);
+        let (line_sender, mut line_receiver) = watch::channel(None);
         if let Some(stdout) = child.stdout.take() {
-            tokio::spawn(collect_output(stdout, output.clone(), Some(line)));
+            tokio::spawn(collect_output(stdout, output.clone(), Some(line_sender)));
         }
         if let Some(stderr) = child.stderr.take() {
             tokio::spawn(collect_output(stderr, output.clone(), None));
         }
-        let result = tokio::time::timeout(START_TIMEOUT, lines.wait_for(Option::is_some)).await;
+        let result = tokio::time::timeout(START_TIMEOUT, line_receiver.wait_for(Option::is_some)).await;
         let address_line = match result {
             Ok(Ok(line)) => line.clone().unwrap_or_default(),
-            Ok(Err(_ended)) => return Err(failed(format!("ended without address: {}", output.text()))),
-            Err(_elapsed) => return Err(failed(format!("no address within 30 s: {}", output.text()))),
+            Ok(Err(_ended)) => return Err(spawn_error(format!("exited without address: {}", output.text()))),
+            Err(_elapsed) => return Err(spawn_error(format!("no address within 30 s: {}", output.text()))),
         };
         Ok(Self {
             name: binary.to_owned(),
@@ -121,7 +122,7 @@
     /// Fails when the key is missing, or its value is not an address.
     pub fn address_of(&self, key: &str) -> Result<SocketAddr> {
         let address = self.field(key).and_then(|value| value.parse().ok());
-        address.ok_or_else(|| self.failed(&format!("no {key} in {:?}", self.address_line)))
+        address.ok_or_else(|| self.process_error(&format!("no {key} in {:?}", self.address_line)))
     }
 
     /// Returns the last lines that the process wrote to standard output and standard error.
@@ -141,7 +142,7 @@
     /// Fails when the process cannot be signalled.
     pub async fn kill(&mut self) -> Result<()> {
         let killed = self.child.kill().await;
-        killed.map_err(|error| self.failed(&error.to_string()))
+        killed.map_err(|error| self.process_error(&error.to_string()))
     }
 
     /// Pauses the process (SIGSTOP).
@@ -151,10 +152,10 @@
     /// Fails when the process has ended.
     pub fn stop(&self) -> Result<()> {
         self.signal(Signal::SIGSTOP)?;
-        // The signal takes effect asynchronously, and until then the process may still respond.
+        // The signal takes effect asynchronously. Wait for it, because until then the process may respond.
         let stopped = WaitPidFlag::WSTOPPED | WaitPidFlag::WNOWAIT;
         let waited = wait::waitid(Id::Pid(self.pid()?), stopped);
-        waited.map_err(|error| self.failed(error.desc()))?;
+        waited.map_err(|error| self.process_error(error.desc()))?;
         Ok(())
     }
 
@@ -184,8 +185,8 @@
     pub async fn wait(&mut self, timeout: Duration) -> Result<ExitStatus> {
         match tokio::time::timeout(timeout, self.child.wait()).await {
             Ok(Ok(status)) => Ok(status),
-            Ok(Err(error)) => Err(self.failed(&error.to_string())),
-            Err(_elapsed) => Err(self.failed("timed out waiting for its end")),
+            Ok(Err(error)) => Err(self.process_error(&error.to_string())),
+            Err(_elapsed) => Err(self.process_error("timed out waiting for its end")),
         }
     }
 
@@ -196,16 +197,16 @@
     }
 
     fn signal(&self, signal: Signal) -> Result<()> {
-        signal::kill(self.pid()?, signal).map_err(|error| self.failed(error.desc()))
+        signal::kill(self.pid()?, signal).map_err(|error| self.process_error(error.desc()))
     }
 
     fn pid(&self) -> Result<Pid> {
         let id = self.child.id().and_then(|id| i32::try_from(id).ok());
-        let id = id.ok_or_else(|| self.failed("has already ended"))?;
+        let id = id.ok_or_else(|| self.process_error("has already ended"))?;
         Ok(Pid::from_raw(id))
     }
 
-    fn failed(&self, reason: &str) -> StandinError {
+    fn process_error(&self, reason: &str) -> StandinError {
         StandinError::Process(format!("{}: {reason}", self.name))
     }
 }
@@ -226,13 +227,13 @@
 /// Fails when there are not enough free ports.
 pub fn free_ports(number: usize) -> Result<Vec<u16>> {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    let failed = |source| StandinError::Listen { address, source };
-    // All listeners stay open until the last port is found, so that no port is returned twice.
+    let listen_error = |source| StandinError::Listen { address, source };
+    // Each listener stays open until all ports are found, so that no port is returned twice.
     let listeners: std::result::Result<Vec<_>, _> = (0..number).map(|_| TcpListener::bind(address)).collect();
-    let listeners = listeners.map_err(failed)?;
+    let listeners = listeners.map_err(listen_error)?;
     let addresses = listeners.iter().map(TcpListener::local_addr);
     addresses
-        .map(|address| Ok(address.map_err(failed)?.port()))
+        .map(|address| Ok(address.map_err(listen_error)?.port()))
         .collect()
 }
 
--- a/crates/burdockroad-standins/src/request_faults.rs
+++ b/crates/burdockroad-standins/src/request_faults.rs
@@ -15,7 +15,7 @@
     pub fail_next: u64,
     /// Probability that a request fails with status 500 without being executed.
     pub fail_probability: f64,
-    /// Number of subsequent requests that are accepted and never get a response.
+    /// Number of subsequent requests that are accepted but never receive a response.
     ///
     /// An engine does not execute them; a service does.
     pub hang_next: u64,
@@ -29,7 +29,7 @@
     pub cut_after_tokens: u64,
     /// Delay before each request is executed.
     pub delay_ms: u64,
-    /// Padding that a service adds to each response.
+    /// Bytes of padding that a service adds to each response.
     pub answer_bytes: usize,
     /// Seed of the random number generator for the probabilities.
     pub seed: u64,
--- a/crates/burdockroad-standins/src/server.rs
+++ b/crates/burdockroad-standins/src/server.rs
@@ -42,7 +42,7 @@
             let service = service.clone();
             async move {
                 let builder = auto::Builder::new(TokioExecutor::new());
-                // The client sees an aborted connection itself, and the stand-in has no log.
+                // Errors are ignored: the client observes a failed connection, and the stand-in has no log.
                 drop(builder.serve_connection(TokioIo::new(socket), service).await);
             }
         })
@@ -80,7 +80,7 @@
 
     /// Stops listening and ends all connections immediately.
     pub(crate) async fn close(self) {
-        // The task may already have ended; after the join it has ended in any case.
+        // Dropping the sender stops the task. A failed join means that the task panicked, so it has ended too.
         drop(self.stop);
         drop(self.accept_task.await);
     }
--- a/crates/burdockroad-standins/src/service.rs
+++ b/crates/burdockroad-standins/src/service.rs
@@ -1,7 +1,7 @@
 //! Stand-in for a plain service, which executes every request and records each execution.
 //!
 //! Like a real service, it completes a request even if the caller closes the connection during the
-//! execution. In that case a retry would execute the request twice. `GET /load` reports the load and
+//! execution. A caller that then retries executes the request twice. `GET /load` reports the load and
 //! executes nothing. Control requests (`POST /faults`, `GET /recorded`) use a separate address.
 
 pub use crate::request_faults::RequestFaults as ServiceFaults;
@@ -34,7 +34,7 @@
     pub listen: SocketAddr,
     /// Loopback address for control requests; port 0 selects a free port.
     pub control_listen: SocketAddr,
-    /// Maximum number of concurrent executions in the reported load; not enforced.
+    /// Number of concurrent executions that `GET /load` reports as the capacity; not enforced.
     pub slots: u64,
     /// Duration of each execution.
     pub execution_time: Duration,
@@ -76,7 +76,7 @@
     pub target: String,
     /// Value of the `X-Request-Id` header.
     pub request_id: Option<String>,
-    /// Padding of `answer_bytes` bytes.
+    /// Padding; its length is set by [`ServiceFaults::answer_bytes`].
     pub padding: String,
 }
 
@@ -185,7 +185,7 @@
         (state.requests.len() - 1, state.fault_injector.next_fault(), delay)
     }
 
-    /// Executes a recorded request.
+    /// Executes the recorded request at `index` and returns the response to it.
     async fn execute(&self, index: usize, delay: Duration) -> Option<ServiceResponse> {
         self.state().running += 1;
         tokio::time::sleep(delay + self.execution_time).await;
--- a/crates/burdockroad-standins/tests/host_list_contract.rs
+++ b/crates/burdockroad-standins/tests/host_list_contract.rs
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn refusal_table() {
+async fn request_status_table() {
     let list = HostListStandin::start(HostListOptions::default()).await.unwrap();
     let client = HttpClient::new();
     let main = format!("http://{}", list.address());
