--- a/crates/burdockroad-standins/src/kv/refusal.rs
+++ b/crates/burdockroad-standins/src/kv/refusal.rs
@@ -4,8 +4,8 @@
 
 /// Reason why a call failed.
 ///
-/// The call had no effect, except for `ConnectionLost`: the reply to a write is lost after the write took
-/// effect, and a broken watch stream has already delivered changes.
+/// The call had no effect, except for `ConnectionLost`: a lost reply belongs to a write that took effect,
+/// and a broken watch stream may have delivered changes before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
     KeyMissing,
