--- a/crates/burdockroad-daemon/src/daemon.rs
+++ b/crates/burdockroad-daemon/src/daemon.rs
@@ -30,7 +30,7 @@
     endpoint::{Endpoints, HttpEndpoints},
     http::{CallerServer, CallerServerParts},
     journal::{StoreRecovery, TailStore, Trees},
-    memory::{EnginePrefixCache, PrefixCacheAudit},
+    prefix_cache::{EnginePrefixCache, PrefixCacheAudit},
     peer::{self, PeerClients, PeerHandlers},
     platform::{self, PlatformError, SharedKeyValue},
     programs::{ProgramsHandle, ProgramsParts},
--- a/crates/burdockroad-daemon/src/lib.rs
+++ b/crates/burdockroad-daemon/src/lib.rs
@@ -28,7 +28,7 @@
 pub mod journal;
 pub mod logging;
 pub mod membership;
-pub mod memory;
+pub mod prefix_cache;
 pub mod ownership;
 pub mod peer;
 pub mod platform;
--- a/crates/burdockroad-daemon/tests/fleet/journals.rs
+++ b/crates/burdockroad-daemon/tests/fleet/journals.rs
@@ -138,11 +138,11 @@
 
 #[async_trait]
 impl JournalRecovery for Journals {
-    async fn seal_and_read(&self, failed: &Process, _: &Process) -> Result<Vec<Record>, RecoveryError> {
+    async fn seal_and_read(&self, dead: &Process, _: &Process) -> Result<Vec<Record>, RecoveryError> {
         self.delay().await;
         let records = {
             let mut table = self.table.lock().unwrap();
-            let journal = table.entry(failed.clone()).or_default();
+            let journal = table.entry(dead.clone()).or_default();
             journal.sealed = true;
             journal.records.clone()
         };
@@ -150,9 +150,9 @@
         Ok(records)
     }
 
-    async fn remove(&self, failed: &Process) -> Result<(), RecoveryError> {
+    async fn remove(&self, dead: &Process) -> Result<(), RecoveryError> {
         self.delay().await;
-        self.table.lock().unwrap().remove(failed);
+        self.table.lock().unwrap().remove(dead);
         Ok(())
     }
 
